--- a/drumgw/__main__.py
+++ b/drumgw/__main__.py
@@ -15,8 +15,8 @@
 import uvloop  # noqa: E402
 from loguru import logger  # noqa: E402
 
-from drumgw.gate.charter import BadCharter, read_charter  # noqa: E402
-from drumgw.gate.gateway import serve  # noqa: E402
+from drumgw.gateway.process import serve  # noqa: E402
+from drumgw.gateway.process_config import BadCharter, read_charter  # noqa: E402
 
 
 def main() -> int:
--- a/drumgw/cli/__main__.py
+++ b/drumgw/cli/__main__.py
@@ -10,8 +10,8 @@
 
 import click
 
-from drumgw.cli.tenants import tenants
-from drumgw.papers.reading import Unusable
+from drumgw.cli.tenant_commands import tenants
+from drumgw.config.file_reader import Unusable
 
 BROKEN, UNUSABLE, CANNOT, STOPPED = 1, 2, 3, 130
 
@@ -39,8 +39,8 @@
 @click.option("--json-logs", is_flag=True, help="Log lines as JSON objects, whatever the file says.")
 def serve(config: str, json_logs: bool) -> None:
     """Run one gatekeeper as CONFIG, an operator's file, says. SIGTERM ends it, SIGHUP reads it again."""
-    from drumgw.cli.serving import run
-    from drumgw.gate.charter import BadCharter
+    from drumgw.cli.serve_command import run
+    from drumgw.gateway.process_config import BadCharter
 
     try:
         sys.exit(run(config, json_logs))
@@ -53,8 +53,8 @@
 @click.option("--check", "only_check", is_flag=True, help="Only say whether FILE is usable.")
 def host(file: str, only_check: bool) -> None:
     """Run a host of many tenants as FILE says. SIGTERM ends it; SIGHUP reads its tokens again."""
-    from drumgw.cli.hosting import check, run
-    from drumgw.gate.charter import BadCharter
+    from drumgw.cli.host_command import check, run
+    from drumgw.gateway.process_config import BadCharter
 
     try:
         if only_check:
@@ -68,7 +68,7 @@
 @main.command()
 def token() -> None:
     """Make an administrator's token: the first line is shown once, the second is for the host's file."""
-    from drumgw.host.access import new_token
+    from drumgw.hosting.authentication import new_token
 
     text, digest = new_token()
     click.echo(f"token:  {text}\nsha256: {digest}")
@@ -92,9 +92,9 @@
     """
     import json
 
-    from drumgw.papers.bounds import bound, said
-    from drumgw.papers.office import configuration, read_office
-    from drumgw.terms import BadTerms, read_terms
+    from drumgw.config.gateway_file import configuration, read_office
+    from drumgw.config.quota_bounds import bound, said
+    from drumgw.model.settings_reader import BadTerms, read_terms
 
     try:
         office = read_office(config)
@@ -136,9 +136,9 @@
 @click.option("--quiet", is_flag=True, help="Print nothing but broken rules.")
 def lab_run(day: str, seed: int, virtual: bool, out: str | None, quiet: bool) -> None:
     """Play DAY, a day file, with real gatekeepers on loopback, or on a virtual clock."""
-    from drumgw.lab.day import read_day
-    from drumgw.lab.report import rules, text
-    from drumgw.lab.running import Stopped, run_day
+    from drumgw.testbed.report import rules, text
+    from drumgw.testbed.runner import Stopped, run_day
+    from drumgw.testbed.scenario import read_day
 
     try:
         name = read_day(day).name
@@ -168,8 +168,8 @@
     runs: tuple[str, ...], against: tuple[str, ...], as_text: bool, plots: str | None, form: str
 ) -> None:
     """Report on RUNS, folders that `lab run` left: together with their spread, or beside others."""
-    from drumgw.lab.record import BadRecord
-    from drumgw.lab.report import as_json, beside, read_run, text
+    from drumgw.testbed.event_log import BadRecord
+    from drumgw.testbed.report import as_json, beside, read_run, text
 
     try:
         found, others = [read_run(r) for r in runs], [read_run(r) for r in against]
@@ -180,7 +180,7 @@
     else:
         click.echo(beside(found, others) if others else text(found))
     if plots is not None:
-        from drumgw.lab.plots import plot
+        from drumgw.testbed.plots import plot
 
         for path in plot(found, plots, form):
             click.echo(f"drawn: {path}")
--- a/drumgw/cli/hosting.py
+++ b/drumgw/cli/host_command.py
@@ -7,11 +7,11 @@
 import uvloop
 from loguru import logger
 
-from drumgw.cli.serving import TEXT
-from drumgw.gate.charter import BadCharter
-from drumgw.host.registry import Refused, Registry
-from drumgw.host.service import serve
-from drumgw.papers.house import House, read_house, tenant_charter
+from drumgw.cli.serve_command import TEXT
+from drumgw.config.host_file import House, read_house, tenant_charter
+from drumgw.gateway.process_config import BadCharter
+from drumgw.hosting.host_process import serve
+from drumgw.hosting.tenant_registry import Refused, Registry
 
 
 def run(path: str) -> None:
--- a/drumgw/cli/serving.py
+++ b/drumgw/cli/serve_command.py
@@ -8,10 +8,10 @@
 import uvloop
 from loguru import logger
 
-from drumgw.gate.charter import Charter, charter_of
-from drumgw.gate.gateway import serve
-from drumgw.papers.office import configuration, read_office
-from drumgw.papers.reading import Unusable
+from drumgw.config.file_reader import Unusable
+from drumgw.config.gateway_file import configuration, read_office
+from drumgw.gateway.process import serve
+from drumgw.gateway.process_config import Charter, charter_of
 
 TEXT = "{time:HH:mm:ss.SSS} {level: <7} {message}"
 
@@ -25,7 +25,7 @@
         logger.add(sys.stderr, level=office.log.level, format=TEXT)
 
     def again() -> Charter:
-        from drumgw.gate.charter import BadCharter
+        from drumgw.gateway.process_config import BadCharter
 
         try:
             return charter_of(configuration(read_office(path)), {})
--- a/drumgw/papers/office.py
+++ b/drumgw/config/gateway_file.py
@@ -8,8 +8,8 @@
 
 from pydantic import AfterValidator, Field, model_validator
 
-from drumgw.papers.parts import Allowed, Count, Name, Part, Plan, Product, Rules, settings, twice
-from drumgw.papers.reading import read
+from drumgw.config.file_reader import read
+from drumgw.config.sections import Allowed, Count, Name, Part, Plan, Product, Rules, settings, twice
 
 VERSION = 1
 
--- a/drumgw/papers/house.py
+++ b/drumgw/config/host_file.py
@@ -8,10 +8,10 @@
 
 from pydantic import Field, model_validator
 
-from drumgw.gate.charter import Charter, charter_of
-from drumgw.papers.office import Address, Limits, Log, Worker, known
-from drumgw.papers.parts import Allowed, Count, Name, Part, Plan, Product, Rules, settings, twice
-from drumgw.papers.reading import read
+from drumgw.config.file_reader import read
+from drumgw.config.gateway_file import Address, Limits, Log, Worker, known
+from drumgw.config.sections import Allowed, Count, Name, Part, Plan, Product, Rules, settings, twice
+from drumgw.gateway.process_config import Charter, charter_of
 
 VERSION = 1
 Host = Annotated[str, Field(pattern=r"^([a-z0-9_-]{1,63}(\.[a-z0-9_-]{1,63}){0,9})?$")]
--- a/drumgw/papers/bounds.py
+++ b/drumgw/config/quota_bounds.py
@@ -9,8 +9,8 @@
 
 from typing import NamedTuple
 
-from drumgw.control import IDLE_MS
-from drumgw.papers.parts import Plan
+from drumgw.config.sections import Plan
+from drumgw.policy.engine import IDLE_MS
 
 USEFUL = 2.0  # a bound above so many times what the quota allows says nothing that an operator can use
 
--- a/drumgw/gate/line.py
+++ b/drumgw/gateway/connection_pool.py
@@ -22,8 +22,8 @@
 from aiohttp.http_parser import RawResponseMessage
 from yarl import URL
 
-from drumgw.gate.charter import MOST_BODY, MOST_HEAD
-from drumgw.gate.clock import Pulse, Timer
+from drumgw.gateway.clock import Pulse, Timer
+from drumgw.gateway.process_config import MOST_BODY, MOST_HEAD
 
 BROKEN = (aiohttp.ClientError, HttpProcessingError, OSError, TimeoutError)
 HEAD = b"HTTP/1."
--- a/drumgw/gate/counter.py
+++ b/drumgw/gateway/counter_client.py
@@ -5,13 +5,13 @@
 from collections import deque
 from functools import partial
 
-from drumgw import interface as api
-from drumgw.gate.charter import COUNTER_LINES, Charter
-from drumgw.gate.clock import Timer
-from drumgw.gate.desk import Desk
-from drumgw.gate.door import read_number
-from drumgw.gate.line import BROKEN, Answer, Lines, Trip, Wire
-from drumgw.interface import End
+from drumgw.gateway.clock import Timer
+from drumgw.gateway.connection_pool import BROKEN, Answer, Lines, Trip, Wire
+from drumgw.gateway.dispatcher import Desk
+from drumgw.gateway.process_config import COUNTER_LINES, Charter
+from drumgw.gateway.request_parsing import read_number
+from drumgw.model.actions import Add
+from drumgw.model.events import End
 
 IDLE_MS = 5000.0  # the counter closes what stood idle for about 10 s or less (the protocol's figure)
 TURNED_AWAY = (400, 404, 503)
@@ -22,7 +22,7 @@
 
     __slots__ = ("order", "asked_at", "written", "end", "total", "took_ms", "timer")
 
-    def __init__(self, order: api.Add, asked_at: float) -> None:
+    def __init__(self, order: Add, asked_at: float) -> None:
         self.order, self.asked_at, self.written = order, asked_at, False
         self.end: End | None = None
         self.total = self.took_ms = 0.0
@@ -125,7 +125,7 @@
             lane.close()
         await self.lines.close()
 
-    def call(self, order: api.Add) -> None:
+    def call(self, order: Add) -> None:
         """Calls of a name go behind each other on one lane, so none waits for another's answer."""
         now = self.pulse.now()
         call = Call(order, now - self.pulse.stood_ms)
--- a/drumgw/gate/discovery.py
+++ b/drumgw/gateway/discovery.py
@@ -10,12 +10,12 @@
 
 from loguru import logger
 
-from drumgw.gate.charter import BadCharter, Charter
-from drumgw.gate.desk import Desk
-from drumgw.gate.line import Answer, Lines, Trip
-from drumgw.gate.membership import SILENT_START_MS, UNREADABLE, Change, Membership, worker_id
-from drumgw.gate.workers import Workers
-from drumgw.interface import Health
+from drumgw.gateway.connection_pool import Answer, Lines, Trip
+from drumgw.gateway.dispatcher import Desk
+from drumgw.gateway.endpoint_clients import Workers
+from drumgw.gateway.membership import SILENT_START_MS, UNREADABLE, Change, Membership, worker_id
+from drumgw.gateway.process_config import BadCharter, Charter
+from drumgw.model.events import Health
 
 GRACE_PART, PACE_MOST_MS = 0.25, 150.0  # of a drain's grace; the most, as lists help service
 SLOW_MS = 2000.0  # a slow agent is waited for as long (the protocol's, once a wait is over)
--- a/drumgw/gate/desk.py
+++ b/drumgw/gateway/dispatcher.py
@@ -13,11 +13,11 @@
 
 from loguru import logger
 
-from drumgw import interface as api
-from drumgw.gate.clock import Pulse, Timer
-from drumgw.gate.core import Alarm, Core, Effect, Fault, Reply, Send, Stop
-from drumgw.gate.door import Passage
-from drumgw.gate.invariant import invariant
+from drumgw.gateway.clock import Pulse, Timer
+from drumgw.gateway.invariants import invariant
+from drumgw.gateway.request_lifecycle import Alarm, Core, Effect, Fault, Reply, Send, Stop
+from drumgw.gateway.request_parsing import Passage
+from drumgw.model.actions import Add, Say, Wake
 
 
 class Workers(Protocol):
@@ -29,7 +29,7 @@
 
 
 class Counter(Protocol):
-    def call(self, order: api.Add) -> None: ...
+    def call(self, order: Add) -> None: ...
 
 
 class Desk:
@@ -49,9 +49,9 @@
             Reply: self.on_reply,
             Alarm: self.on_alarm,
             Fault: self.on_fault,
-            api.Add: self.on_add,
-            api.Wake: self.on_wake,
-            api.Say: self.on_say,
+            Add: self.on_add,
+            Wake: self.on_wake,
+            Say: self.on_say,
         }
 
     # The mailbox
@@ -145,11 +145,11 @@
             self.alarms.pop(alarm.txn, None)
         self.post(self.core.alarm, alarm.txn, alarm.submission)
 
-    def on_add(self, order: api.Add) -> None:
+    def on_add(self, order: Add) -> None:
         assert self.counter is not None
         self.counter.call(order)
 
-    def on_wake(self, order: api.Wake) -> None:
+    def on_wake(self, order: Wake) -> None:
         self.wakes[order.label] = self.loop.call_later(
             order.after_ms / 1000.0, self.post, self.core.due, order.label
         )
@@ -169,5 +169,5 @@
     def complain(self, error: Exception, where: str) -> None:
         logger.opt(exception=error).error("{}fault in {}: {!r}", self.said, where, error)
 
-    def on_say(self, line: api.Say) -> None:
+    def on_say(self, line: Say) -> None:
         logger.info("{}{}", self.said, line.text)
--- a/drumgw/gate/workers.py
+++ b/drumgw/gateway/endpoint_clients.py
@@ -9,13 +9,13 @@
 
 import aiohttp
 
-from drumgw.gate.charter import Charter
-from drumgw.gate.core import Send, Stop
-from drumgw.gate.desk import Desk
-from drumgw.gate.door import Passage, read_number
-from drumgw.gate.line import BROKEN, Lines, TooLate, Trip
-from drumgw.interface import End
-from drumgw.terms import LOADS
+from drumgw.gateway.connection_pool import BROKEN, Lines, TooLate, Trip
+from drumgw.gateway.dispatcher import Desk
+from drumgw.gateway.process_config import Charter
+from drumgw.gateway.request_lifecycle import Send, Stop
+from drumgw.gateway.request_parsing import Passage, read_number
+from drumgw.model.events import End
+from drumgw.model.settings_reader import LOADS
 
 TURNED_AWAY = (503, 504)
 Key = tuple[int, int]
--- a/drumgw/gate/front.py
+++ b/drumgw/gateway/http_server.py
@@ -14,10 +14,10 @@
 from aiohttp.web_response import StreamResponse
 from aiohttp.web_server import Server
 
-from drumgw.gate.charter import CLIENT_MS, MOST_BODY, BadCharter, Charter
-from drumgw.gate.clock import LATE_MS
-from drumgw.gate.desk import Desk
-from drumgw.gate.door import Passage, Unfit, read_asked, write_head
+from drumgw.gateway.clock import LATE_MS
+from drumgw.gateway.dispatcher import Desk
+from drumgw.gateway.process_config import CLIENT_MS, MOST_BODY, BadCharter, Charter
+from drumgw.gateway.request_parsing import Passage, Unfit, read_asked, write_head
 
 READY, LIVE = "/health/ready", "/health/live"
 SWEEP_S = CLIENT_MS / 8000.0
--- a/drumgw/gate/membership.py
+++ b/drumgw/gateway/membership.py
@@ -21,9 +21,8 @@
 from math import inf, isfinite
 from typing import Any, NamedTuple
 
-from drumgw import interface as api
-from drumgw.interface import Health
-from drumgw.terms import Names
+from drumgw.model.events import Entry, Health, Listed
+from drumgw.model.settings_reader import Names
 
 READY_MS = 4000.0  # ready within 6 s of a start (the shortest that is asked for), less a third for the start
 SILENT_START_MS = 20000.0  # longer than any outage that the operators' pages know of
@@ -46,7 +45,7 @@
 class Row(NamedTuple):
     """What is known of a worker: its last readable row."""
 
-    entry: api.Entry
+    entry: Entry
     address: str
     born: float  # of the start that the row speaks of; without end where a leaving row does not say
 
@@ -54,7 +53,7 @@
 class Change(NamedTuple):
     """What a list changes. Those up are new, or a new start, or at a new address."""
 
-    listed: api.Listed
+    listed: Listed
     up: tuple[Row, ...]
     told: dict[Health, list[str]]  # for the log: who is now what
     unread: int  # rows that could not be read
@@ -160,7 +159,7 @@
         rows = self.rows.values() if whole else changed.values()
         up = tuple(row for row in changed.values() if row.entry.health is Health.READY)
         return Change(
-            api.Listed(whole, tuple(row.entry for row in rows)),
+            Listed(whole, tuple(row.entry for row in rows)),
             up,
             told,
             sum(row is None for row in read.values()),
@@ -197,7 +196,7 @@
         born, address = number(row["startedAtMs"]), row["hostPort"]
         if not ADDRESS.fullmatch(address) or int(address.rpartition(":")[2]) > 65535:
             raise ValueError("no address")
-        entry = api.Entry(
+        entry = Entry(
             worker_id(name),
             self.names.zone(row["zone"]),
             int(row["cell"]),
@@ -236,7 +235,7 @@
         start = number(born)
     except UNREADABLE:
         start = inf
-    return Row(api.Entry(worker_id(name), 0, 0, "", health, None, 0.0), "", start)
+    return Row(Entry(worker_id(name), 0, 0, "", health, None, 0.0), "", start)
 
 
 def is_news(known: Row | None, row: Row) -> bool:
--- a/drumgw/gate/gateway.py
+++ b/drumgw/gateway/process.py
@@ -10,12 +10,12 @@
 
 from loguru import logger
 
-from drumgw.gate.charter import BadCharter, Charter
-from drumgw.gate.clock import Clock, Pulse
-from drumgw.gate.front import Front
-from drumgw.gate.invariant import broken
-from drumgw.gate.membership import READY_MS
-from drumgw.gate.station import Station
+from drumgw.gateway.clock import Clock, Pulse
+from drumgw.gateway.http_server import Front
+from drumgw.gateway.invariants import broken
+from drumgw.gateway.membership import READY_MS
+from drumgw.gateway.process_config import BadCharter, Charter
+from drumgw.gateway.service import Station
 
 LINGER_MS = 700.0  # after SIGTERM clients still come for so long (the protocol's figure)
 GARBAGE = 20000  # objects between two walks of the collector
--- a/drumgw/gate/charter.py
+++ b/drumgw/gateway/process_config.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from drumgw import interface as api
-from drumgw.terms import Names, read_terms
+from drumgw.model.settings import Terms
+from drumgw.model.settings_reader import Names, read_terms
 
 RESERVED = 24  # descriptors for standard streams, the loop, the listener, the list and log files
 COUNTER_LINES = 32  # what the counter holds of one gatekeeper (the protocol's figure)
@@ -30,7 +30,7 @@
     counter: tuple[str, int] | None
     seed: int
     known: dict[str, Any]
-    terms: api.Terms
+    terms: Terms
     names: Names
     clients: int  # connections at most, of clients
     asking: int  # of them that have asked: three quarters of what the protocol lets them hold
--- a/drumgw/gate/core.py
+++ b/drumgw/gateway/request_lifecycle.py
@@ -11,9 +11,10 @@
 from math import inf
 from typing import Any, NamedTuple, Protocol
 
-from drumgw import interface as api
-from drumgw.gate.invariant import invariant
-from drumgw.interface import End
+from drumgw.gateway.invariants import invariant
+from drumgw.model.actions import Action, Add, Cancel, Decline, Probe, Say, Submit, Void, Wake
+from drumgw.model.events import Answer, Due, End, Ending, Event, Left, Listed, Total, Txn
+from drumgw.model.settings import Terms
 
 NEVER_RAN = (End.FULL, End.UNREACHED, End.NOT_SENT)
 OK, FAILED, REFUSED = 200, 500, 503
@@ -57,15 +58,15 @@
     error: Exception
 
 
-Effect = Send | Stop | Reply | Alarm | Fault | api.Add | api.Wake | api.Say
+Effect = Send | Stop | Reply | Alarm | Fault | Add | Wake | Say
 
 
 class Keeper(Protocol):
     """The decision module."""
 
-    def start(self, now: float) -> list[api.Action]: ...
+    def start(self, now: float) -> list[Action]: ...
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]: ...
+    def handle(self, now: float, event: Event) -> list[Action]: ...
 
 
 class InHand:
@@ -79,21 +80,21 @@
 
 
 class Core:
-    def __init__(self, keeper: Keeper, terms: api.Terms) -> None:
+    def __init__(self, keeper: Keeper, terms: Terms) -> None:
         self.keeper, self.most, self.copies = keeper, terms.submissions, terms.second_copies
         self.hand: dict[int, InHand] = {}  # emptied by answers and ended submissions
         self.ticks: dict[int, float] = {}  # label: interval; the module's few labels
-        self.events: deque[api.Event] = deque()  # emptied by each call
+        self.events: deque[Event] = deque()  # emptied by each call
         self.effects: list[Effect] = []
         self.taken = 0
         self.stood = 0.0  # ms in which our own loop stood; they are in no submission's time
 
-    def start(self, now: float, listed: api.Listed) -> list[Effect]:
+    def start(self, now: float, listed: Listed) -> list[Effect]:
         for action in self.keeper.start(now):
             self.act(now, action)
         return self.tell(now, listed)
 
-    def arrive(self, now: float, asked: api.Txn, waited_ms: float = 0.0) -> tuple[int, list[Effect]]:
+    def arrive(self, now: float, asked: Txn, waited_ms: float = 0.0) -> tuple[int, list[Effect]]:
         """A request that came while our loop stood has less time left than it says."""
         self.taken += 1
         txn, left_ms = self.taken, max(0.0, asked.left_ms - waited_ms)
@@ -127,7 +128,7 @@
             return []
         h.owed = False
         self.drop(txn, h)
-        return self.tell(now, api.Left(txn))
+        return self.tell(now, Left(txn))
 
     def alarm(self, now: float, txn: int, submission: int) -> list[Effect]:
         h = self.hand.get(txn)
@@ -141,17 +142,17 @@
             self.end_by_self(now, txn, h)
         return effects + self.tell(now)
 
-    def listed(self, now: float, listed: api.Listed) -> list[Effect]:
+    def listed(self, now: float, listed: Listed) -> list[Effect]:
         return self.tell(now, listed)
 
     def ending(self, now: float) -> list[Effect]:
-        return self.tell(now, api.Ending())
+        return self.tell(now, Ending())
 
     def due(self, now: float, label: int) -> list[Effect]:
-        return self.tell(now, api.Due(label))
+        return self.tell(now, Due(label))
 
     def total(self, now: float, name: int, end: End, total: float, took_ms: float) -> list[Effect]:
-        return self.tell(now, api.Total(name, end, total, took_ms))
+        return self.tell(now, Total(name, end, total, took_ms))
 
     def abandon(self, now: float, txn: int) -> list[Effect]:
         """An adapter failed at this txn: it is answered here."""
@@ -162,7 +163,7 @@
 
     # Telling the module and carrying its actions over
 
-    def tell(self, now: float, *events: api.Event) -> list[Effect]:
+    def tell(self, now: float, *events: Event) -> list[Effect]:
         """Returns all effects since the last call's; what acting brings about is told after them."""
         self.events.extend(events)
         while self.events:
@@ -177,28 +178,28 @@
         effects, self.effects = self.effects, []
         return effects
 
-    def act(self, now: float, action: api.Action) -> None:
+    def act(self, now: float, action: Action) -> None:
         match action:
-            case api.Submit():
+            case Submit():
                 self.submit(now, action)
-            case api.Decline():
+            case Decline():
                 self.finish(action.txn, REFUSED, action.retry_after_ms)
-            case api.Void():
+            case Void():
                 self.finish(action.txn, FAILED, 0.0)
-            case api.Cancel():
+            case Cancel():
                 h = self.hand.get(action.txn)
                 if h is not None and action.submission in h.out:
                     self.effects.append(Stop(action.txn, action.submission))
                     self.close(now, action.txn, h, action.submission, End.CANCELLED, 0.0, {})
-            case api.Wake():
+            case Wake():
                 self.ticks[action.label] = action.after_ms
                 self.effects.append(action)
-            case api.Add() | api.Say():
+            case Add() | Say():
                 self.effects.append(action)
-            case api.Probe():
+            case Probe():
                 invariant(False, "the module probes where probes have no port")
 
-    def submit(self, now: float, a: api.Submit) -> None:
+    def submit(self, now: float, a: Submit) -> None:
         h = self.hand.get(a.txn)
         invariant(h is not None and h.owed, "a txn is submitted only while in hand")
         if h is None or not h.owed:
@@ -206,7 +207,7 @@
         n, stop_at = h.tries, min(a.stop_at_ms or h.expiry, h.expiry)
         h.tries += 1
         if n >= self.most or min(stop_at, a.write_by_ms) <= now or h.out and not self.copies:
-            self.events.append(api.Answer(a.txn, n, a.worker, End.NOT_SENT, 0.0, False, 0.0, {}))
+            self.events.append(Answer(a.txn, n, a.worker, End.NOT_SENT, 0.0, False, 0.0, {}))
             return
         h.out[n] = a.worker, now - self.stood
         self.effects.append(Send(a.txn, n, a.worker, stop_at, a.write_by_ms))
@@ -230,7 +231,7 @@
         worker, sent = h.out.pop(n)
         h.ran = h.ran or end not in NEVER_RAN
         took = now - self.stood - sent
-        self.events.append(api.Answer(txn, n, worker, end, took, not h.owed, units, load))
+        self.events.append(Answer(txn, n, worker, end, took, not h.owed, units, load))
         self.drop(txn, h)
 
     def drop(self, txn: int, h: InHand) -> None:
@@ -239,12 +240,12 @@
 
     # Failures of our own
 
-    def fault(self, now: float, event: api.Event, error: Exception) -> None:
+    def fault(self, now: float, event: Event, error: Exception) -> None:
         """The txn at hand is answered; the others go on, and at worst end at their expiry."""
         self.effects.append(Fault(error))
-        if isinstance(event, api.Due):  # the tick must not die with one fault
-            self.effects.append(api.Wake(self.ticks.get(event.label, 0.0), event.label))
-        elif isinstance(event, api.Txn | api.Answer):
+        if isinstance(event, Due):  # the tick must not die with one fault
+            self.effects.append(Wake(self.ticks.get(event.label, 0.0), event.label))
+        elif isinstance(event, Txn | Answer):
             h = self.hand.get(event.txn)
             if h is not None and h.owed:
                 self.end_by_self(now, event.txn, h)
@@ -257,4 +258,4 @@
             self.effects.append(Stop(txn, n))
             self.close(now, txn, h, n, End.CANCELLED, 0.0, {})
         self.drop(txn, h)
-        self.events.append(api.Left(txn))
+        self.events.append(Left(txn))
--- a/drumgw/gate/door.py
+++ b/drumgw/gateway/request_parsing.py
@@ -7,8 +7,9 @@
 from dataclasses import dataclass
 from math import isfinite
 
-from drumgw.interface import Repeat, Terms, Txn
-from drumgw.terms import Names
+from drumgw.model.events import Txn
+from drumgw.model.settings import Repeat, Terms
+from drumgw.model.settings_reader import Names
 
 UNITS_MS = {"m": 1.0, "u": 0.001}
 TIME = re.compile(r"([0-9]{1,9}(?:\.[0-9]{1,9})?)([mu])")  # float() takes nan, inf, 1_0, far too much
--- a/drumgw/gate/station.py
+++ b/drumgw/gateway/service.py
@@ -4,15 +4,15 @@
 
 import asyncio
 
-from drumgw import interface as api
-from drumgw.control import Gatekeeper
-from drumgw.gate.charter import Charter
-from drumgw.gate.clock import Pulse
-from drumgw.gate.core import Core
-from drumgw.gate.counter import Counter
-from drumgw.gate.desk import Desk
-from drumgw.gate.discovery import Discovery
-from drumgw.gate.workers import Workers
+from drumgw.gateway.clock import Pulse
+from drumgw.gateway.counter_client import Counter
+from drumgw.gateway.discovery import Discovery
+from drumgw.gateway.dispatcher import Desk
+from drumgw.gateway.endpoint_clients import Workers
+from drumgw.gateway.process_config import Charter
+from drumgw.gateway.request_lifecycle import Core
+from drumgw.model.events import Listed
+from drumgw.policy.engine import Gatekeeper
 
 
 class Station:
@@ -28,7 +28,7 @@
 
     def start(self) -> None:
         """Before anything else of it; it knows no worker yet."""
-        self.desk.post(self.desk.core.start, api.Listed(True, ()))
+        self.desk.post(self.desk.core.start, Listed(True, ()))
 
     def move(self, told: Charter) -> None:
         """Discovery and the counter are asked there; the list, the books and all in hand stay as they are."""
--- a/drumgw/host/api.py
+++ b/drumgw/hosting/admin_api.py
@@ -11,11 +11,11 @@
 from loguru import logger
 from pydantic import BaseModel, ValidationError
 
-from drumgw.gate.charter import BadCharter
-from drumgw.host.access import NOT_ITS_OWN, TENANT, Access, Token, may
-from drumgw.host.hosting import Hosting
-from drumgw.host.registry import Change, Obj, Refused, Registry, Tenant
-from drumgw.papers.house import Named, Spec
+from drumgw.config.host_file import Named, Spec
+from drumgw.gateway.process_config import BadCharter
+from drumgw.hosting.authentication import NOT_ITS_OWN, TENANT, Access, Token, may
+from drumgw.hosting.tenant_registry import Change, Obj, Refused, Registry, Tenant
+from drumgw.hosting.tenant_services import Hosting
 
 MOST_BODY, MOST_CALLS, BODY_S, MOST_PAGE = 256 * 1024, 16, 5.0, 200
 PARTS = {"plans": "plan", "routes": "route", "limits": "allowed"}
@@ -149,7 +149,7 @@
     # Calls
 
     async def describe(self, request: web.Request, who: Token) -> web.Response:
-        from drumgw.host.openapi import document
+        from drumgw.hosting.openapi import document
 
         return answer(document())
 
--- a/drumgw/host/service.py
+++ b/drumgw/hosting/host_process.py
@@ -9,16 +9,16 @@
 
 from loguru import logger
 
-from drumgw.gate.charter import RESERVED, BadCharter, address
-from drumgw.gate.clock import Clock, Pulse
-from drumgw.gate.gateway import GARBAGE, LINGER_MS, deaf, heed
-from drumgw.host.access import Access, Token
-from drumgw.host.api import MOST_CALLS, Api
-from drumgw.host.front import Doorway, HostFront
-from drumgw.host.hosting import Hosting
-from drumgw.host.registry import Refused, Registry
-from drumgw.host.store import BadState, Store
-from drumgw.papers.house import House
+from drumgw.config.host_file import House
+from drumgw.gateway.clock import Clock, Pulse
+from drumgw.gateway.process import GARBAGE, LINGER_MS, deaf, heed
+from drumgw.gateway.process_config import RESERVED, BadCharter, address
+from drumgw.hosting.admin_api import MOST_CALLS, Api
+from drumgw.hosting.authentication import Access, Token
+from drumgw.hosting.http_server import Doorway, HostFront
+from drumgw.hosting.state_file import BadState, Store
+from drumgw.hosting.tenant_registry import Refused, Registry
+from drumgw.hosting.tenant_services import Hosting
 
 
 class Service:
--- a/drumgw/host/front.py
+++ b/drumgw/hosting/http_server.py
@@ -8,10 +8,10 @@
 from aiohttp.web_request import BaseRequest
 from loguru import logger
 
-from drumgw.gate.clock import LATE_MS, Pulse
-from drumgw.gate.door import Unfit
-from drumgw.gate.front import Client, Front, Stage, Whole
-from drumgw.host.hosting import Hosting
+from drumgw.gateway.clock import LATE_MS, Pulse
+from drumgw.gateway.http_server import Client, Front, Stage, Whole
+from drumgw.gateway.request_parsing import Unfit
+from drumgw.hosting.tenant_services import Hosting
 
 
 @dataclass(frozen=True)
--- a/drumgw/host/openapi.py
+++ b/drumgw/hosting/openapi.py
@@ -6,9 +6,9 @@
 
 from pydantic import TypeAdapter
 
-from drumgw.host.api import LIST, Action
-from drumgw.papers.house import Named, Spec, Way
-from drumgw.papers.parts import Allowed, Plan
+from drumgw.config.host_file import Named, Spec, Way
+from drumgw.config.sections import Allowed, Plan
+from drumgw.hosting.admin_api import LIST, Action
 
 ANY_CALL = {401: "no token", 403: "not yours", 429: "too many calls", 500: "a fault of ours"}
 WITH_BODY = {
--- a/drumgw/host/registry.py
+++ b/drumgw/hosting/tenant_registry.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from drumgw.host.routes import Ambiguous, Route, Routes
+from drumgw.hosting.routing import Ambiguous, Route, Routes
 
 MOST_TENANTS, MOST_KEYS, MOST_OPERATIONS = 10_000, 1024, 1024
 ACTIVE, SUSPENDED, DRAINING, DRAINED, REMOVED = "active", "suspended", "draining", "drained", "removed"
--- a/drumgw/host/hosting.py
+++ b/drumgw/hosting/tenant_services.py
@@ -10,13 +10,13 @@
 from loguru import logger
 from pydantic import ValidationError
 
-from drumgw.gate.charter import BadCharter
-from drumgw.gate.clock import Pulse
-from drumgw.gate.station import Station
-from drumgw.host.registry import ACTIVE, DRAINING, Change, Obj, Registry, Tenant
-from drumgw.host.shares import Shares, Turns
-from drumgw.host.store import Store
-from drumgw.papers.house import House, Spec, tenant_charter
+from drumgw.config.host_file import House, Spec, tenant_charter
+from drumgw.gateway.clock import Pulse
+from drumgw.gateway.process_config import BadCharter
+from drumgw.gateway.service import Station
+from drumgw.hosting.resource_limits import Shares, Turns
+from drumgw.hosting.state_file import Store
+from drumgw.hosting.tenant_registry import ACTIVE, DRAINING, Change, Obj, Registry, Tenant
 
 LAG_BEAT_MS = 50.0
 MOVES = ("discovery", "counter")  # a station goes on with others of these
--- /dev/null
+++ b/drumgw/model/__init__.py
@@ -0,0 +1,1 @@
+"""The typed messages between the policy engine and what surrounds it."""
--- a/drumgw/terms.py
+++ b/drumgw/model/settings_reader.py
@@ -5,11 +5,11 @@
 from math import inf
 from typing import Any
 
-from drumgw import interface as api
+from drumgw.model.settings import Group, Plan, Product, Repeat, Terms
 
 Obj = dict[str, Any]
 
-REPEATS = {"repeatable": api.Repeat.INQUIRY, "by_key": api.Repeat.REFERENCED, "once": api.Repeat.ONCE}
+REPEATS = {"repeatable": Repeat.INQUIRY, "by_key": Repeat.REFERENCED, "once": Repeat.ONCE}
 LOADS = {
     "mean_ms": "service_ms",
     "load_share": "busy",
@@ -37,7 +37,7 @@
     return float(value)
 
 
-def read_terms(options: Obj) -> tuple[api.Terms, Names]:
+def read_terms(options: Obj) -> tuple[Terms, Names]:
     """The start-up terms in our words, and the names the wire uses for them."""
     products, plans = options.get("classes"), options.get("tiersOfService")
     if not products:
@@ -50,12 +50,12 @@
         raise BadTerms(f"missing {lack.args[0]}") from lack
 
 
-def _terms(options: Obj, products: list[Obj], plans: list[Obj]) -> tuple[api.Terms, Names]:
+def _terms(options: Obj, products: list[Obj], plans: list[Obj]) -> tuple[Terms, Names]:
     allowed, rules = options["ceilings"], options["contract"]
     family = options.get("familyInfo") or {}
     report = options.get("loadReport") or {}
     names = Names(products, plans, options.get("zones") or [""])
-    terms = api.Terms(
+    terms = Terms(
         ordinal=int(options["ordinal"]),
         gatekeepers=int(_amount(options, "balancers", 1)),
         zone=names.zone(options["az"]),
@@ -79,20 +79,20 @@
     return terms, names
 
 
-def _product(p: Obj) -> api.Product:
-    return api.Product(
+def _product(p: Obj) -> Product:
+    return Product(
         value=_amount(p, "gain"),
         sla_ms=_amount(p, "onTimeMs"),
         expiry_ms=_amount(p, "deadlineMs"),
         repeat=REPEATS[p["idempotency"]],
-        group=api.Group(p.get("group") or "all"),
+        group=Group(p.get("group") or "all"),
         remember_ms=_amount(p, "keyTtlMs"),
         late_value=_amount(p, "lateWorth"),
     )
 
 
-def _plan(p: Obj) -> api.Plan:
-    return api.Plan(
+def _plan(p: Obj) -> Plan:
+    return Plan(
         rate=_amount(p, "unitsPerS"),
         burst=_amount(p, "peakUnits"),
         open_cap=int(_amount(p, "concurrency")),
--- /dev/null
+++ b/drumgw/policy/__init__.py
@@ -0,0 +1,1 @@
+"""Every decision of a gateway; no I/O and no clock."""
--- a/drumgw/control.py
+++ b/drumgw/policy/engine.py
@@ -20,8 +20,24 @@
 from types import SimpleNamespace
 from typing import Any, NamedTuple
 
-from drumgw import interface as api
-from drumgw.interface import End, Group, Health, Repeat
+from drumgw.model.actions import Action, Add, Cancel, Decline, Say, Submit, Void, Wake
+from drumgw.model.events import (
+    Answer,
+    Begun,
+    Due,
+    End,
+    Ending,
+    Entry,
+    Event,
+    Health,
+    Left,
+    Listed,
+    Probed,
+    Total,
+    Txn,
+)
+from drumgw.model.settings import Group, Repeat, Terms
+from drumgw.model.settings import Plan as PlanSettings
 from drumgw.stable_hash import stable_hash
 
 SHARES, FLOORS = (0.70, 0.20, 0.10), (0.70, 0.10, 0.05)  # the source's; classes ranked by value
@@ -53,7 +69,7 @@
 class Worker:
     """One worker. Dropped when the list lacks it and nothing is out."""
 
-    def __init__(self, entry: api.Entry, now: float, chance: float, products: int) -> None:
+    def __init__(self, entry: Entry, now: float, chance: float, products: int) -> None:
         self.wid, self.zone, self.cell, self.born = entry.worker, entry.zone, entry.cell, entry.born_ms
         self.key, self.listed = stable_hash(entry.worker), True
         self.lanes = [
@@ -67,7 +83,7 @@
 class Plan:
     """The few figures that decisions use of a plan. The window is the time in which its store fills."""
 
-    def __init__(self, p: api.Plan) -> None:
+    def __init__(self, p: PlanSettings) -> None:
         self.rate, self.quota = p.rate / 1000.0, p.burst if p.rate else NEVER
         self.window = p.burst / self.rate if p.rate else 1000.0
         self.open_cap, self.soft = p.open_cap, p.over_value > p.over_cost
@@ -77,7 +93,7 @@
 class Account:
     """A customer's books here, by class. Dropped when idle."""
 
-    def __init__(self, plan: Plan, t: api.Txn, keeper: Gatekeeper) -> None:
+    def __init__(self, plan: Plan, t: Txn, keeper: Gatekeeper) -> None:
         classes, now, top = keeper.classes, keeper.now, keeper.top_units
         self.plan, self.customer = plan, t.customer
         self.gates, self.key = max(1, t.gates), stable_hash(t.customer)
@@ -99,7 +115,7 @@
 class Held:
     """A txn in hand. Dropped at its final answer."""
 
-    def __init__(self, t: api.Txn, account: Account, rank: int, now: float) -> None:
+    def __init__(self, t: Txn, account: Account, rank: int, now: float) -> None:
         self.txn, self.account, self.units, self.product, self.rank = t.txn, account, t.units, t.product, rank
         self.expiry, self.state, self.wait, self.repeat = now + t.left_ms, NEW, 0.0, t.repeat
         self.over, self.tried, self.ran_at, self.sent_at = False, list[Worker](), 0.0, 0.0
@@ -118,8 +134,8 @@
 
 
 class Gatekeeper:
-    def __init__(self, seed: int, terms: api.Terms) -> None:
-        self.chance, self.now, self.acts = random.Random(seed), 0.0, list[api.Action]()
+    def __init__(self, seed: int, terms: Terms) -> None:
+        self.chance, self.now, self.acts = random.Random(seed), 0.0, list[Action]()
         self.ordinal, self.gatekeepers, self.zone, self.fee = (
             terms.ordinal,
             terms.gatekeepers,
@@ -146,11 +162,11 @@
         self.hold, self.cold_multiple = max(HOLD_MS, 2 * self.counter_wait), COLD_PART * terms.fall_multiple
         self.wait_ms = self.calm_ms = WAIT_SLA * min(p.sla_ms for p in terms.products)  # calm: mean answer
 
-    def start(self, now: float) -> list[api.Action]:
+    def start(self, now: float) -> list[Action]:
         self.began = now
-        return [api.Wake(TICK_MS, 0)]
+        return [Wake(TICK_MS, 0)]
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         if self.now and now - self.now > STALL_MS:
             self.wake(now)
         self.now, self.acts = now, []
@@ -172,7 +188,7 @@
 
     # The worker list and the choice of worker
 
-    def on_listed(self, e: api.Listed) -> None:
+    def on_listed(self, e: Listed) -> None:
         gone = set(self.workers) - {entry.worker for entry in e.entries} if e.whole else set[int]()
         for entry in e.entries:
             w = self.workers.get(entry.worker)
@@ -249,7 +265,7 @@
 
     # Admission
 
-    def on_txn(self, t: api.Txn) -> None:
+    def on_txn(self, t: Txn) -> None:
         if (a := self.accounts.get(t.customer)) is None:
             a = self.accounts[t.customer] = Account(self.plans[t.plan], t, self)
         self.age(a)
@@ -344,10 +360,10 @@
         calls = self.calls.setdefault(name, [])
         before = h.account.count * (h.account.counted == h.epoch) + sum(math.floor(c.amount) for c in calls)
         calls.append(Call(h, amount, h.epoch - back, fix, before))
-        self.acts.append(api.Add(name, amount, COUNT_LIVES_MS))
+        self.acts.append(Add(name, amount, COUNT_LIVES_MS))
         return True
 
-    def on_total(self, e: api.Total) -> None:
+    def on_total(self, e: Total) -> None:
         if e.name not in self.calls:
             return
         call = self.calls[e.name].pop(0)
@@ -442,13 +458,13 @@
         if self.add(h, whole + max(0, steps) / TOP_DIGITS, lag):
             a.lease[c] = block
 
-    def on_ending(self, _e: api.Ending) -> None:
+    def on_ending(self, _e: Ending) -> None:
         """What is leased here and was not spent is not lost to its customers."""
         for a in self.accounts.values():
             self.age(a)
             unspent = math.floor(sum(v for v in a.lease if v > 0))
             if unspent >= 1 and a.counted == int((self.now + a.phase) // COUNT_MS):
-                none = api.Txn(-1, 0.0, 0, a.customer, 0, 0.0, False, a.gates, 0)
+                none = Txn(-1, 0.0, 0, a.customer, 0, 0.0, False, a.gates, 0)
                 h = Held(none, a, self.classes - 1, self.now)
                 h.epoch, h.state, a.lease = a.counted, DONE, [min(v, 0.0) for v in a.lease]
                 self.add(h, -unspent)
@@ -467,10 +483,10 @@
         h.tried.append(w)
         late = min(self.products[h.product].sla_ms, SILENT * self.high[h.product] * w.slow / self.warmth(w))
         w.out[h.txn], self.busy[w.wid] = (self.now, self.now + late, h.product), w
-        self.acts.append(api.Submit(h.txn, w.wid, h.expiry, self.known_until(h)))
+        self.acts.append(Submit(h.txn, w.wid, h.expiry, self.known_until(h)))
         return None
 
-    def on_answer(self, e: api.Answer) -> None:
+    def on_answer(self, e: Answer) -> None:
         h, w = self.held.get(e.txn), self.workers.get(e.worker)
         if w is not None and (out := w.out.pop(e.txn, None)) is not None:
             self.outs, self.stuck = self.outs - 1, self.stuck - (out[1] == NEVER)
@@ -509,23 +525,23 @@
         wait = min(self.longest_wait, (h.wait or REST_MS) * self.chance.uniform(1.0, 1.2), DOUBT_PART * left)
         known = p.group is Group.ALL and left > 1
         harmless = p.repeat is Repeat.INQUIRY or p.repeat is Repeat.REFERENCED and known
-        self.acts.append(api.Decline(h.txn, max(0.0, wait)) if harmless or h.ran is None else api.Void(h.txn))
+        self.acts.append(Decline(h.txn, max(0.0, wait)) if harmless or h.ran is None else Void(h.txn))
         self.forget(h)
 
     def forget(self, h: Held) -> None:
         del self.held[h.txn]
 
-    def on_left(self, e: api.Left) -> None:
+    def on_left(self, e: Left) -> None:
         if (h := self.held.get(e.txn)) is not None:
             if h.tried:
                 h.account.out -= 1
                 if self.can_cancel:
-                    self.acts.append(api.Cancel(h.txn, len(h.tried) - 1))
+                    self.acts.append(Cancel(h.txn, len(h.tried) - 1))
             self.step(TXN_TABLE, h, "left")
 
     # Health
 
-    def judge(self, w: Worker, e: api.Answer, out: tuple[float, float, int]) -> None:
+    def judge(self, w: Worker, e: Answer, out: tuple[float, float, int]) -> None:
         k, lane = out[2], w.lanes[out[2]]
         self.broken += HIGH_STEP * ((e.end is End.BROKEN) - self.broken)
         if e.end is End.SETTLED:
@@ -564,7 +580,7 @@
     def fail(self, w: Worker, lane: SimpleNamespace, part: float = 1.0) -> None:
         lane.failures += part * FAILURE_STEP * (1 - lane.failures)
         if lane.failures > SICK_FAILURES + self.broken or lane.state is TRIAL:  # all break: no use
-            self.acts.append(api.Say(f"worker {w.wid} rests: failures {lane.failures:.2f}, out {len(w.out)}"))
+            self.acts.append(Say(f"worker {w.wid} rests: failures {lane.failures:.2f}, out {len(w.out)}"))
             self.step(LANE_TABLE, lane, "sick")
 
     def rest(self, lane: SimpleNamespace) -> None:
@@ -583,11 +599,11 @@
             self.fail(w, w.lanes[k], DOUBT_PART)
         may = self.can_cancel and self.products[k].repeat is not Repeat.ONCE
         if may and self.fill < PRESSED_AT and txn in self.held and self.resends >= 1:
-            self.acts.append(api.Cancel(txn, len(self.held[txn].tried) - 1))
+            self.acts.append(Cancel(txn, len(self.held[txn].tried) - 1))
 
-    def on_due(self, _e: api.Due) -> None:
+    def on_due(self, _e: Due) -> None:
         """The tick: what is overdue is judged, rates fade, room is made, idle books are dropped."""
-        self.acts.append(api.Wake(TICK_MS, 0))
+        self.acts.append(Wake(TICK_MS, 0))
         self.settled *= 1 - TICK_MS / RATE_MEMORY_MS
         for w in self.busy.values():
             for txn, (sent, late, k) in w.out.items():
@@ -613,7 +629,7 @@
 
     def announce(self, mode: SimpleNamespace) -> None:
         figures = f"missed {self.missed}, out {self.outs}, room {self.room:.0f}, late {self.late:.2f}"
-        self.acts.append(api.Say(f"{mode.state}: {figures}"))
+        self.acts.append(Say(f"{mode.state}: {figures}"))
 
 
 def portions(source: tuple[float, ...], n: int) -> list[float]:
@@ -648,13 +664,13 @@
     (PRESSED, "slack"): (QUIET, Gatekeeper.announce),
 }
 HANDLERS: dict[type, Callable[..., None]] = {
-    api.Listed: Gatekeeper.on_listed,
-    api.Txn: Gatekeeper.on_txn,
-    api.Answer: Gatekeeper.on_answer,
-    api.Left: Gatekeeper.on_left,
-    api.Due: Gatekeeper.on_due,
-    api.Total: Gatekeeper.on_total,
-    api.Begun: nothing,
-    api.Probed: nothing,
-    api.Ending: Gatekeeper.on_ending,
+    Listed: Gatekeeper.on_listed,
+    Txn: Gatekeeper.on_txn,
+    Answer: Gatekeeper.on_answer,
+    Left: Gatekeeper.on_left,
+    Due: Gatekeeper.on_due,
+    Total: Gatekeeper.on_total,
+    Begun: nothing,
+    Probed: nothing,
+    Ending: Gatekeeper.on_ending,
 }
--- a/drumgw/drill/__main__.py
+++ b/drumgw/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""python -m drumgw.drill: plays gatekeepers on the bench's wire over standard input and output."""
+"""python -m drumgw.simulator: plays gatekeepers on the bench's wire over standard input and output."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 import sys
 from typing import Any, TextIO
 
-from drumgw.control import Gatekeeper
-from drumgw.drill import wire
-from drumgw.interface import Listed
-from drumgw.terms import BadTerms, Names, read_terms
+from drumgw.model.events import Listed
+from drumgw.model.settings_reader import BadTerms, Names, read_terms
+from drumgw.policy.engine import Gatekeeper
+from drumgw.simulator import wire
 
 
 class BadWire(Exception):
--- a/drumgw/drill/wire.py
+++ b/drumgw/simulator/wire.py
@@ -2,24 +2,25 @@
 
 from __future__ import annotations
 
-from drumgw import interface as api
-from drumgw.terms import LOADS, Names, Obj
+from drumgw.model.actions import Action, Add, Cancel, Decline, Probe, Say, Submit, Void, Wake
+from drumgw.model.events import Answer, Begun, Due, End, Entry, Event, Health, Left, Probed, Total, Txn
+from drumgw.model.settings_reader import LOADS, Names, Obj
 
 ENDS = {
-    "OK": api.End.SETTLED,
-    "INTERNAL": api.End.ERROR,
-    "RESOURCE_EXHAUSTED": api.End.FULL,
-    "DEADLINE_EXCEEDED": api.End.TIMEOUT,
-    "UNAVAILABLE": api.End.UNREACHED,
-    "ABORTED": api.End.BROKEN,
-    "CANCELLED": api.End.CANCELLED,
-    "TOO_LATE": api.End.NOT_SENT,
+    "OK": End.SETTLED,
+    "INTERNAL": End.ERROR,
+    "RESOURCE_EXHAUSTED": End.FULL,
+    "DEADLINE_EXCEEDED": End.TIMEOUT,
+    "UNAVAILABLE": End.UNREACHED,
+    "ABORTED": End.BROKEN,
+    "CANCELLED": End.CANCELLED,
+    "TOO_LATE": End.NOT_SENT,
 }
-HEALTH = {"Ready": api.Health.READY, "Terminating": api.Health.DRAINING, "Gone": api.Health.GONE}
+HEALTH = {"Ready": Health.READY, "Terminating": Health.DRAINING, "Gone": Health.GONE}
 
 
-def read_entry(names: Names, e: Obj) -> api.Entry:
-    return api.Entry(
+def read_entry(names: Names, e: Obj) -> Entry:
+    return Entry(
         e["worker"],
         names.zone(e["az"]),
         e["cohort"],
@@ -34,11 +35,11 @@
     return {LOADS.get(n, n): float(v) for n, v in (pairs or {}).items()}
 
 
-def read_event(names: Names, name: str, e: Obj) -> api.Event | None:
+def read_event(names: Names, name: str, e: Obj) -> Event | None:
     """One event in our words; None for a kind that carries nothing the module uses."""
     match name:
         case "Query":
-            return api.Txn(
+            return Txn(
                 e["rid"],
                 e["graceMs"],
                 names.plans[e["tier"]],
@@ -50,7 +51,7 @@
                 int(e["fromNo"]),
             )
         case "Reply":
-            return api.Answer(
+            return Answer(
                 e["rid"],
                 e["attempt"],
                 e["worker"],
@@ -61,35 +62,35 @@
                 _load(e.get("feedback")),
             )
         case "Left":
-            return api.Left(e["rid"])
+            return Left(e["rid"])
         case "DeadlineHit":
-            return api.Due(e["label"])
+            return Due(e["label"])
         case "Tallied":
-            return api.Total(e["book"], ENDS[e["verdict"]], float(e["value"] or 0), e["timeTakenMs"])
+            return Total(e["book"], ENDS[e["verdict"]], float(e["value"] or 0), e["timeTakenMs"])
         case "ProbeDone":
-            return api.Probed(e["worker"], ENDS[e["verdict"]], e["timeTakenMs"], _load(e.get("feedback")))
+            return Probed(e["worker"], ENDS[e["verdict"]], e["timeTakenMs"], _load(e.get("feedback")))
         case "Begun":
-            return api.Begun(e["rid"])
+            return Begun(e["rid"])
         case "Heard":
             return None
     raise KeyError(name)
 
 
-def write_action(who: int, a: api.Action) -> Obj:
+def write_action(who: int, a: Action) -> Obj:
     match a:
-        case api.Submit():
+        case Submit():
             return {"Deliver": {"who": who, "rid": a.txn, "worker": a.worker, "stopAtMs": a.stop_at_ms}}
-        case api.Decline():
+        case Decline():
             return {"Decline": {"who": who, "rid": a.txn, "pauseMs": a.retry_after_ms}}
-        case api.Void():
+        case Void():
             return {"GiveUp": {"who": who, "rid": a.txn}}
-        case api.Cancel():
+        case Cancel():
             return {"Cancel": {"who": who, "rid": a.txn, "attempt": a.submission}}
-        case api.Wake():
+        case Wake():
             return {"After": {"who": who, "spanMs": a.after_ms, "label": a.label}}
-        case api.Add():
+        case Add():
             return {"Count": {"who": who, "amount": a.amount, "book": a.name, "livesMs": a.lives_ms}}
-        case api.Probe():
+        case Probe():
             return {"HealthCheck": {"who": who, "worker": a.worker}}
-        case api.Say():
+        case Say():
             return {"Emit": {"who": who, "reasonText": a.text}}
--- a/drumgw/lab/clients.py
+++ b/drumgw/testbed/clients.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterator
 from typing import Protocol
 
-from drumgw.lab.book import Arrival, Book, Customer
-from drumgw.lab.clocks import Handle, LabClock
-from drumgw.lab.day import Day
-from drumgw.lab.record import Record
-from drumgw.papers.parts import Product
+from drumgw.config.sections import Product
+from drumgw.testbed.clocks import Handle, LabClock
+from drumgw.testbed.event_log import Record
+from drumgw.testbed.scenario import Day
+from drumgw.testbed.workload import Arrival, Book, Customer
 
 STAYS_MS = 500.0  # a client listens so long beyond its time; an answer in that time earns nothing
 TERM_SEEN_MS = 300.0  # until the front sends no more clients to a gatekeeper told to end
--- a/drumgw/lab/counter.py
+++ b/drumgw/testbed/counter.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import Literal
 
-from drumgw.lab.clocks import LabClock
-from drumgw.lab.day import CounterKind
+from drumgw.testbed.clocks import LabClock
+from drumgw.testbed.scenario import CounterKind
 
 MOST_LIVES_MS = 60000.0
 Says = Literal["added", "turned away"]
--- a/drumgw/lab/worker.py
+++ b/drumgw/testbed/endpoint.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Literal
 
-from drumgw.lab.clocks import Handle, LabClock
-from drumgw.lab.day import WorkerKind
-from drumgw.lab.record import Record
-from drumgw.papers.parts import Rules
+from drumgw.config.sections import Rules
+from drumgw.testbed.clocks import Handle, LabClock
+from drumgw.testbed.event_log import Record
+from drumgw.testbed.scenario import WorkerKind
 
 if TYPE_CHECKING:
-    from drumgw.lab.clients import Try
+    from drumgw.testbed.clients import Try
 
 Says = Literal["settled", "error", "full", "reset", "spoilt"]
 Tell = Callable[["Ticket", Says], None]
--- a/drumgw/lab/registry.py
+++ b/drumgw/testbed/endpoint_registry.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from drumgw.lab.clocks import LabClock
-from drumgw.lab.day import Discovery
-from drumgw.lab.record import Record
+from drumgw.testbed.clocks import LabClock
+from drumgw.testbed.event_log import Record
+from drumgw.testbed.scenario import Discovery
 
 KEPT = 200  # changes that are remembered; who is further behind gets the whole list
 
--- a/drumgw/lab/world.py
+++ b/drumgw/testbed/environment.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from drumgw.lab.book import Book
-from drumgw.lab.clients import Clients, Gates
-from drumgw.lab.clocks import LabClock
-from drumgw.lab.counter import Counter
-from drumgw.lab.day import Day, Trouble
-from drumgw.lab.record import Record
-from drumgw.lab.registry import Registry
-from drumgw.lab.worker import Memory, Worker
-from drumgw.papers.parts import settings
+from drumgw.config.sections import settings
+from drumgw.testbed.clients import Clients, Gates
+from drumgw.testbed.clocks import LabClock
+from drumgw.testbed.counter import Counter
+from drumgw.testbed.endpoint import Memory, Worker
+from drumgw.testbed.endpoint_registry import Registry
+from drumgw.testbed.event_log import Record
+from drumgw.testbed.scenario import Day, Trouble
+from drumgw.testbed.workload import Book
 
 CELL = 4  # workers to a cell
 AFTER_MS = 1000.0  # a day runs on so long after the last expiry
--- a/drumgw/lab/figures.py
+++ b/drumgw/testbed/metrics.py
@@ -7,10 +7,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-from drumgw.lab.day import Day
-from drumgw.lab.judge import judge
-from drumgw.lab.record import Record
-from drumgw.papers.bounds import bound
+from drumgw.config.quota_bounds import bound
+from drumgw.testbed.event_log import Record
+from drumgw.testbed.oracle import judge
+from drumgw.testbed.scenario import Day
 
 LONGEST_MS, DIGITS = 600_000, 3
 WINDOWS = 12  # that a day is told in, each a whole second at least
--- a/drumgw/lab/judge.py
+++ b/drumgw/testbed/oracle.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterator
 from typing import Any, NamedTuple
 
-from drumgw.lab.day import Day
-from drumgw.lab.record import Record
+from drumgw.testbed.event_log import Record
+from drumgw.testbed.scenario import Day
 
 Row = dict[str, Any]
 SLACK_MS = 50.0  # by which each time limit grows on sockets (the protocol's figure)
--- a/drumgw/lab/report.py
+++ b/drumgw/testbed/report.py
@@ -7,10 +7,10 @@
 import pathlib
 from typing import Any
 
-from drumgw.lab.day import read_day
-from drumgw.lab.figures import figures
-from drumgw.lab.judge import Breach
-from drumgw.lab.record import read_record
+from drumgw.testbed.event_log import read_record
+from drumgw.testbed.metrics import figures
+from drumgw.testbed.oracle import Breach
+from drumgw.testbed.scenario import read_day
 
 Figures = dict[str, Any]
 COLUMNS = (
--- a/drumgw/lab/running.py
+++ b/drumgw/testbed/runner.py
@@ -9,9 +9,9 @@
 import signal
 from typing import Any
 
-from drumgw.lab.day import Day, read_day
-from drumgw.lab.figures import figures
-from drumgw.lab.record import Record
+from drumgw.testbed.event_log import Record
+from drumgw.testbed.metrics import figures
+from drumgw.testbed.scenario import Day, read_day
 
 
 class Stopped(Exception):
@@ -33,13 +33,13 @@
 
 
 def play_virtual(day: Day, seed: int, record: Record) -> None:
-    from drumgw.lab.virtual import Virtual
+    from drumgw.testbed.virtual_runner import Virtual
 
     Virtual(day, seed, record=record).run()
 
 
 def play_sockets(day: Day, seed: int, place: pathlib.Path, record: Record) -> None:
-    from drumgw.lab.sockets import Sockets
+    from drumgw.testbed.socket_runner import Sockets
 
     async def play() -> None:
         task, loop = asyncio.current_task(), asyncio.get_running_loop()
--- a/drumgw/lab/day.py
+++ b/drumgw/testbed/scenario.py
@@ -7,8 +7,20 @@
 
 from pydantic import Field, model_validator
 
-from drumgw.papers.parts import Allowed, Amount, Count, Name, Part, Plan, Product, Rules, Share, Some, twice
-from drumgw.papers.reading import read
+from drumgw.config.file_reader import read
+from drumgw.config.sections import (
+    Allowed,
+    Amount,
+    Count,
+    Name,
+    Part,
+    Plan,
+    Product,
+    Rules,
+    Share,
+    Some,
+    twice,
+)
 
 VERSION = 1
 MOST_TXNS = 2_000_000  # a day is bounded in what it asks, and in time
--- a/drumgw/lab/sockets.py
+++ b/drumgw/testbed/socket_runner.py
@@ -16,14 +16,14 @@
 from functools import partial
 from typing import Any
 
-from drumgw.lab.clients import TERM_SEEN_MS, Try
-from drumgw.lab.clocks import LoopClock
-from drumgw.lab.day import Day
-from drumgw.lab.record import Record
-from drumgw.lab.servers import CounterLine, RegistryLine, WorkerLine
-from drumgw.lab.wires import Asker, headers
-from drumgw.lab.worker import Worker
-from drumgw.lab.world import World
+from drumgw.testbed.clients import TERM_SEEN_MS, Try
+from drumgw.testbed.clocks import LoopClock
+from drumgw.testbed.endpoint import Worker
+from drumgw.testbed.environment import World
+from drumgw.testbed.event_log import Record
+from drumgw.testbed.http_wire import Asker, headers
+from drumgw.testbed.scenario import Day
+from drumgw.testbed.socket_servers import CounterLine, RegistryLine, WorkerLine
 
 HOST = "127.0.0.1"
 READY_S = 20.0  # until a gatekeeper takes clients; longer is a failed start
--- a/drumgw/lab/servers.py
+++ b/drumgw/testbed/socket_servers.py
@@ -8,11 +8,11 @@
 from typing import TYPE_CHECKING, Any
 from urllib.parse import parse_qs, urlsplit
 
-from drumgw.lab.wires import Messages, Turns, answer, headers
-from drumgw.lab.worker import Says, Ticket, Worker
+from drumgw.testbed.endpoint import Says, Ticket, Worker
+from drumgw.testbed.http_wire import Messages, Turns, answer, headers
 
 if TYPE_CHECKING:
-    from drumgw.lab.sockets import Sockets
+    from drumgw.testbed.socket_runner import Sockets
 
 NOISE = b"\x00\x01spoilt\xff\r\n\r\n"
 
--- a/drumgw/lab/virtual.py
+++ b/drumgw/testbed/virtual_runner.py
@@ -10,21 +10,22 @@
 from functools import partial
 from typing import Any
 
-from drumgw import interface as api
-from drumgw.control import Gatekeeper
-from drumgw.gate.clock import LATE_MS
-from drumgw.gate.core import Alarm, Core, Effect, Fault, Keeper, Reply, Send, Stop
-from drumgw.gate.discovery import PACE_MOST_MS
-from drumgw.gate.gateway import LINGER_MS
-from drumgw.gate.membership import STATES, worker_id
-from drumgw.interface import End, Health
-from drumgw.lab.clients import TERM_SEEN_MS, Try
-from drumgw.lab.clocks import Handle, VirtualClock
-from drumgw.lab.day import Day
-from drumgw.lab.record import Record
-from drumgw.lab.worker import Says, Ticket, Worker
-from drumgw.lab.world import World
-from drumgw.terms import read_terms
+from drumgw.gateway.clock import LATE_MS
+from drumgw.gateway.discovery import PACE_MOST_MS
+from drumgw.gateway.membership import STATES, worker_id
+from drumgw.gateway.process import LINGER_MS
+from drumgw.gateway.request_lifecycle import Alarm, Core, Effect, Fault, Keeper, Reply, Send, Stop
+from drumgw.model.actions import Add, Say, Wake
+from drumgw.model.events import End, Entry, Health, Listed, Txn
+from drumgw.model.settings import Terms
+from drumgw.model.settings_reader import read_terms
+from drumgw.policy.engine import Gatekeeper
+from drumgw.testbed.clients import TERM_SEEN_MS, Try
+from drumgw.testbed.clocks import Handle, VirtualClock
+from drumgw.testbed.endpoint import Says, Ticket, Worker
+from drumgw.testbed.environment import World
+from drumgw.testbed.event_log import Record
+from drumgw.testbed.scenario import Day
 
 START_MS = 1_700_000_000_000.0  # of Unix time; any will do, but each run the same
 READY_MS = 300.0  # from its start until it takes clients
@@ -35,7 +36,7 @@
     "reset": End.BROKEN,
     "spoilt": End.BROKEN,
 }
-MakeKeeper = Callable[[int, api.Terms], Keeper]
+MakeKeeper = Callable[[int, Terms], Keeper]
 
 
 class Sent:
@@ -63,7 +64,7 @@
         self.txns: dict[str, int] = {}  # the same, by name
         self.alive, self.closing, self.paused_until = True, False, 0.0
         self.generation: int | None = None  # none: its agent was not heard yet
-        self.carry(self.core.start(self.clock.now(), api.Listed(True, ())))
+        self.carry(self.core.start(self.clock.now(), Listed(True, ())))
 
     # Time: what reaches a gatekeeper that stands waits until it runs again
 
@@ -85,13 +86,13 @@
 
     # The list
 
-    def heed(self, told: dict[str, Any]) -> api.Listed:
+    def heed(self, told: dict[str, Any]) -> Listed:
         entries, named = [], set[int]()
         for row in told["instances"]:
             number, health = worker_id(row["instanceId"]), STATES[row["lifecycle"]]
             named.add(number)
             entries.append(
-                api.Entry(
+                Entry(
                     number,
                     self.names.zone(row["zone"]),
                     row["cell"],
@@ -109,7 +110,7 @@
         for number in set(self.listed) - named if told["reset"] else ():
             self.drain(number, gone=True)
         self.generation = told["generation"]
-        return api.Listed(told["reset"], tuple(entries))
+        return Listed(told["reset"], tuple(entries))
 
     def drain(self, number: int, gone: bool) -> None:
         worker = self.listed[number]
@@ -152,15 +153,15 @@
                     self.reply(effect)
                 case Alarm():
                     self.at(effect.at_ms, partial(self.ring, effect))
-                case api.Wake():
+                case Wake():
                     self.after(effect.after_ms, partial(self.due, effect.label))
-                case api.Add():
+                case Add():
                     self.add(effect)
                 case Fault():
                     self.world.record.add(
                         self.clock.now(), "fault", gate=self.number, error=repr(effect.error)
                     )
-                case api.Say():
+                case Say():
                     self.world.record.add(self.clock.now(), "says", gate=self.number, text=effect.text)
 
     def ring(self, alarm: Alarm) -> None:
@@ -174,7 +175,7 @@
     def take(self, one: Try) -> None:
         a, now = one.order.arrival, self.clock.now()
         waited = now - one.sent_at if now - one.sent_at > LATE_MS else 0.0  # read late, after a stall
-        asked = api.Txn(
+        asked = Txn(
             0,
             one.left_ms,
             self.names.plans[a.customer.plan.name],
@@ -304,7 +305,7 @@
 
     # The counter
 
-    def add(self, order: api.Add) -> None:
+    def add(self, order: Add) -> None:
         counter, kind = self.world.counter, self.world.day.counter
         assert counter is not None and kind is not None
         way = kind.one_way_ms
--- a/drumgw/lab/book.py
+++ b/drumgw/testbed/workload.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from drumgw.lab.day import Customers, Day
-from drumgw.papers.parts import Plan, Product
+from drumgw.config.sections import Plan, Product
+from drumgw.testbed.scenario import Customers, Day
 
 
 class Customer(NamedTuple):
--- a/tests/stage.py
+++ b/tests/harness.py
@@ -13,26 +13,28 @@
 
 from loguru import logger
 
-from drumgw import interface as api
-from drumgw.control import COUNT_MS, Gatekeeper
+from drumgw.model.actions import Action, Add, Cancel, Decline, Say, Submit, Void
+from drumgw.model.events import Answer, Due, End, Entry, Event, Health, Listed, Total, Txn
+from drumgw.model.settings import Group, Plan, Product, Repeat, Terms
+from drumgw.policy.engine import COUNT_MS, Gatekeeper
 from drumgw.stable_hash import stable_hash
 
 logger.remove()  # the log is for on-call staff, not for those who read the tests
 TRACES = pathlib.Path(__file__).parent / "traces"
 START = 3 * COUNT_MS - stable_hash(1) % int(COUNT_MS)  # the first customer's count has a new name then
-INQUIRY = api.Product(1.0, 2000.0, 8000.0, api.Repeat.INQUIRY, api.Group.ALL, 5000.0, 0.2)
-ONCE = api.Product(3.0, 800.0, 2500.0, api.Repeat.ONCE, api.Group.ALL, 5000.0, 0.2)
-BY_ZONE = api.Product(5.0, 2500.0, 8000.0, api.Repeat.REFERENCED, api.Group.ZONE, 3000.0, 0.0)
-HARD = api.Plan(2.0, 20.0, 0, 1.0, 0.0, 0.8, 0.0, 0.0)
-SOFT = api.Plan(2.0, 20.0, 0, 1.0, 0.2, 0.0, 0.0, 0.0)
-CEILED = api.Plan(10.0, 20.0, 0, 1.0, 0.0, 0.5, 20.0, 40.0)
-OPEN = api.Plan(2.0, 20.0, 2, 1.0, 0.0, 0.6, 0.0, 0.0)
+INQUIRY = Product(1.0, 2000.0, 8000.0, Repeat.INQUIRY, Group.ALL, 5000.0, 0.2)
+ONCE = Product(3.0, 800.0, 2500.0, Repeat.ONCE, Group.ALL, 5000.0, 0.2)
+BY_ZONE = Product(5.0, 2500.0, 8000.0, Repeat.REFERENCED, Group.ZONE, 3000.0, 0.0)
+HARD = Plan(2.0, 20.0, 0, 1.0, 0.0, 0.8, 0.0, 0.0)
+SOFT = Plan(2.0, 20.0, 0, 1.0, 0.2, 0.0, 0.0, 0.0)
+CEILED = Plan(10.0, 20.0, 0, 1.0, 0.0, 0.5, 20.0, 40.0)
+OPEN = Plan(2.0, 20.0, 2, 1.0, 0.0, 0.6, 0.0, 0.0)
 
 
 def terms(
-    products: tuple[api.Product, ...] = (ONCE, INQUIRY), plans: tuple[api.Plan, ...] = (HARD,), **other: Any
-) -> api.Terms:
-    plain = api.Terms(
+    products: tuple[Product, ...] = (ONCE, INQUIRY), plans: tuple[Plan, ...] = (HARD,), **other: Any
+) -> Terms:
+    plain = Terms(
         ordinal=0,
         gatekeepers=2,
         zone=0,
@@ -62,73 +64,73 @@
     def __init__(self, workers: int = 4, born: float | None = None, held: bool = False, **other: Any) -> None:
         self.keeper, self.now, self.trace, self.ids = Gatekeeper(7, terms(**other)), START, list[str](), 0
         self.out: dict[int, list[int]] = {}  # txn: workers it was sent to
-        self.adds: list[api.Add] = []  # calls not answered yet
+        self.adds: list[Add] = []  # calls not answered yet
         self.counts: dict[int, float] = {}
         self.counter_held = held
         self.keeper.start(self.now)
-        rows = tuple(self.row(w, api.Health.READY, born) for w in range(workers))
-        self.play(api.Listed(True, rows))
+        rows = tuple(self.row(w, Health.READY, born) for w in range(workers))
+        self.play(Listed(True, rows))
         self.tick()
 
     @staticmethod
-    def row(worker: int, health: api.Health, born: float | None = None) -> api.Entry:
-        return api.Entry(worker, worker % 2, worker % 2, "std", health, born, 1.0)
+    def row(worker: int, health: Health, born: float | None = None) -> Entry:
+        return Entry(worker, worker % 2, worker % 2, "std", health, born, 1.0)
 
-    def play(self, event: api.Event) -> list[api.Action]:
+    def play(self, event: Event) -> list[Action]:
         actions = self.keeper.handle(self.now, event)
         for a in actions:
-            if isinstance(a, api.Submit):
+            if isinstance(a, Submit):
                 self.out.setdefault(a.txn, []).append(a.worker)
-            if isinstance(a, api.Add):
+            if isinstance(a, Add):
                 self.adds.append(a)
             self.note(a)
         while self.adds and not self.counter_held:
             self.total()
         return actions
 
-    def note(self, a: api.Action | str) -> None:
+    def note(self, a: Action | str) -> None:
         at = f"{self.now - START:7.0f}  "
         match a:
             case str():
                 self.trace.append(at + "-- " + a)
-            case api.Submit():
+            case Submit():
                 self.trace.append(at + f"submit txn {a.txn} to worker {a.worker}")
-            case api.Decline():
+            case Decline():
                 self.trace.append(at + f"decline txn {a.txn}, back in {a.retry_after_ms:.0f} ms")
-            case api.Void():
+            case Void():
                 self.trace.append(at + f"void txn {a.txn}")
-            case api.Cancel():
+            case Cancel():
                 self.trace.append(at + f"call off txn {a.txn}, submission {a.submission}")
-            case api.Add():
+            case Add():
                 self.trace.append(at + (f"add {a.amount:g}" if a.amount else "read"))
-            case api.Say():
+            case Say():
                 self.trace.append(at + "log: " + a.text)
 
     def txn(
         self, product: int = 1, units: float = 1.0, customer: int = 1, left: float = 5000.0, gates: int = 2
     ) -> int:
         self.ids += 1
-        self.play(api.Txn(self.ids, left, 0, customer, product, units, False, gates, 0))
+        self.play(Txn(self.ids, left, 0, customer, product, units, False, gates, 0))
         return self.ids
 
     def answer(
         self,
         txn: int,
-        end: api.End = api.End.SETTLED,
+        end: End = End.SETTLED,
         took: float = 50.0,
         final: bool | None = None,
         units: float = 0.0,
     ) -> None:
         sent = self.out[txn]
-        done = end is api.End.SETTLED if final is None else final
-        self.play(api.Answer(txn, len(sent) - 1, sent[-1], end, took, done, units, {}))
+        done = end is End.SETTLED if final is None else final
+        self.play(Answer(txn, len(sent) - 1, sent[-1], end, took, done, units, {}))
 
-    def total(self, total: float | None = None, end: api.End = api.End.SETTLED, took: float = 2.0) -> None:
+    def total(self, total: float | None = None, end: End = End.SETTLED, took: float = 2.0) -> None:
         """Answers the oldest call: with the counter's own sum, or with what the test says."""
         call = self.adds.pop(0)
-        if end is api.End.SETTLED:
+        if end is End.SETTLED:
             self.counts[call.name] = self.counts.get(call.name, 0.0) + call.amount if total is None else total
-        self.play(api.Total(call.name, end, self.counts.get(call.name, 0.0), took))
+        self.play(Total(call.name, end, self.counts.get(call.name, 0.0), took))
 
     def name(self) -> int:
         """The name of the first customer's count."""
@@ -137,7 +139,7 @@
     def tick(self, ms: float = 100.0) -> None:
         for _ in range(round(ms / 100)):
             self.now += 100
-            self.play(api.Due(0))
+            self.play(Due(0))
 
 
 class TraceCase(unittest.TestCase):
--- a/tests/labour.py
+++ b/tests/scenarios.py
@@ -5,14 +5,14 @@
 import tempfile
 from typing import Any
 
-from drumgw import interface as api
-from drumgw.control import OUT, TXN_TABLE, Gatekeeper, Held, Table, Worker
-from drumgw.gate.core import Reply
-from drumgw.interface import End
-from drumgw.lab.day import Day, read_day
-from drumgw.lab.judge import Breach, judge
-from drumgw.lab.record import Record
-from drumgw.lab.virtual import Gate, Virtual
+from drumgw.gateway.request_lifecycle import Reply
+from drumgw.model.actions import Decline
+from drumgw.model.events import End, Listed
+from drumgw.policy.engine import OUT, TXN_TABLE, Gatekeeper, Held, Table, Worker
+from drumgw.testbed.event_log import Record
+from drumgw.testbed.oracle import Breach, judge
+from drumgw.testbed.scenario import Day, read_day
+from drumgw.testbed.virtual_runner import Gate, Virtual
 
 HEAD = """
 version = 1
@@ -163,7 +163,7 @@
 
 
 def decline(keeper: Gatekeeper, h: Held) -> None:
-    keeper.acts.append(api.Decline(h.txn, 10.0))
+    keeper.acts.append(Decline(h.txn, 10.0))
     keeper.forget(h)
 
 
@@ -176,7 +176,7 @@
 class Deaf(Gate):
     """Takes draining workers for ready ones."""
 
-    def heed(self, told: dict[str, Any]) -> api.Listed:
+    def heed(self, told: dict[str, Any]) -> Listed:
         rows = [{**row, "lifecycle": "up"} for row in told["instances"]]
         return super().heed({**told, "instances": rows, "reset": False})
 
--- a/tests/test_tools.py
+++ b/tests/test_command_line.py
@@ -19,13 +19,13 @@
 from click.testing import CliRunner, Result
 
 from drumgw.cli.__main__ import main
-from drumgw.gate.charter import charter_of
-from drumgw.lab.day import read_day
-from drumgw.lab.judge import judge
-from drumgw.lab.record import read_record
-from drumgw.lab.sockets import Sockets
-from drumgw.papers.office import configuration, read_office
-from tests.labour import HEAD, PLAIN, day
+from drumgw.config.gateway_file import configuration, read_office
+from drumgw.gateway.process_config import charter_of
+from drumgw.testbed.event_log import read_record
+from drumgw.testbed.oracle import judge
+from drumgw.testbed.scenario import read_day
+from drumgw.testbed.socket_runner import Sockets
+from tests.scenarios import HEAD, PLAIN, day
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 OFFICE = (EXAMPLES / "drumgw.toml").read_text()
@@ -177,7 +177,7 @@
         """Guards start time and memory: python -m drumgw needs neither tools nor the laboratory."""
         story = (
             "import sys; from drumgw import __main__; print([m for m in sys.modules if m.split('.')[0] in "
-            "('click', 'pydantic', 'hdrh', 'matplotlib') or m.startswith(('drumgw.lab', 'drumgw.papers', "
+            "('click', 'pydantic', 'hdrh', 'matplotlib') or m.startswith(('drumgw.testbed', 'drumgw.config', "
             "'drumgw.cli'))])"
         )
         out = subprocess.run([sys.executable, "-c", story], capture_output=True, text=True, check=True)
@@ -267,7 +267,7 @@
         """It says nothing of the gatekeepers' worth: exit code 3, and where to look."""
         path, out = self.file(HEAD.format(**PLAIN)), self.folder / "out"
         story = (
-            "import sys; from drumgw.lab import sockets;"
+            "import sys; from drumgw.testbed import sockets;"
             "sockets.RUN = (sys.executable, '-c', 'raise SystemExit(2)');"
             "from drumgw.cli.__main__ import main; main()"
         )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,11 +21,11 @@
 
 import uvloop
 
-from drumgw.gate.front import Client, Stage, Whole
-from drumgw.gate.gateway import Gateway
-from tests.stage import StandIn, http
-from tests.test_drill import PRODUCT
-from tests.test_gate import POSTED, GateCase, charter, instance, request, settings, told
+from drumgw.gateway.http_server import Client, Stage, Whole
+from drumgw.gateway.process import Gateway
+from tests.harness import StandIn, http
+from tests.test_gateway import POSTED, GateCase, charter, instance, request, settings, told
+from tests.test_simulator import PRODUCT
 
 KEYED = "/k?account=00000000b4d65521"
 LARGE = b"x" * 60000
@@ -521,7 +521,7 @@
     async def test_a_request_that_comes_after_the_shutdown_is_not_read(self) -> None:
         """It is its client's to send again: it sees an end, no answer and no reset."""
         worker, line = await self.rested()
-        with mock.patch("drumgw.gate.front.PART_MS", 1e9):
+        with mock.patch("drumgw.gateway.http_server.PART_MS", 1e9):
             self.assertEqual(self.gateway.front.close_idle(), 0)
             line.write(request(Request_Id="9b20"))
             self.assertEqual(await line.rest(), b"")
@@ -589,7 +589,7 @@
                 if rest:
                     line.write(whole[cut:])
                 with (
-                    mock.patch("drumgw.gate.gateway.LINGER_MS", 0.0),
+                    mock.patch("drumgw.gateway.process.LINGER_MS", 0.0),
                     mock.patch("asyncio.sleep", self.no_turn_first()),
                 ):
                     await self.gateway.close()
@@ -611,7 +611,7 @@
         _, line = await self.rested()
         silent = self.client()
         await until(lambda: self.gateway.front.stages[Stage.NEW])
-        with mock.patch("drumgw.gate.gateway.LINGER_MS", 0.0):
+        with mock.patch("drumgw.gateway.process.LINGER_MS", 0.0):
             async with asyncio.timeout(BOUND_S):
                 await self.gateway.close()
         self.assertEqual((self.gateway.front.crowd(), await line.rest(), await silent.rest()), (0, b"", b""))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,13 +12,13 @@
 from typing import Any
 from unittest import mock
 
-from drumgw.gate.charter import MOST_BODY
-from drumgw.gate.discovery import PAUSES, Outcome
-from drumgw.gate.gateway import Gateway
-from drumgw.gate.membership import RENUMBERED_MS, UNREADABLE, Change, Membership
-from drumgw.interface import Health
-from tests.stage import TRACES, StandIn, http
-from tests.test_gate import POSTED, GateCase, charter, instance, settings, told
+from drumgw.gateway.discovery import PAUSES, Outcome
+from drumgw.gateway.membership import RENUMBERED_MS, UNREADABLE, Change, Membership
+from drumgw.gateway.process import Gateway
+from drumgw.gateway.process_config import MOST_BODY
+from drumgw.model.events import Health
+from tests.harness import TRACES, StandIn, http
+from tests.test_gateway import POSTED, GateCase, charter, instance, settings, told
 
 Obj = dict[str, Any]
 
@@ -105,9 +105,9 @@
         await self.agent()
         self.now = None
         with (
-            mock.patch("drumgw.gate.discovery.SILENT_START_MS", 0.0),
-            mock.patch("drumgw.gate.discovery.GRACE_PART", 0.07),
-            mock.patch("drumgw.gate.discovery.logger") as log,
+            mock.patch("drumgw.gateway.discovery.SILENT_START_MS", 0.0),
+            mock.patch("drumgw.gateway.discovery.GRACE_PART", 0.07),
+            mock.patch("drumgw.gateway.discovery.logger") as log,
         ):
             await self.start(known)
             await self.opened()
@@ -130,7 +130,7 @@
         await self.agent({**known[0], "lifecycle": "draining"}, known[1])
         held, self.now = self.now, None
         family = {"counter": True, "countWaitMs": 5000.0, "unitsTop": 9}
-        with mock.patch("drumgw.gate.gateway.READY_MS", 0.0):
+        with mock.patch("drumgw.gateway.process.READY_MS", 0.0):
             gateway = await self.start(known, counter=counter.address, settings=settings(familyInfo=family))
             await self.opened()
         self.assertEqual((await self.ask("/health/ready"))[0], 200)
@@ -170,8 +170,8 @@
         """Guards the grace: the watch's own patience is far longer here, and it is never answered."""
         await self.agent(instance("s-0", "127.0.0.1:1"))
         with (
-            mock.patch("drumgw.gate.discovery.SLOW_MS", 1e9),
-            mock.patch("drumgw.gate.discovery.GRACE_PART", 0.07),
+            mock.patch("drumgw.gateway.discovery.SLOW_MS", 1e9),
+            mock.patch("drumgw.gateway.discovery.GRACE_PART", 0.07),
         ):
             await self.start([])
             await self.opened()
@@ -190,7 +190,7 @@
         one, other, rows = await self.workers()
         await self.agent(*rows)
         for name in ("PACE_MOST_MS", "GRACE_PART", "SLOW_MS"):
-            patch = mock.patch(f"drumgw.gate.discovery.{name}", 1e9)
+            patch = mock.patch(f"drumgw.gateway.discovery.{name}", 1e9)
             patch.start()
             self.addCleanup(patch.stop)
         await self.start([])
@@ -209,7 +209,7 @@
             return await read(request)
 
         with (
-            mock.patch("drumgw.gate.discovery.LOOK_MS", 0.0),
+            mock.patch("drumgw.gateway.discovery.LOOK_MS", 0.0),
             mock.patch.object(self.gateway.front, "read", late),
         ):
             self.assertEqual((await self.ask(f"/a?account={came[0]:016x}"))[:2], (200, b"other"))
@@ -226,7 +226,7 @@
                 self.write({"instanceId": "s-0", "lifecycle": "removed"})
             return connection
 
-        with mock.patch("drumgw.gate.discovery.LOOK_MS", 0.0), mock.patch.object(connector, "connect", up):
+        with mock.patch("drumgw.gateway.discovery.LOOK_MS", 0.0), mock.patch.object(connector, "connect", up):
             self.assertEqual(await self.ask_all(), [(200, b"other")] * 16)
         self.assertEqual((one.came, self.health()), ([], {"s-1": "ready"}))
 
@@ -312,8 +312,8 @@
 
         self.discovery.answer = answer
         with (
-            mock.patch("drumgw.gate.discovery.logger") as log,
-            mock.patch("drumgw.gate.discovery.AGAIN_MS", 0.0),
+            mock.patch("drumgw.gateway.discovery.logger") as log,
+            mock.patch("drumgw.gateway.discovery.AGAIN_MS", 0.0),
         ):
             gateway = await self.start([])
             await self.opened()
@@ -431,8 +431,8 @@
         pauses = {outcome: (least / 8, most / 8) for outcome, (least, most) in PAUSES.items()}
         opening = [asyncio.create_task(gateway.open()) for gateway in fleet]
         with (
-            mock.patch("drumgw.gate.gateway.LINGER_MS", 0.0),
-            mock.patch.dict("drumgw.gate.discovery.PAUSES", pauses),
+            mock.patch("drumgw.gateway.process.LINGER_MS", 0.0),
+            mock.patch.dict("drumgw.gateway.discovery.PAUSES", pauses),
         ):
             for gateway, task in zip(fleet, opening, strict=True):
                 await task
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,11 +10,13 @@
 from bisect import bisect_left
 from unittest import mock
 
-from drumgw import interface as api
-from drumgw.control import Gatekeeper
-from tests.stage import INQUIRY, ONCE, terms
+from drumgw.model.actions import Submit, Wake
+from drumgw.model.events import Answer, Due, End, Entry, Event, Health, Listed, Txn
+from drumgw.model.settings import Plan
+from drumgw.policy.engine import Gatekeeper
+from tests.harness import INQUIRY, ONCE, terms
 
-PLENTY = api.Plan(1000.0, 1000.0, 0, 1.0, 0.0, 0.8, 0.0, 0.0)
+PLENTY = Plan(1000.0, 1000.0, 0, 1.0, 0.0, 0.8, 0.0, 0.0)
 COLD_FROM, COLD_MS, FALL_MULTIPLE, FALL_MS = 0.19, 18000.0, 1.5, 3000.0  # a strict multiple
 COLD = 1  # the worker that starts in the middle of the play
 QUIET_MS, PLAY_MS = 15000.0, 20000.0
@@ -44,21 +46,18 @@
             for number in range(gateways)
         ]
         self.traffic = [self.chance.expovariate(1.0) if uneven else 1.0 for _ in self.modules]
-        self.events: list[tuple[float, int, int, api.Event]] = []
+        self.events: list[tuple[float, int, int, Event]] = []
         self.order = itertools.count()
         self.cold_sends: list[float] = []
 
-    def at(self, time_ms: float, gateway: int, event: api.Event) -> None:
+    def at(self, time_ms: float, gateway: int, event: Event) -> None:
         heapq.heappush(self.events, (time_ms, next(self.order), gateway, event))
 
-    def listed(self, joined_ms: float | None) -> api.Listed:
+    def listed(self, joined_ms: float | None) -> Listed:
         numbers = range(COLD if joined_ms else COLD + 1, self.workers + 1)
-        return api.Listed(
+        return Listed(
             True,
-            tuple(
-                api.Entry(n, 0, 0, "", api.Health.READY, joined_ms if n == COLD else None, 1.0)
-                for n in numbers
-            ),
+            tuple(Entry(n, 0, 0, "", Health.READY, joined_ms if n == COLD else None, 1.0) for n in numbers),
         )
 
     def play(self, start_ms: float, quiet_load: float, burst_load: float) -> float:
@@ -67,7 +66,7 @@
         for number, module in enumerate(self.modules):
             module.start(start_ms)
             self.at(start_ms, number, self.listed(None))
-            self.at(start_ms + 100.0 * self.chance.random(), number, api.Due(0))
+            self.at(start_ms + 100.0 * self.chance.random(), number, Due(0))
             self.at(joined_ms + 100.0 * self.chance.random(), number, self.listed(joined_ms))
         time_ms, end_ms = start_ms, joined_ms + PLAY_MS
         for request in itertools.count(1):
@@ -80,21 +79,21 @@
             self.at(
                 time_ms,
                 gateway,
-                api.Txn(request, 8000.0, 0, customer, 1, 1.0, False, len(self.modules), 0),
+                Txn(request, 8000.0, 0, customer, 1, 1.0, False, len(self.modules), 0),
             )
         while self.events and self.events[0][0] < end_ms:
             self.step(*heapq.heappop(self.events))
         return joined_ms
 
-    def step(self, time_ms: float, _order: int, gateway: int, event: api.Event) -> None:
+    def step(self, time_ms: float, _order: int, gateway: int, event: Event) -> None:
         for action in self.modules[gateway].handle(time_ms, event):
-            if isinstance(action, api.Wake):
-                self.at(time_ms + action.after_ms, gateway, api.Due(action.label))
-            elif isinstance(action, api.Submit):
+            if isinstance(action, Wake):
+                self.at(time_ms + action.after_ms, gateway, Due(action.label))
+            elif isinstance(action, Submit):
                 if action.worker == COLD:
                     self.cold_sends.append(time_ms)
                 took_ms = 2000.0 / self.requests_per_s * self.chance.uniform(0.5, 1.5)
-                answer = api.Answer(action.txn, 0, action.worker, api.End.SETTLED, took_ms, True, 0.0, {})
+                answer = Answer(action.txn, 0, action.worker, End.SETTLED, took_ms, True, 0.0, {})
                 self.at(time_ms + took_ms, gateway, answer)
 
 
--- a/tests/test_gate.py
+++ b/tests/test_gateway.py
@@ -18,15 +18,15 @@
 from unittest import mock
 
 from drumgw import __main__ as program
-from drumgw import interface as api
-from drumgw.gate.charter import BadCharter, Charter, read_charter
-from drumgw.gate.clock import Clock, Pulse
-from drumgw.gate.front import Stage
-from drumgw.gate.gateway import Gateway
-from drumgw.gate.invariant import invariant
-from drumgw.interface import End
-from tests.stage import Half, StandIn, http, read_message
-from tests.test_drill import OPTIONS, PLAN, PRODUCT
+from drumgw.gateway.clock import Clock, Pulse
+from drumgw.gateway.http_server import Stage
+from drumgw.gateway.invariants import invariant
+from drumgw.gateway.process import Gateway
+from drumgw.gateway.process_config import BadCharter, Charter, read_charter
+from drumgw.model.actions import Add
+from drumgw.model.events import End, Health
+from tests.harness import Half, StandIn, http, read_message
+from tests.test_simulator import OPTIONS, PLAN, PRODUCT
 
 ASK = {
     "Host": "svc",
@@ -138,7 +138,7 @@
         self.gateway.reload(lambda: charter({**self.told, **more}))
 
     async def end(self) -> None:
-        with mock.patch("drumgw.gate.gateway.LINGER_MS", 0.0):
+        with mock.patch("drumgw.gateway.process.LINGER_MS", 0.0):
             await self.gateway.close()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -233,7 +233,7 @@
         worker = await self.stand_in(lambda head, body: answers.pop(0))
         once = {**settings()["ceilings"], "maxAttempts": 1}
         await self.begin(worker.address, settings=settings(ceilings=once))
-        with mock.patch("drumgw.gate.line.REST_MS", 0.0):
+        with mock.patch("drumgw.gateway.connection_pool.REST_MS", 0.0):
             self.assertEqual((await self.ask())[0], 200)
         self.assertEqual((await self.ask())[0], 503)
         self.assertEqual((len(worker.came), len(worker.lines)), (2, 1))
@@ -283,7 +283,7 @@
         await self.begin(worker.address)
         for answer in spoilt:
             answers.append(answer)
-            with mock.patch("drumgw.control.SICK_FAILURES", 9.0):  # it gets the next one all the same
+            with mock.patch("drumgw.policy.engine.SICK_FAILURES", 9.0):  # it gets the next one all the same
                 status, _, _ = await self.ask(POSTED, "POST", Request_Timeout="60000m")
             self.assertEqual((status, answers), (500, []), answer[:60])
             await asyncio.wait_for(worker.left.wait(), 10)  # its connection ended
@@ -308,7 +308,7 @@
                 self.assertEqual((await self.ask())[:2], (200, b"ok"))
                 self.assertEqual((await self.ask())[:2], (200, b"mine"))
         answers += [http(b"ok"), http(b"mine")]
-        with mock.patch("drumgw.gate.line.REST_MS", 0.0):
+        with mock.patch("drumgw.gateway.connection_pool.REST_MS", 0.0):
             self.assertEqual((await self.ask())[:2], (200, b"ok"))
         worker.lines[-1].write(http(b"late"))  # on a kept connection, and not read yet
         self.assertEqual((await self.ask())[:2], (200, b"mine"))
@@ -319,7 +319,9 @@
         answers = [*held, http(b"ok"), http(b"ok")]
         worker = await self.stand_in(lambda head, body: answers.pop(0))
         await self.begin(worker.address)
-        patch = mock.patch("drumgw.gate.line.REST_MS", 0.0)  # how long it rests before is another test's
+        patch = mock.patch(
+            "drumgw.gateway.connection_pool.REST_MS", 0.0
+        )  # how long it rests before is another test's
         patch.start()
         self.addCleanup(patch.stop)
         asked = [asyncio.create_task(self.ask(Request_Id=name)) for name in ("1", "2", "3")]
@@ -402,10 +404,13 @@
         await self.begin(worker.address)
         with mock.patch.object(self.gateway.desk.core.keeper, "handle", side_effect=KeyError("x")):
             self.assertEqual((await self.ask())[0], 503)
-        for where in ("drumgw.gate.front.read_asked", "drumgw.gate.core.Core.arrive"):
+        for where in (
+            "drumgw.gateway.http_server.read_asked",
+            "drumgw.gateway.request_lifecycle.Core.arrive",
+        ):
             with mock.patch(where, side_effect=KeyError("x")):
                 self.assertEqual((await self.ask())[0], 500)
-        with mock.patch("drumgw.gate.core.Core.ended", side_effect=KeyError("x")):
+        with mock.patch("drumgw.gateway.request_lifecycle.Core.ended", side_effect=KeyError("x")):
             status, _, _ = await self.ask(Request_Timeout="50m")  # its expiry ends it
         self.assertEqual((status, (await self.ask())[:2]), (503, (200, b"ok")))
 
@@ -415,7 +420,7 @@
 
     async def short(self, client_ms: float = 40.0, **more: Any) -> None:
         for name, value in (("CLIENT_MS", client_ms), ("SWEEP_S", 0.005)):
-            patch = mock.patch(f"drumgw.gate.front.{name}", value)
+            patch = mock.patch(f"drumgw.gateway.http_server.{name}", value)
             patch.start()
             self.addCleanup(patch.stop)
         self.worker = await self.stand_in(http(b"ok"))
@@ -438,7 +443,7 @@
         first, *others = [await self.connect() for _ in range(3)]
         for line in (first, *others):
             self.assertEqual((await self.ask(line=line))[0], 200)
-        with mock.patch("drumgw.gate.front.CLIENT_MS", 1.0):
+        with mock.patch("drumgw.gateway.http_server.CLIENT_MS", 1.0):
             self.assertEqual(await asyncio.wait_for(first[0].read(), 10), b"")  # the longest idle
             self.gateway.front.sweep()
         for line in others:
@@ -455,7 +460,7 @@
 
     async def test_those_that_asked_once_and_stay_keep_no_newcomer_out(self) -> None:
         await self.short(60000.0, limits={"sockets": 34})
-        with mock.patch("drumgw.gate.front.LATE_MS", 0.0):
+        with mock.patch("drumgw.gateway.http_server.LATE_MS", 0.0):
             for _ in range(20):
                 self.assertEqual((await self.ask())[0], 200)
         self.assertEqual(self.gateway.front.asked(), 4)  # the rest of what clients may hold is free
@@ -603,7 +608,7 @@
         gateway = await self.begin("127.0.0.1:1", "127.0.0.1:2", watch=watch)
         listed = gateway.discovery.membership.rows
 
-        def states() -> dict[str, api.Health]:
+        def states() -> dict[str, Health]:
             return {name: row.entry.health for name, row in listed.items()}
 
         rows = [
@@ -617,13 +622,13 @@
         news.put_nowait({"generation": 2, "reset": False, "instances": rows})
         while len(asked) < 2:
             await asyncio.sleep(0.001)
-        self.assertEqual(states(), {"s-0": api.Health.DRAINING, "s-2": api.Health.READY})
+        self.assertEqual(states(), {"s-0": Health.DRAINING, "s-2": Health.READY})
         self.assertEqual([w.open for w in gateway.workers.actors.values()], [False, True])
         self.assertLessEqual(int(asked[0].split(b"timeout_ms=")[1]), 1000)  # a lost watch is asked again soon
         news.put_nowait({"generation": 3, "reset": True, "instances": rows[5:]})
         while len(asked) < 3:
             await asyncio.sleep(0.001)
-        self.assertEqual(states(), {"s-2": api.Health.READY})
+        self.assertEqual(states(), {"s-2": Health.READY})
         self.assertEqual(
             [target.split(b"&")[0].split(b"?")[1] for target in asked], [b"since=1", b"since=2", b"since=3"]
         )
@@ -636,7 +641,7 @@
         new = await self.stand_in(lambda *came: answers.pop() if answers else None)
         gateway = await self.begin("127.0.0.1:1", watch=lambda *came: asked.set())
         await asked.wait()
-        with mock.patch("drumgw.gate.gateway.logger") as log:
+        with mock.patch("drumgw.gateway.process.logger") as log:
             self.reload(discovery="nowhere")
             self.assertIn("old configuration stands", log.warning.call_args[0][0])
         self.assertEqual((len(new.came), list(gateway.discovery.membership.rows)), (0, ["s-0"]))
@@ -727,7 +732,7 @@
         counter = await self.begin_counting(lambda head, body: answers.pop(0))
         counter.pipelined = True
         for n in range(5):
-            self.call(api.Add(5, -2.5 + n, 4000.0))
+            self.call(Add(5, -2.5 + n, 4000.0))
         while len(counter.came) < 5:
             await asyncio.sleep(0.001)
         self.assertEqual((self.heard, len(counter.lines)), ([], 1))
@@ -753,8 +758,8 @@
         answers = [first, http(b"7.5"), http(b"8")]
         counter = await self.begin_counting(lambda head, body: answers.pop(0))
         counter.pipelined = True
-        self.call(api.Add(5, 1.0, 4000.0))
-        self.call(api.Add(5, 1.0, 4000.0))
+        self.call(Add(5, 1.0, 4000.0))
+        self.call(Add(5, 1.0, 4000.0))
         while len(counter.came) < 2:
             await asyncio.sleep(0.001)
         gateway = self.gateway.counter
@@ -762,7 +767,7 @@
         ((late, _), lane) = gateway.names[5]
         assert lane
         gateway.overdue(late, lane)
-        self.call(api.Add(5, 1.0, 4000.0))  # on another lane; answered first, told in its turn
+        self.call(Add(5, 1.0, 4000.0))  # on another lane; answered first, told in its turn
         while len(counter.came) < 3 or len(counter.lines) < 2:
             await asyncio.sleep(0.001)
         self.assertEqual(self.heard, [(5, End.TIMEOUT, 0.0)])
@@ -775,11 +780,11 @@
         """SIGHUP: the old address still answers what it has; nothing new goes there."""
         first: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         old, new = await self.begin_counting(lambda *came: first), await self.stand_in(http(b"8"))
-        self.call(api.Add(5, 1.0, 4000.0))
+        self.call(Add(5, 1.0, 4000.0))
         while not old.came:
             await asyncio.sleep(0.001)
         self.reload(counter=new.address)
-        self.call(api.Add(6, 1.0, 4000.0))
+        self.call(Add(6, 1.0, 4000.0))
         self.assertEqual(await self.until_heard(1), [(6, End.SETTLED, 8.0)])
         first.set_result(http(b"7"))
         self.assertEqual((await self.until_heard(2))[1], (5, End.SETTLED, 7.0))
@@ -792,7 +797,7 @@
             answers = [spoilt, http(b"2"), http(b"3")]
             counter = await self.begin_counting(lambda head, body: answers.pop(0))  # noqa: B023
             for name in (5, 5, 5):
-                self.call(api.Add(name, 1.0, 4000.0))
+                self.call(Add(name, 1.0, 4000.0))
             self.assertEqual(await self.until_heard(3), [(5, End.TIMEOUT, 0.0)] * 3)
             await asyncio.wait_for(counter.left.wait(), 10)
             await self.end()
@@ -801,7 +806,7 @@
         """Guards the books: calls written on it would be unsure. The stand-in itself keeps it open."""
         counter = await self.begin_counting(http(b"1", Connection="close"))
         for heard in (1, 2):
-            self.call(api.Add(5, 1.0, 4000.0))
+            self.call(Add(5, 1.0, 4000.0))
             self.assertEqual((await self.until_heard(heard))[-1], (5, End.SETTLED, 1.0))
         self.assertEqual(len(counter.lines), 2)
 
@@ -809,7 +814,7 @@
         counter = await self.begin_counting(http(b"1"))
         counter.server.close()
         await counter.server.wait_closed()
-        self.call(api.Add(5, 1.0, 4000.0))
+        self.call(Add(5, 1.0, 4000.0))
         self.assertEqual(await self.until_heard(1), [(5, End.UNREACHED, 0.0)])
 
 
@@ -846,7 +851,7 @@
         with self.assertRaisesRegex(AssertionError, "what"):
             invariant(False, "what")
         story = (
-            "from drumgw.gate import invariant as i; [i.invariant(False, 'odd') for _ in range(3)];"
+            "from drumgw.gateway import invariants as i; [i.invariant(False, 'odd') for _ in range(3)];"
             " print(dict(i.broken))"
         )
         out = subprocess.run([sys.executable, "-O", "-c", story], capture_output=True, text=True, check=True)
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -17,16 +17,16 @@
 from loguru import logger
 
 from drumgw.cli.__main__ import main
-from drumgw.gate.charter import BadCharter
-from drumgw.host.access import hash_of
-from drumgw.host.api import LIST, MOST_BODY, MOST_CALLS
-from drumgw.host.front import Doorway
-from drumgw.host.openapi import document, statuses
-from drumgw.host.service import Service
-from drumgw.host.store import Store
-from drumgw.papers.house import House
-from tests.stage import StandIn, http, read_message
-from tests.test_gate import GateCase, instance
+from drumgw.config.host_file import House
+from drumgw.gateway.process_config import BadCharter
+from drumgw.hosting.admin_api import LIST, MOST_BODY, MOST_CALLS
+from drumgw.hosting.authentication import hash_of
+from drumgw.hosting.host_process import Service
+from drumgw.hosting.http_server import Doorway
+from drumgw.hosting.openapi import document, statuses
+from drumgw.hosting.state_file import Store
+from tests.harness import StandIn, http, read_message
+from tests.test_gateway import GateCase, instance
 
 OPERATOR, OWN = "operator-token", "tenant-token"
 PRODUCTS = [
@@ -89,7 +89,7 @@
         return service
 
     async def end_host(self, service: Service) -> None:
-        with mock.patch("drumgw.host.service.LINGER_MS", 0.0):
+        with mock.patch("drumgw.hosting.host_process.LINGER_MS", 0.0):
             await service.close()
 
     async def ready(self) -> None:
@@ -218,7 +218,10 @@
         )
         quiet[1].write(ask % (b"t2", 1))
         self.assertIn(b" 200 ", (await read_message(quiet[0]))[0])
-        with mock.patch("drumgw.host.front.LATE_MS", -1.0), mock.patch("drumgw.gate.front.LATE_MS", -1.0):
+        with (
+            mock.patch("drumgw.hosting.http_server.LATE_MS", -1.0),
+            mock.patch("drumgw.gateway.http_server.LATE_MS", -1.0),
+        ):
             for n in range(40):
                 reader, writer = await self.connect()
                 writer.write(ask % (b"t1", n + 2))
@@ -540,7 +543,10 @@
             go_on.wait(20)
             save(content)
 
-        with mock.patch.object(service.store, "save", slow), mock.patch("drumgw.host.service.LINGER_MS", 0.0):
+        with (
+            mock.patch.object(service.store, "save", slow),
+            mock.patch("drumgw.hosting.host_process.LINGER_MS", 0.0),
+        ):
             changing = asyncio.create_task(self.call("POST", "/v1/tenants/t1/suspend", If_Match='"1"'))
             await asyncio.to_thread(begun.wait)
             closing = asyncio.create_task(service.close())
--- a/tests/test_host.py
+++ b/tests/test_hosting_state.py
@@ -10,9 +10,12 @@
 import unittest
 from typing import Any
 
-from drumgw.host.access import OPERATOR, TENANT, Access, Token, hash_of, may, new_token
-from drumgw.host.api import LIST
-from drumgw.host.registry import (
+from drumgw.hosting.admin_api import LIST
+from drumgw.hosting.authentication import OPERATOR, TENANT, Access, Token, hash_of, may, new_token
+from drumgw.hosting.resource_limits import Shares, Turns
+from drumgw.hosting.routing import Ambiguous, Route, Routes
+from drumgw.hosting.state_file import BadState, Disk, Store
+from drumgw.hosting.tenant_registry import (
     ACTIVE,
     DONE,
     DRAINED,
@@ -24,9 +27,6 @@
     Refused,
     Registry,
 )
-from drumgw.host.routes import Ambiguous, Route, Routes
-from drumgw.host.shares import Shares, Turns
-from drumgw.host.store import BadState, Disk, Store
 
 
 def spec(*routes: tuple[str, str], **more: Any) -> dict[str, Any]:
--- a/tests/test_decisions.py
+++ b/tests/test_policy.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from drumgw.interface import End, Ending, Health, Left, Listed
-from tests.stage import BY_ZONE, CEILED, INQUIRY, OPEN, SOFT, Stage, TraceCase
+from drumgw.model.events import End, Ending, Health, Left, Listed
+from tests.harness import BY_ZONE, CEILED, INQUIRY, OPEN, SOFT, Stage, TraceCase
 
 
 def settle(s: Stage, txn: int) -> None:
--- a/tests/test_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -7,15 +7,16 @@
 import unittest
 from typing import Any
 
-from drumgw import interface as api
-from drumgw.control import COUNT_MS, IDLE_MS, Call, Gatekeeper
-from drumgw.interface import End
-from drumgw.lab.figures import sent_while_lost
-from drumgw.papers.bounds import bound, said
-from drumgw.papers.parts import Plan
+from drumgw.config.quota_bounds import bound, said
+from drumgw.config.sections import Plan
+from drumgw.model.actions import Add, Decline, Submit
+from drumgw.model.events import Answer, Due, End, Entry, Event, Health, Listed, Total, Txn
+from drumgw.model.settings import Plan as PlanSettings
+from drumgw.policy.engine import COUNT_MS, IDLE_MS, Call, Gatekeeper
 from drumgw.stable_hash import stable_hash
-from tests.labour import Passer, day, play
-from tests.stage import INQUIRY, ONCE, terms
+from drumgw.testbed.metrics import sent_while_lost
+from tests.harness import INQUIRY, ONCE, terms
+from tests.scenarios import Passer, day, play
 
 TOP = 6  # units of a txn
 
@@ -37,13 +38,13 @@
         self.skews = [0.0] * gates  # of their clocks
         self.unsure = self.garbage = self.dies = 0.0  # shares: calls without a total, totals of noise; odds
         self.declined = 0
-        self.calls: list[tuple[int, api.Add, dict[int, float]]] = []  # not answered yet, and where they went
+        self.calls: list[tuple[int, Add, dict[int, float]]] = []  # not answered yet, and where they went
         self.out: list[tuple[int, int, int, bool]] = []  # submissions: gate, txn, worker, first
         self.units: dict[tuple[int, int], float] = {}
         self.gates = [self.new(g) for g in range(gates)]
 
     def new(self, gate: int) -> Gatekeeper:
-        p = api.Plan(
+        p = PlanSettings(
             self.plan.units_per_s,
             self.plan.burst_units,
             0,
@@ -60,20 +61,20 @@
             ),
         )
         keeper.start(self.now + self.skews[gate])
-        rows = tuple(api.Entry(w, 0, 0, "std", api.Health.READY, None, 1.0) for w in range(4))
-        keeper.handle(self.now + self.skews[gate], api.Listed(True, rows))
+        rows = tuple(Entry(w, 0, 0, "std", Health.READY, None, 1.0) for w in range(4))
+        keeper.handle(self.now + self.skews[gate], Listed(True, rows))
         return keeper
 
-    def tell(self, gate: int, event: api.Event) -> None:
+    def tell(self, gate: int, event: Event) -> None:
         for a in self.gates[gate].handle(self.now + self.skews[gate], event):
-            if isinstance(a, api.Add):
+            if isinstance(a, Add):
                 self.calls.append((gate, a, self.stores[gate % len(self.stores)]))
-            elif isinstance(a, api.Submit):
+            elif isinstance(a, Submit):
                 first = (gate, a.txn) in self.units
                 if first:
                     self.take(self.units.pop((gate, a.txn)))
                 self.out.append((gate, a.txn, a.worker, first))
-            elif isinstance(a, api.Decline):
+            elif isinstance(a, Decline):
                 self.declined += 1
 
     def take(self, units: float) -> None:
@@ -94,12 +95,12 @@
         elif what < 0.70 and self.out:
             of, txn, worker, _ = self.out.pop(self.chance.randrange(len(self.out)))
             end = self.chance.choice((End.SETTLED, End.SETTLED, End.ERROR, End.FULL, End.BROKEN))
-            self.tell(of, api.Answer(txn, 0, worker, end, 20.0, end is End.SETTLED, 0.0, {}))
+            self.tell(of, Answer(txn, 0, worker, end, 20.0, end is End.SETTLED, 0.0, {}))
         elif what < 0.93 and self.calls:
             self.answer(*self.calls.pop(0))
         elif what < 0.99:
             for each in range(self.number):
-                self.tell(each, api.Due(0))
+                self.tell(each, Due(0))
         elif self.lost_at is not None or self.chance.random() < self.dies:
             self.restart(gate)
 
@@ -108,22 +109,22 @@
         units = float(self.chance.randint(1, TOP))
         self.units[gate, self.ids] = units
         left = self.chance.choice((400.0, 1200.0, 5000.0))
-        self.tell(gate, api.Txn(self.ids, left, 0, 1, self.chance.randrange(2), units, False, self.number, 0))
+        self.tell(gate, Txn(self.ids, left, 0, 1, self.chance.randrange(2), units, False, self.number, 0))
 
-    def answer(self, gate: int, call: api.Add, store: dict[int, float]) -> None:
+    def answer(self, gate: int, call: Add, store: dict[int, float]) -> None:
         if self.lost_at is not None:
             end = self.chance.choice((End.TIMEOUT, End.FULL, End.UNREACHED))
-            self.tell(gate, api.Total(call.name, end, 0.0, 50.0))
+            self.tell(gate, Total(call.name, end, 0.0, 50.0))
             return
         if self.chance.random() < self.unsure:  # added, or never
             if self.chance.random() < 0.5:
                 store[call.name] = store.get(call.name, 0.0) + call.amount
-            self.tell(gate, api.Total(call.name, End.TIMEOUT, 0.0, 50.0))
+            self.tell(gate, Total(call.name, End.TIMEOUT, 0.0, 50.0))
             return
         store[call.name] = total = round(store.get(call.name, 0.0) + call.amount, 2)
         if self.chance.random() < self.garbage:
             total = self.chance.choice((1e30, -1e30, 1e9, -1e9, 0.0, 3.7))
-        self.tell(gate, api.Total(call.name, End.SETTLED, total, 3.0))
+        self.tell(gate, Total(call.name, End.SETTLED, total, 3.0))
 
     def restart(self, gate: int) -> None:
         self.restarts[gate] += 1
@@ -235,7 +236,7 @@
                     fleet.answer(*fleet.calls.pop(0))
                 while fleet.out:
                     of, txn, _, _ = fleet.out.pop()
-                    fleet.tell(of, api.Answer(txn, 0, 0, End.SETTLED, 20.0, True, 0.0, {}))
+                    fleet.tell(of, Answer(txn, 0, 0, End.SETTLED, 20.0, True, 0.0, {}))
                 if fleet.chance.random() < 0.1:
                     fleet.trouble()
             with self.subTest(seed):
--- a/tests/test_core.py
+++ b/tests/test_request_lifecycle.py
@@ -5,34 +5,34 @@
 import unittest
 from collections.abc import Callable
 
-from drumgw import interface as api
-from drumgw.gate.core import Core, Effect, Fault, Reply, Send, Stop
-from drumgw.interface import End
-from tests.stage import terms
+from drumgw.gateway.request_lifecycle import Core, Effect, Fault, Reply, Send, Stop
+from drumgw.model.actions import Action, Cancel, Decline, Submit, Void, Wake
+from drumgw.model.events import Answer, Due, End, Event, Left, Listed, Txn
+from tests.harness import terms
 
-Answers = Callable[[api.Event], list[api.Action]]
+Answers = Callable[[Event], list[Action]]
 
 
 class Script:
     """A module that answers each event as its test says, and keeps what it was told."""
 
     def __init__(self, answers: Answers) -> None:
-        self.answers, self.told = answers, list[api.Event]()
+        self.answers, self.told = answers, list[Event]()
 
-    def start(self, _now: float) -> list[api.Action]:
-        return [api.Wake(100.0, 0)]
+    def start(self, _now: float) -> list[Action]:
+        return [Wake(100.0, 0)]
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         self.told.append(event)
         return self.answers(event)
 
 
-def submits(event: api.Event) -> list[api.Action]:
+def submits(event: Event) -> list[Action]:
     """Submits each txn to worker 5 until its expiry, and voids it when that submission ends unsettled."""
-    if isinstance(event, api.Txn):
-        return [api.Submit(event.txn, 5, 0.0)]
-    if isinstance(event, api.Answer) and not event.final:
-        return [api.Void(event.txn)]
+    if isinstance(event, Txn):
+        return [Submit(event.txn, 5, 0.0)]
+    if isinstance(event, Answer) and not event.final:
+        return [Void(event.txn)]
     return []
 
 
@@ -40,16 +40,16 @@
     def begin(self, answers: Answers = submits) -> None:
         self.script = Script(answers)
         self.core = Core(self.script, terms())
-        self.core.start(0.0, api.Listed(True, ()))
+        self.core.start(0.0, Listed(True, ()))
 
     def arrive(self) -> list[Effect]:
-        return self.core.arrive(10.0, api.Txn(0, 500.0, 0, 1, 0, 2.0, False, 2, 0))[1]
+        return self.core.arrive(10.0, Txn(0, 500.0, 0, 1, 0, 2.0, False, 2, 0))[1]
 
     def ended(self, end: End, at: float = 60.0, submission: int = 0) -> list[Effect]:
         return self.core.ended(at, 1, submission, end, 3.0, {}, b"ok" if end is End.SETTLED else None)
 
     def told(self) -> list[tuple[End, float, bool, float]]:
-        return [(e.end, e.took_ms, e.final, e.units) for e in self.script.told if isinstance(e, api.Answer)]
+        return [(e.end, e.took_ms, e.final, e.units) for e in self.script.told if isinstance(e, Answer)]
 
     def test_the_first_settled_submission_ends_its_txn(self) -> None:
         self.begin()
@@ -70,13 +70,13 @@
         self.begin(lambda event: [])
         self.arrive()
         self.assertEqual(self.core.alarm(510.0, 1, -1), [Reply(1, 503, 0.0, None)])
-        self.assertIsInstance(self.script.told[-1], api.Left)
+        self.assertIsInstance(self.script.told[-1], Left)
 
     def test_a_cancelled_submission_is_told_once_and_the_next_may_go(self) -> None:
-        def answers(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Due):
-                return [api.Cancel(1, 0)]
-            return [api.Submit(1, 6, 0.0)] if isinstance(event, api.Answer) else submits(event)
+        def answers(event: Event) -> list[Action]:
+            if isinstance(event, Due):
+                return [Cancel(1, 0)]
+            return [Submit(1, 6, 0.0)] if isinstance(event, Answer) else submits(event)
 
         self.begin(answers)
         self.arrive()
@@ -85,10 +85,10 @@
         self.assertEqual(self.told(), [(End.CANCELLED, 90.0, False, 0.0)])
 
     def test_no_more_submissions_than_allowed_nor_past_the_expiry(self) -> None:
-        def answers(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Txn) or isinstance(event, api.Answer) and event.end is End.UNREACHED:
-                return [api.Submit(event.txn, 5, 0.0)]
-            return [api.Decline(event.txn, 9.0)] if isinstance(event, api.Answer) else []
+        def answers(event: Event) -> list[Action]:
+            if isinstance(event, Txn) or isinstance(event, Answer) and event.end is End.UNREACHED:
+                return [Submit(event.txn, 5, 0.0)]
+            return [Decline(event.txn, 9.0)] if isinstance(event, Answer) else []
 
         self.begin(answers)
         self.arrive()
@@ -98,8 +98,8 @@
         self.assertEqual(self.told()[-1], (End.NOT_SENT, 0.0, False, 0.0))
 
     def test_a_client_that_left_is_owed_nothing(self) -> None:
-        def answers(event: api.Event) -> list[api.Action]:
-            return [api.Cancel(1, 0)] if isinstance(event, api.Left) else submits(event)
+        def answers(event: Event) -> list[Action]:
+            return [Cancel(1, 0)] if isinstance(event, Left) else submits(event)
 
         self.begin(answers)
         self.arrive()
@@ -109,16 +109,16 @@
     def test_a_fault_of_the_module_answers_its_txn_and_keeps_the_tick(self) -> None:
         """503 promises that trying again is harmless: not once a submission may have run."""
 
-        def fails(event: api.Event) -> list[api.Action]:
+        def fails(event: Event) -> list[Action]:
             if isinstance(event, kind):
                 raise ZeroDivisionError
             return submits(event)
 
         kind: type
         for kind, status, last in (
-            (api.Txn, 503, None),
-            (api.Answer, 500, End.ERROR),
-            (api.Answer, 503, End.FULL),
+            (Txn, 503, None),
+            (Answer, 500, End.ERROR),
+            (Answer, 503, End.FULL),
         ):
             with self.subTest(kind=kind, status=status):
                 self.begin(fails)
@@ -127,11 +127,11 @@
                     effects = self.ended(last)
                 self.assertIn(Reply(1, status, 0.0, None), effects)
                 self.assertEqual(self.core.hand, {})
-        kind = api.Due
+        kind = Due
         self.begin(fails)
         effects = self.core.due(100.0, 0)
         self.assertIsInstance(effects[0], Fault)
-        self.assertEqual(effects[1:], [api.Wake(100.0, 0)])
+        self.assertEqual(effects[1:], [Wake(100.0, 0)])
 
     def test_the_time_our_own_loop_stood_is_no_submissions(self) -> None:
         self.begin()
@@ -139,7 +139,7 @@
         self.core.stood = 30.0
         self.ended(End.SETTLED)
         self.assertEqual(self.told(), [(End.SETTLED, 20.0, True, 3.0)])
-        effects = self.core.arrive(600.0, api.Txn(0, 500.0, 0, 1, 0, 2.0, False, 2, 0), 450.0)[1]
+        effects = self.core.arrive(600.0, Txn(0, 500.0, 0, 1, 0, 2.0, False, 2, 0), 450.0)[1]
         self.assertIn(Send(2, 0, 5, 650.0), effects)  # it may have waited unread through all of the stall
 
     def test_an_adapter_that_failed_has_its_txn_answered(self) -> None:
--- a/tests/test_drill.py
+++ b/tests/test_simulator.py
@@ -7,7 +7,7 @@
 import unittest
 from typing import Any
 
-from drumgw.drill.__main__ import serve
+from drumgw.simulator.__main__ import serve
 
 PRODUCT = {
     "name": "a",
--- a/tests/test_lab.py
+++ b/tests/test_testbed.py
@@ -9,20 +9,20 @@
 import unittest
 from typing import Any
 
-from drumgw.lab.book import Book
-from drumgw.lab.clients import Clients, Try
-from drumgw.lab.clocks import VirtualClock
-from drumgw.lab.counter import Counter
-from drumgw.lab.day import NEEDS, CounterKind, Day, Discovery
-from drumgw.lab.figures import figures
-from drumgw.lab.judge import judge
-from drumgw.lab.record import Record
-from drumgw.lab.registry import KEPT, Registry
-from drumgw.lab.virtual import Virtual
-from drumgw.lab.worker import Says, Ticket, Worker
-from drumgw.lab.world import TROUBLES, World
-from tests import labour
-from tests.labour import day, play
+from drumgw.testbed.clients import Clients, Try
+from drumgw.testbed.clocks import VirtualClock
+from drumgw.testbed.counter import Counter
+from drumgw.testbed.endpoint import Says, Ticket, Worker
+from drumgw.testbed.endpoint_registry import KEPT, Registry
+from drumgw.testbed.environment import TROUBLES, World
+from drumgw.testbed.event_log import Record
+from drumgw.testbed.metrics import figures
+from drumgw.testbed.oracle import judge
+from drumgw.testbed.scenario import NEEDS, CounterKind, Day, Discovery
+from drumgw.testbed.virtual_runner import Virtual
+from drumgw.testbed.workload import Book
+from tests import scenarios
+from tests.scenarios import day, play
 
 # A short day of each trouble: what it needs beside its kind
 STRIKES: dict[str, str] = {
@@ -126,21 +126,21 @@
 
     def test_a_double_sender(self) -> None:
         of = day('kind = "resets"; at_s = 0.5; part = 1; size = 0.5; for_s = 2')
-        self.assertEqual(self.rules(of, keeper=labour.Doubler), {"doubled"})
+        self.assertEqual(self.rules(of, keeper=scenarios.Doubler), {"doubled"})
 
     def test_one_that_declines_what_may_have_run(self) -> None:
         of = day('kind = "failing"; at_s = 0.5; part = 0.7; for_s = 2')
-        self.assertEqual(self.rules(of, keeper=labour.Decliner), {"doubled"})
+        self.assertEqual(self.rules(of, keeper=scenarios.Decliner), {"doubled"})
 
     def test_a_sender_to_drained_workers(self) -> None:
         self.assertEqual(
-            self.rules(day('kind = "drain"; at_s = 1; part = 0.4'), gate=labour.Deaf), {"drains"}
+            self.rules(day('kind = "drain"; at_s = 1; part = 0.4'), gate=scenarios.Deaf), {"drains"}
         )
 
     def test_a_start_that_does_not_wait_for_its_agent(self) -> None:
         """What the agent has counts from a process's first moment, read or not."""
         of = day('kind = "drain"; at_s = 1; part = 0.4', 'kind = "kill"; at_s = 1.4; part = 1', seconds=5)
-        self.assertEqual(self.rules(of, gate=labour.Eager), {"drains"})
+        self.assertEqual(self.rules(of, gate=scenarios.Eager), {"drains"})
 
     def test_starts_while_discovery_is_silent_wait_for_it(self) -> None:
         of = day(
@@ -155,17 +155,17 @@
             self.assertGreater(figures(record, of)["whole"]["served"], 0.3)
 
     def test_a_loser(self) -> None:
-        self.assertEqual(self.rules(day(), gate=labour.Loser), {"lost"})
+        self.assertEqual(self.rules(day(), gate=scenarios.Loser), {"lost"})
 
     def test_one_that_mixes_answers(self) -> None:
-        self.assertEqual(self.rules(day(), gate=labour.Mixer), {"lost"})
+        self.assertEqual(self.rules(day(), gate=scenarios.Mixer), {"lost"})
 
     def test_an_overfiller_of_cold_workers(self) -> None:
         of = day('kind = "replace"; at_s = 1; worker = 0', cores=1, cold_from=0.05, fall_multiple=1.5)
-        self.assertEqual(self.rules(of, keeper=labour.Pusher), {"pushed"})
+        self.assertEqual(self.rules(of, keeper=scenarios.Pusher), {"pushed"})
 
     def test_a_passer_of_ceilings(self) -> None:
-        self.assertEqual(self.rules(day(use=4.0), keeper=labour.Passer), {"ceilings"})
+        self.assertEqual(self.rules(day(use=4.0), keeper=scenarios.Passer), {"ceilings"})
 
     def case(self, *rows: Any) -> list[str]:
         """Breaches of a hand-written record: (time, what, fields)."""
@@ -256,7 +256,7 @@
 
     def ticket(self, number: int, worker: Worker, product: int = 0, work: float = 100.0) -> Ticket:
         arrival = next(a for a in self.world.book.arrivals() if a.product is self.day.product[product])
-        from drumgw.lab.clients import Order
+        from drumgw.testbed.clients import Order
 
         one = Try(
             f"t{number}", Order(arrival._replace(work_ms=work), self.clock.now()), 0, 900.0, self.clock.now()
@@ -444,7 +444,8 @@
 
     def test_the_same_seed_gives_the_same_record_in_any_process(self) -> None:
         story = (
-            "import hashlib; from tests.labour import *; of = day('kind = \"kill\"; at_s = 1; part = 0.6');"
+            "import hashlib; from tests.scenarios import *;"
+            "of = day('kind = \"kill\"; at_s = 1; part = 0.6');"
             "print(hashlib.sha256(''.join(play(of, 5)[0].text()).encode()).hexdigest())"
         )
         found = {
