--- a/drumgw/__main__.py
+++ b/drumgw/__main__.py
@@ -16,15 +16,15 @@
 from loguru import logger  # noqa: E402
 
 from drumgw.gateway.process import serve  # noqa: E402
-from drumgw.gateway.process_config import BadCharter, read_charter  # noqa: E402
+from drumgw.gateway.process_config import ConfigError, read_config  # noqa: E402
 
 
 def main() -> int:
     logger.remove()
     logger.add(sys.stderr, level="INFO", format="{time:HH:mm:ss.SSS} {level: <7} {message}")
     try:
-        uvloop.run(serve(read_charter(os.environ), partial(read_charter, os.environ, again=True), early))
-    except BadCharter as bad:
+        uvloop.run(serve(read_config(os.environ), partial(read_config, os.environ, again=True), early))
+    except ConfigError as bad:
         print(f"drumgw: {bad}", file=sys.stderr)
         return 2
     return 0
--- a/drumgw/cli/__main__.py
+++ b/drumgw/cli/__main__.py
@@ -11,7 +11,7 @@
 import click
 
 from drumgw.cli.tenant_commands import tenants
-from drumgw.config.file_reader import Unusable
+from drumgw.config.file_reader import FileError
 
 BROKEN, UNUSABLE, CANNOT, STOPPED = 1, 2, 3, 130
 
@@ -40,11 +40,11 @@
 def serve(config: str, json_logs: bool) -> None:
     """Run one gatekeeper as CONFIG, an operator's file, says. SIGTERM ends it, SIGHUP reads it again."""
     from drumgw.cli.serve_command import run
-    from drumgw.gateway.process_config import BadCharter
+    from drumgw.gateway.process_config import ConfigError
 
     try:
         sys.exit(run(config, json_logs))
-    except (Unusable, BadCharter) as bad:
+    except (FileError, ConfigError) as bad:
         refuse(bad)
 
 
@@ -54,14 +54,14 @@
 def host(file: str, only_check: bool) -> None:
     """Run a host of many tenants as FILE says. SIGTERM ends it; SIGHUP reads its tokens again."""
     from drumgw.cli.host_command import check, run
-    from drumgw.gateway.process_config import BadCharter
+    from drumgw.gateway.process_config import ConfigError
 
     try:
         if only_check:
             click.echo(check(file))
         else:
             run(file)
-    except (Unusable, BadCharter) as bad:
+    except (FileError, ConfigError) as bad:
         refuse(bad)
 
 
@@ -92,15 +92,15 @@
     """
     import json
 
-    from drumgw.config.gateway_file import configuration, read_office
+    from drumgw.config.gateway_file import configuration, read_gateway_file
     from drumgw.config.quota_bounds import bound, said
-    from drumgw.model.settings_reader import BadTerms, read_terms
+    from drumgw.model.settings_reader import SettingsError, read_settings
 
     try:
-        office = read_office(config)
+        office = read_gateway_file(config)
         told = configuration(office)
-        read_terms(told["settings"])
-    except (Unusable, BadTerms) as bad:
+        read_settings(told["settings"])
+    except (FileError, SettingsError) as bad:
         refuse(bad)
     if show:
         click.echo(json.dumps(told, indent=1))
@@ -138,12 +138,12 @@
     """Play DAY, a day file, with real gatekeepers on loopback, or on a virtual clock."""
     from drumgw.testbed.report import rules, text
     from drumgw.testbed.runner import Stopped, run_day
-    from drumgw.testbed.scenario import read_day
+    from drumgw.testbed.scenario import read_scenario
 
     try:
-        name = read_day(day).name
+        name = read_scenario(day).name
         found = run_day(day, seed, out or f"runs/{name}-{seed}", virtual)
-    except Unusable as bad:
+    except FileError as bad:
         refuse(bad)
     except Stopped:
         refuse("stopped; no gatekeeper was left behind", STOPPED)
@@ -168,12 +168,12 @@
     runs: tuple[str, ...], against: tuple[str, ...], as_text: bool, plots: str | None, form: str
 ) -> None:
     """Report on RUNS, folders that `lab run` left: together with their spread, or beside others."""
-    from drumgw.testbed.event_log import BadRecord
+    from drumgw.testbed.event_log import EventLogError
     from drumgw.testbed.report import as_json, beside, read_run, text
 
     try:
         found, others = [read_run(r) for r in runs], [read_run(r) for r in against]
-    except (Unusable, BadRecord) as bad:
+    except (FileError, EventLogError) as bad:
         refuse(bad)
     if as_text:
         click.echo(as_json([*found, *others]))
--- a/drumgw/cli/host_command.py
+++ b/drumgw/cli/host_command.py
@@ -8,10 +8,10 @@
 from loguru import logger
 
 from drumgw.cli.serve_command import TEXT
-from drumgw.config.host_file import House, read_house, tenant_charter
-from drumgw.gateway.process_config import BadCharter
+from drumgw.config.host_file import HostFile, read_host_file, tenant_config
+from drumgw.gateway.process_config import ConfigError
 from drumgw.hosting.host_process import serve
-from drumgw.hosting.tenant_registry import Refused, Registry
+from drumgw.hosting.tenant_registry import ChangeRejected, TenantRegistry
 
 
 def run(path: str) -> None:
@@ -21,7 +21,7 @@
         logger.add(sys.stderr, level=house.log.level, serialize=True)
     else:
         logger.add(sys.stderr, level=house.log.level, format=TEXT)
-    uvloop.run(serve(house, lambda: read_house(path)))
+    uvloop.run(serve(house, lambda: read_host_file(path)))
 
 
 def check(path: str) -> str:
@@ -30,13 +30,13 @@
     return f"{path}: usable: {len(house.tenant)} tenant(s), {len(house.token)} token(s), tenants {kept}"
 
 
-def checked(path: str) -> House:
+def checked(path: str) -> HostFile:
     """Routes that meet and settings that make no station are mistakes too."""
-    house, registry = read_house(path), Registry()
+    house, registry = read_host_file(path), TenantRegistry()
     for named in house.tenant:
         try:
             tenant, _ = registry.create(named.name, named.spec())
-        except Refused as no:
-            raise BadCharter(f"{path}: tenant {named.name}: {no.detail}") from no
-        tenant_charter(house, named.name, tenant.serial, named, 2)
+        except ChangeRejected as no:
+            raise ConfigError(f"{path}: tenant {named.name}: {no.detail}") from no
+        tenant_config(house, named.name, tenant.serial, named, 2)
     return house
--- a/drumgw/cli/serve_command.py
+++ b/drumgw/cli/serve_command.py
@@ -8,29 +8,29 @@
 import uvloop
 from loguru import logger
 
-from drumgw.config.file_reader import Unusable
-from drumgw.config.gateway_file import configuration, read_office
+from drumgw.config.file_reader import FileError
+from drumgw.config.gateway_file import configuration, read_gateway_file
 from drumgw.gateway.process import serve
-from drumgw.gateway.process_config import Charter, charter_of
+from drumgw.gateway.process_config import GatewayConfig, parse_config
 
 TEXT = "{time:HH:mm:ss.SSS} {level: <7} {message}"
 
 
 def run(path: str, json_logs: bool) -> int:
-    office = read_office(path)
+    office = read_gateway_file(path)
     logger.remove()
     if json_logs or office.log.form == "json":
         logger.add(sys.stderr, level=office.log.level, serialize=True)
     else:
         logger.add(sys.stderr, level=office.log.level, format=TEXT)
 
-    def again() -> Charter:
-        from drumgw.gateway.process_config import BadCharter
+    def again() -> GatewayConfig:
+        from drumgw.gateway.process_config import ConfigError
 
         try:
-            return charter_of(configuration(read_office(path)), {})
-        except Unusable as bad:
-            raise BadCharter("; ".join(bad.mistakes)) from bad
+            return parse_config(configuration(read_gateway_file(path)), {})
+        except FileError as bad:
+            raise ConfigError("; ".join(bad.mistakes)) from bad
 
-    uvloop.run(serve(charter_of(configuration(office), os.environ), again))
+    uvloop.run(serve(parse_config(configuration(office), os.environ), again))
     return 0
--- a/drumgw/config/file_reader.py
+++ b/drumgw/config/file_reader.py
@@ -13,7 +13,7 @@
 MOST_BYTES = 4 * 2**20
 
 
-class Unusable(ValueError):
+class FileError(ValueError):
     """A file that cannot be used; one line a mistake."""
 
     def __init__(self, path: str, mistakes: list[str]) -> None:
@@ -29,22 +29,22 @@
         with open(path, "rb") as file:
             text = file.read(MOST_BYTES + 1)
     except OSError as bad:
-        raise Unusable(path, [bad.strerror or str(bad)]) from bad
+        raise FileError(path, [bad.strerror or str(bad)]) from bad
     if len(text) > MOST_BYTES:
-        raise Unusable(path, [f"longer than {MOST_BYTES} bytes"])
+        raise FileError(path, [f"longer than {MOST_BYTES} bytes"])
     try:
         told = tomllib.loads(text.decode())
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as bad:
-        raise Unusable(path, [f"not TOML: {bad}"]) from bad
+        raise FileError(path, [f"not TOML: {bad}"]) from bad
     if not told:
-        raise Unusable(path, ["empty"])
+        raise FileError(path, ["empty"])
     found = told.get("version")
     if found != version or isinstance(found, bool):
-        raise Unusable(path, [f"version: expected {version}, found {found!r}"])
+        raise FileError(path, [f"version: expected {version}, found {found!r}"])
     try:
         return model.model_validate(told)
     except ValidationError as bad:
-        raise Unusable(path, mistakes(bad, model)) from bad
+        raise FileError(path, mistakes(bad, model)) from bad
 
 
 def mistakes(bad: ValidationError, model: type[BaseModel]) -> list[str]:
--- a/drumgw/config/gateway_file.py
+++ b/drumgw/config/gateway_file.py
@@ -9,7 +9,17 @@
 from pydantic import AfterValidator, Field, model_validator
 
 from drumgw.config.file_reader import read
-from drumgw.config.sections import Allowed, Count, Name, Part, Plan, Product, Rules, settings, twice
+from drumgw.config.sections import (
+    AllowedSection,
+    Count,
+    Name,
+    PlanSection,
+    RequestClassSection,
+    RulesSection,
+    Section,
+    settings,
+    twice,
+)
 
 VERSION = 1
 
@@ -30,7 +40,7 @@
 Address = Annotated[str, AfterValidator(_address)]
 
 
-class Gateway(Part):
+class GatewaySection(Section):
     name: Name
     listen: Address
     discovery: Address
@@ -42,7 +52,7 @@
     gatekeepers: Count = 1
 
     @model_validator(mode="after")
-    def fits(self) -> Gateway:
+    def fits(self) -> GatewaySection:
         twice(self.zones, "zones")
         if self.zone not in self.zones:
             raise ValueError(f"zone {self.zone!r} is none of zones")
@@ -53,18 +63,18 @@
         return self
 
 
-class Limits(Part):
+class LimitsSection(Section):
     sockets: Annotated[int, Field(ge=64, le=10**6)] = 1024
     memory_mb: Count = 192
     cores: Annotated[float, Field(gt=0, le=1024)] = 1.0
 
 
-class Log(Part):
+class LogSection(Section):
     form: Literal["text", "json"] = "text"
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
 
 
-class Worker(Part):
+class KnownEndpointSection(Section):
     """A worker known before discovery is heard."""
 
     id: Name
@@ -74,30 +84,30 @@
     kind: Name = "std"
 
 
-class Office(Part):
+class GatewayFile(Section):
     version: Literal[1]
-    gateway: Gateway
-    limits: Limits = Limits()
-    log: Log = Log()
-    rules: Rules = Rules()
-    allowed: Allowed = Allowed()
-    product: Annotated[list[Product], Field(min_length=1)]
-    plan: Annotated[list[Plan], Field(min_length=1)]
-    worker: list[Worker] = []
+    gateway: GatewaySection
+    limits: LimitsSection = LimitsSection()
+    log: LogSection = LogSection()
+    rules: RulesSection = RulesSection()
+    allowed: AllowedSection = AllowedSection()
+    product: Annotated[list[RequestClassSection], Field(min_length=1)]
+    plan: Annotated[list[PlanSection], Field(min_length=1)]
+    worker: list[KnownEndpointSection] = []
 
     @model_validator(mode="after")
-    def fits(self) -> Office:
+    def fits(self) -> GatewayFile:
         for names, where in ((self.product, "product"), (self.plan, "plan")):
             twice([each.name for each in names], where)
         twice([w.id for w in self.worker], "worker")
         return self
 
 
-def read_office(path: str) -> Office:
-    return read(path, Office, VERSION)
+def read_gateway_file(path: str) -> GatewayFile:
+    return read(path, GatewayFile, VERSION)
 
 
-def known(workers: list[Worker]) -> dict[str, Any]:
+def known(workers: list[KnownEndpointSection]) -> dict[str, Any]:
     """The workers of a file, as discovery would list them."""
     rows = [
         {
@@ -115,7 +125,7 @@
     return {"generation": 0, "reset": True, "instances": rows}
 
 
-def configuration(office: Office) -> dict[str, Any]:
+def configuration(office: GatewayFile) -> dict[str, Any]:
     """What GW_CONFIG would hold."""
     g = office.gateway
     told = settings(
--- a/drumgw/config/host_file.py
+++ b/drumgw/config/host_file.py
@@ -9,9 +9,19 @@
 from pydantic import Field, model_validator
 
 from drumgw.config.file_reader import read
-from drumgw.config.gateway_file import Address, Limits, Log, Worker, known
-from drumgw.config.sections import Allowed, Count, Name, Part, Plan, Product, Rules, settings, twice
-from drumgw.gateway.process_config import Charter, charter_of
+from drumgw.config.gateway_file import Address, KnownEndpointSection, LimitsSection, LogSection, known
+from drumgw.config.sections import (
+    AllowedSection,
+    Count,
+    Name,
+    PlanSection,
+    RequestClassSection,
+    RulesSection,
+    Section,
+    settings,
+    twice,
+)
+from drumgw.gateway.process_config import GatewayConfig, parse_config
 
 VERSION = 1
 Host = Annotated[str, Field(pattern=r"^([a-z0-9_-]{1,63}(\.[a-z0-9_-]{1,63}){0,9})?$")]
@@ -23,30 +33,30 @@
 TENANT_WATCH_MS = 1000.0
 
 
-class Way(Part):
+class RouteSection(Section):
     """A route: any host where it is empty, all paths where that is."""
 
     host: Host = ""
     path: Prefix = ""
 
 
-class Spec(Part):
+class TenantSpec(Section):
     """What a tenant is made of."""
 
-    route: Annotated[list[Way], Field(min_length=1, max_length=64)]
+    route: Annotated[list[RouteSection], Field(min_length=1, max_length=64)]
     weight: Annotated[float, Field(gt=0, le=1000)] = 1.0
     discovery: Address
     counter: Address | None = None
     zone: Name = "a"
     zones: Annotated[list[Name], Field(min_length=1, max_length=64)] = ["a"]
-    rules: Rules = Rules()
-    allowed: Allowed = Allowed()
-    product: Annotated[list[Product], Field(min_length=1, max_length=64)]
-    plan: Annotated[list[Plan], Field(min_length=1, max_length=64)]
-    worker: Annotated[list[Worker], Field(max_length=4096)] = []
+    rules: RulesSection = RulesSection()
+    allowed: AllowedSection = AllowedSection()
+    product: Annotated[list[RequestClassSection], Field(min_length=1, max_length=64)]
+    plan: Annotated[list[PlanSection], Field(min_length=1, max_length=64)]
+    worker: Annotated[list[KnownEndpointSection], Field(max_length=4096)] = []
 
     @model_validator(mode="after")
-    def fits(self) -> Spec:
+    def fits(self) -> TenantSpec:
         twice([each.name for each in self.product], "product")
         twice([each.name for each in self.plan], "plan")
         twice([each.id for each in self.worker], "worker")
@@ -56,7 +66,7 @@
         return self
 
 
-class Named(Spec):
+class NamedTenantSpec(TenantSpec):
     """A tenant as a file or a create gives it."""
 
     name: TenantName
@@ -67,7 +77,7 @@
         return told
 
 
-class HostPart(Part):
+class HostSection(Section):
     name: Name
     listen: Address
     api: Address = "127.0.0.1:9090"
@@ -78,7 +88,7 @@
     txns: Annotated[int, Field(ge=2, le=10**6)] | None = None  # open at once; none: a third of the sockets
 
     @model_validator(mode="after")
-    def fits(self) -> HostPart:
+    def fits(self) -> HostSection:
         if self.ordinal >= self.gatekeepers:
             raise ValueError(f"ordinal {self.ordinal} counts from 0 and there are {self.gatekeepers}")
         if not self.api_beyond_loopback and not self.api.startswith("127."):
@@ -86,39 +96,39 @@
         return self
 
 
-class TokenPart(Part):
+class TokenSection(Section):
     id: Name
     role: Literal["operator", "tenant"]
     tenant: TenantName | None = None
     sha256: Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
 
     @model_validator(mode="after")
-    def fits(self) -> TokenPart:
+    def fits(self) -> TokenSection:
         if (self.role == "tenant") != (self.tenant is not None):
             raise ValueError("role tenant names its tenant, role operator none")
         return self
 
 
-class House(Part):
+class HostFile(Section):
     version: Literal[1]
-    host: HostPart
-    limits: Limits = Limits()
-    log: Log = Log()
-    token: Annotated[list[TokenPart], Field(max_length=4096)] = []
-    tenant: list[Named] = []
+    host: HostSection
+    limits: LimitsSection = LimitsSection()
+    log: LogSection = LogSection()
+    token: Annotated[list[TokenSection], Field(max_length=4096)] = []
+    tenant: list[NamedTenantSpec] = []
 
     @model_validator(mode="after")
-    def fits(self) -> House:
+    def fits(self) -> HostFile:
         twice([each.name for each in self.tenant], "tenant")
         twice([each.id for each in self.token], "token")
         return self
 
 
-def read_house(path: str) -> House:
-    return read(path, House, VERSION)
+def read_host_file(path: str) -> HostFile:
+    return read(path, HostFile, VERSION)
 
 
-def tenant_charter(house: House, name: str, serial: int, spec: Spec, lines: int) -> Charter:
+def tenant_config(house: HostFile, name: str, serial: int, spec: TenantSpec, lines: int) -> GatewayConfig:
     """A gatekeeper's charter, without a front of its own. Its counts bear its serial number: a name that is
     removed and made anew, or two tenants with customers of one number, share none."""
     told = {
@@ -141,7 +151,7 @@
             spec.counter is not None,
         ),
     }
-    charter = charter_of(told, {}, name)
+    charter = parse_config(told, {}, name)
     prefix, said = f"{name}-{serial}-", f"tenant {name}: "
     return dataclasses.replace(
         charter, lines=max(2, lines), prefix=prefix, said=said, watch_ms=TENANT_WATCH_MS
--- a/drumgw/config/quota_bounds.py
+++ b/drumgw/config/quota_bounds.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from drumgw.config.sections import Plan
+from drumgw.config.sections import PlanSection
 from drumgw.policy.engine import IDLE_MS
 
 USEFUL = 2.0  # a bound above so many times what the quota allows says nothing that an operator can use
@@ -36,7 +36,7 @@
         return self.times <= USEFUL
 
 
-def bound(plan: Plan, gatekeepers: int, seconds: float, restarts: int = 0) -> Bound | None:
+def bound(plan: PlanSection, gatekeepers: int, seconds: float, restarts: int = 0) -> Bound | None:
     """None for a plan without a quota. Of each gatekeeper: restarts. Split, replaced counters add nothing."""
     if not plan.units_per_s:
         return None
--- a/drumgw/config/sections.py
+++ b/drumgw/config/sections.py
@@ -13,13 +13,13 @@
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9._-]{1,40}$")]
 
 
-class Part(BaseModel):
+class Section(BaseModel):
     """A table of a file. A key that it does not have is a mistake."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
 
-class Product(Part):
+class RequestClassSection(Section):
     name: Name
     value: Some = 1.0
     sla_ms: Some
@@ -30,13 +30,13 @@
     late_value: Share = 0.2
 
     @model_validator(mode="after")
-    def fits(self) -> Product:
+    def fits(self) -> RequestClassSection:
         if self.sla_ms > self.expiry_ms:
             raise ValueError(f"sla_ms {self.sla_ms:g} is beyond expiry_ms {self.expiry_ms:g}")
         return self
 
 
-class Plan(Part):
+class PlanSection(Section):
     name: Name
     units_per_s: Amount = 0.0
     burst_units: Amount = 0.0
@@ -49,7 +49,7 @@
     ceiling_slack: Amount = 0.0
 
     @model_validator(mode="after")
-    def fits(self) -> Plan:
+    def fits(self) -> PlanSection:
         if self.units_per_s and self.burst_units < 1:
             raise ValueError("a plan with units_per_s needs burst_units of 1 or more")
         if self.ceiling_per_s and not (self.ceiling_burst >= 1 and self.ceiling_per_s >= self.units_per_s):
@@ -57,7 +57,7 @@
         return self
 
 
-class Rules(Part):
+class RulesSection(Section):
     """What must hold of cold workers and drains."""
 
     drain_grace_ms: Amount = 250.0
@@ -68,7 +68,7 @@
     answer_slack_ms: Amount = 8.0
 
 
-class Allowed(Part):
+class AllowedSection(Section):
     """What a gatekeeper may do."""
 
     submissions: Annotated[int, Field(ge=1, le=10)] = 3
@@ -84,7 +84,7 @@
 REPEATS = {"inquiry-like": "repeatable", "referenced": "by_key", "once-only": "once"}
 
 
-def product_settings(p: Product) -> dict[str, Any]:
+def product_settings(p: RequestClassSection) -> dict[str, Any]:
     return {
         "name": p.name,
         "idempotency": REPEATS[p.repeat],
@@ -97,7 +97,7 @@
     }
 
 
-def plan_settings(p: Plan) -> dict[str, Any]:
+def plan_settings(p: PlanSection) -> dict[str, Any]:
     return {
         "name": p.name,
         "unitsPerS": p.units_per_s,
@@ -113,10 +113,10 @@
 
 
 def settings(
-    products: list[Product],
-    plans: list[Plan],
-    rules: Rules,
-    allowed: Allowed,
+    products: list[RequestClassSection],
+    plans: list[PlanSection],
+    rules: RulesSection,
+    allowed: AllowedSection,
     zones: list[str],
     zone: str,
     gatekeepers: int,
--- a/drumgw/gateway/clock.py
+++ b/drumgw/gateway/clock.py
@@ -12,7 +12,7 @@
 LATE_MS = 20.0  # a beat later than this is a stall; a timer that late lets what has come be read first
 
 
-class Clock:
+class MonotonicClock:
     """Unix time in ms, anchored once, then carried by the monotonic clock so it never steps back."""
 
     def __init__(self) -> None:
@@ -26,10 +26,10 @@
         return (at_ms - self.anchor) / 1000.0
 
 
-class Pulse:
+class StallAwareClock:
     """Beats in the loop; a beat that comes late tells that the loop stood, and for how long."""
 
-    def __init__(self, clock: Clock, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, clock: MonotonicClock, loop: asyncio.AbstractEventLoop) -> None:
         self.clock, self.loop = clock, loop
         self.due = clock.now() + BEAT_MS
         self.stood_ms = 0.0  # since the start; at most a beat less than it was
@@ -62,7 +62,7 @@
 
     __slots__ = ("pulse", "at_ms", "call", "handle")
 
-    def __init__(self, pulse: Pulse, at_ms: float, call: Callable[[], None]) -> None:
+    def __init__(self, pulse: StallAwareClock, at_ms: float, call: Callable[[], None]) -> None:
         self.pulse, self.at_ms, self.call = pulse, at_ms, call
         self.handle = pulse.loop.call_at(pulse.clock.loop_time(at_ms), self.ring)
 
--- a/drumgw/gateway/connection_pool.py
+++ b/drumgw/gateway/connection_pool.py
@@ -22,37 +22,37 @@
 from aiohttp.http_parser import RawResponseMessage
 from yarl import URL
 
-from drumgw.gateway.clock import Pulse, Timer
+from drumgw.gateway.clock import StallAwareClock, Timer
 from drumgw.gateway.process_config import MOST_BODY, MOST_HEAD
 
-BROKEN = (aiohttp.ClientError, HttpProcessingError, OSError, TimeoutError)
+CONNECTION_ERRORS = (aiohttp.ClientError, HttpProcessingError, OSError, TimeoutError)
 HEAD = b"HTTP/1."
 NO_BODY = (204, 304)
 REST_MS = 10.0  # what a peer says too much comes some milliseconds late (the fleet's page)
 MOST_CHUNKS = 64  # bodies; above what one read brings, so that aiohttp never pauses a connection
 ONE_READ = 256 * 1024
-Answer = tuple[RawResponseMessage, bytes]
+RawResponse = tuple[RawResponseMessage, bytes]
 
 
-class Spoilt(aiohttp.ClientError):
+class MalformedResponseError(aiohttp.ClientError):
     """What came is no answer, or none that was asked for: the connection can't be used any more."""
 
 
-class TooLate(aiohttp.ClientError):
+class WriteDeadlineError(aiohttp.ClientError):
     """The request's last byte would leave after the moment that was told: it was not sent whole."""
 
 
-class Wire(ResponseHandler):
+class PeerConnection(ResponseHandler):
     """A connection and the answers owed on it, in their order. It ends with the first that is not."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, lines: Lines) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, lines: ConnectionPool) -> None:
         super().__init__(loop)
         self.lines, self.owed, self.got = lines, 0, b""  # got: bounded by a head and a body
         self.message: RawResponseMessage | None = None  # its head was read, its body not yet
         self.length: int | None = 0  # of its body; none: till the end
         self.chunks: HttpResponseParser | None = None
         self.body: aiohttp.StreamReader | None = None  # of chunks
-        self.heard: Callable[[Answer], None] | None = None  # set by who uses it; so is lost
+        self.heard: Callable[[RawResponse], None] | None = None  # set by who uses it; so is lost
         self.lost: Callable[[BaseException], None] | None = None
         self.timer: Timer | None = None
         self.ended = False  # the peer itself ended its sending
@@ -94,7 +94,7 @@
         try:
             while self.got:
                 if not self.owed:
-                    raise Spoilt("more came than was asked for")
+                    raise MalformedResponseError("more came than was asked for")
                 if not self.advance():
                     break
         except (aiohttp.ClientError, HttpProcessingError) as error:
@@ -112,7 +112,7 @@
             end = self.got.find(b"\r\n\r\n") + 4
             if end < 4:
                 if len(self.got) > MOST_HEAD or not HEAD.startswith(self.got[: len(HEAD)]):
-                    raise Spoilt("no head of an answer")
+                    raise MalformedResponseError("no head of an answer")
                 return False
             head, self.got = self.got[:end], self.got[end:]
             self.begin(head)
@@ -121,7 +121,7 @@
                 return False
         elif self.length is None or len(self.got) < self.length:
             if len(self.got) > self.lines.most_body:
-                raise Spoilt("a body without end")
+                raise MalformedResponseError("a body without end")
             return False
         else:
             body, self.got = self.got[: self.length], self.got[self.length :]
@@ -131,10 +131,10 @@
     def begin(self, head: bytes) -> None:
         messages, upgraded, _ = self.heads.feed_data(head)
         if len(messages) != 1 or upgraded:
-            raise Spoilt("no head of an answer")
+            raise MalformedResponseError("no head of an answer")
         message = messages[0][0]
         if message.code == 101:
-            raise Spoilt("another protocol")
+            raise MalformedResponseError("another protocol")
         if message.code < 200:
             return  # the answer is still to come
         said = message.headers.get("Content-Length")
@@ -147,7 +147,7 @@
             )
             self.body = self.chunks.feed_data(head)[0][0][1]
         elif self.length is None and not message.should_close or (self.length or 0) > self.lines.most_body:
-            raise Spoilt(f"a body of {said} bytes")
+            raise MalformedResponseError(f"a body of {said} bytes")
         if message.should_close or self.length is None and self.chunks is None:
             self.force_close()
         if self.length == 0:
@@ -162,7 +162,7 @@
                 raise
             self.force_close()  # noise behind the last chunk
         if body.total_bytes > self.lines.most_body:
-            raise Spoilt("a body without end")
+            raise MalformedResponseError("a body without end")
         if not body.is_eof():
             return False
         self.done(body.read_nowait())
@@ -177,7 +177,7 @@
 
     def stalled(self) -> None:
         """Guards txns against an answer that began and never ends: what is left of it is a packet's time."""
-        self.spoil(Spoilt("an answer that stopped within"))
+        self.spoil(MalformedResponseError("an answer that stopped within"))
 
     def spoil(self, error: BaseException) -> None:
         self.force_close()
@@ -209,7 +209,7 @@
         self.lose(exc if isinstance(exc, OSError) else aiohttp.ServerDisconnectedError())
 
 
-class Trip:
+class Exchange:
     """An exchange under way. It can be given up at any time; its connection is then closed at once."""
 
     __slots__ = ("connection", "written", "write_by", "timer", "before")
@@ -237,11 +237,16 @@
             self.timer = None
 
 
-class Lines:
+class ConnectionPool:
     """The connections to one kind of peer: so many at most, none kept idle for longer than told."""
 
     def __init__(
-        self, most: int, idle_ms: float, connect_ms: float | None, pulse: Pulse, most_body: int = MOST_BODY
+        self,
+        most: int,
+        idle_ms: float,
+        connect_ms: float | None,
+        pulse: StallAwareClock,
+        most_body: int = MOST_BODY,
     ) -> None:
         self.most_body = most_body
         self.before: Callable[[], None] = no_need  # called before a first byte; may give up its trip
@@ -251,8 +256,8 @@
         # Settings that name no idle time: none is known to be safe, so none is kept
         kept: dict[str, Any] = {"keepalive_timeout": idle_ms / 1000.0} if idle_ms else {"force_close": True}
         self.connector = aiohttp.TCPConnector(limit=most, use_dns_cache=False, **kept)
-        self.connector._factory = partial(Wire, self.loop, self)  # type: ignore[assignment]
-        self.wires: set[Wire] = set()  # those open; emptied as they close
+        self.connector._factory = partial(PeerConnection, self.loop, self)  # type: ignore[assignment]
+        self.wires: set[PeerConnection] = set()  # those open; emptied as they close
 
     def card(self, address: str, owner: str | None = None) -> aiohttp.ClientRequest:
         """What the connector knows a peer by: kept connections are its own, wherever it stands."""
@@ -262,12 +267,14 @@
         """The rest of an answer that began comes within the time in which a connection comes up."""
         return self.pulse.at(self.pulse.now() + self.packet_ms, late) if self.packet_ms else None
 
-    async def connect(self, card: aiohttp.ClientRequest) -> tuple[aiohttp.connector.Connection, Wire]:
+    async def connect(
+        self, card: aiohttp.ClientRequest
+    ) -> tuple[aiohttp.connector.Connection, PeerConnection]:
         if len(self.wires) >= self.most and card.connection_key not in self.connector._conns:
             self.drop(next(iter(self.connector._conns), None))
         connection = await self.connector.connect(card, [], self.patience)
         wire = connection.protocol
-        if not isinstance(wire, Wire) or wire.transport is None:
+        if not isinstance(wire, PeerConnection) or wire.transport is None:
             connection.close()
             raise aiohttp.ServerDisconnectedError
         return connection, wire
@@ -277,19 +284,19 @@
         for wire, _ in self.connector._conns.pop(key, ()):  # type: ignore[call-overload]
             wire.close()
 
-    async def ask(self, card: aiohttp.ClientRequest, request: bytes, trip: Trip) -> Answer:
+    async def ask(self, card: aiohttp.ClientRequest, request: bytes, trip: Exchange) -> RawResponse:
         """The whole answer. Where it raises or is cancelled, the connection is closed."""
         trip.connection, wire = await self.connect(card)
         self.before()
         trip.before()
         if trip.connection is None:  # given up just now, and cancelled
             raise asyncio.CancelledError
-        answer: asyncio.Future[Answer] = self.loop.create_future()
+        answer: asyncio.Future[RawResponse] = self.loop.create_future()
         try:
             if wire.transport is None or wire.transport.is_closing():  # what is written on it would vanish
                 raise aiohttp.ServerDisconnectedError
             if self.pulse.now() >= trip.write_by:
-                raise TooLate
+                raise WriteDeadlineError
             wire.heard, wire.lost = partial(settle, answer), partial(fail, answer)
             wire.ask(request)
             if wire.transport is None or wire.transport.is_closing():  # the system did not take it
@@ -313,7 +320,9 @@
                 self.keep(card, connection, wire)
         return found
 
-    def keep(self, card: aiohttp.ClientRequest, connection: aiohttp.connector.Connection, wire: Wire) -> None:
+    def keep(
+        self, card: aiohttp.ClientRequest, connection: aiohttp.connector.Connection, wire: PeerConnection
+    ) -> None:
         """Not at once: guards the next txn on it, for which a second answer to the last would be taken. Till
         now it came to nobody, and ended the connection."""
         connection.release()
@@ -321,10 +330,10 @@
         if kept and kept[-1][0] is wire:
             kept.rotate(1)  # the last used is used next: the longer one lies, the likelier it is dead
 
-    def too_late(self, wire: Wire) -> None:
+    def too_late(self, wire: PeerConnection) -> None:
         """Guards the window of a repeat: its worker reads slowly, and a part of it is still here."""
         if wire.writing_paused:
-            wire.spoil(TooLate())
+            wire.spoil(WriteDeadlineError())
 
     async def close(self) -> None:
         await self.connector.close()
@@ -333,11 +342,11 @@
 def no_need() -> None: ...
 
 
-def settle(future: asyncio.Future[Answer], answer: Answer) -> None:
+def settle(future: asyncio.Future[RawResponse], answer: RawResponse) -> None:
     if not future.done():
         future.set_result(answer)
 
 
-def fail(future: asyncio.Future[Answer], error: BaseException) -> None:
+def fail(future: asyncio.Future[RawResponse], error: BaseException) -> None:
     if not future.done():
         future.set_exception(error)
--- a/drumgw/gateway/counter_client.py
+++ b/drumgw/gateway/counter_client.py
@@ -6,47 +6,53 @@
 from functools import partial
 
 from drumgw.gateway.clock import Timer
-from drumgw.gateway.connection_pool import BROKEN, Answer, Lines, Trip, Wire
-from drumgw.gateway.dispatcher import Desk
-from drumgw.gateway.process_config import COUNTER_LINES, Charter
+from drumgw.gateway.connection_pool import (
+    CONNECTION_ERRORS,
+    ConnectionPool,
+    Exchange,
+    PeerConnection,
+    RawResponse,
+)
+from drumgw.gateway.dispatcher import Dispatcher
+from drumgw.gateway.process_config import COUNTER_LINES, GatewayConfig
 from drumgw.gateway.request_parsing import read_number
-from drumgw.model.actions import Add
-from drumgw.model.events import End
+from drumgw.model.actions import AddToCounter
+from drumgw.model.events import Outcome
 
 IDLE_MS = 5000.0  # the counter closes what stood idle for about 10 s or less (the protocol's figure)
 TURNED_AWAY = (400, 404, 503)
 
 
-class Call:
+class CounterCall:
     """One call. Its answer counts until its time is over, and is told once."""
 
     __slots__ = ("order", "asked_at", "written", "end", "total", "took_ms", "timer")
 
-    def __init__(self, order: Add, asked_at: float) -> None:
+    def __init__(self, order: AddToCounter, asked_at: float) -> None:
         self.order, self.asked_at, self.written = order, asked_at, False
-        self.end: End | None = None
+        self.end: Outcome | None = None
         self.total = self.took_ms = 0.0
         self.timer: Timer | None = None
 
 
-class Lane:
+class CounterConnection:
     """A connection to the counter. Its mailbox holds the calls that were not answered on it."""
 
-    def __init__(self, counter: Counter) -> None:
-        self.counter, self.trip, self.open, self.used_at = counter, Trip(), True, counter.pulse.now()
-        self.mailbox: deque[Call] = deque()  # emptied by answers, or at once when the lane closes
-        self.wire: Wire | None = None  # once it is up
+    def __init__(self, counter: CounterClient) -> None:
+        self.counter, self.trip, self.open, self.used_at = counter, Exchange(), True, counter.pulse.now()
+        self.mailbox: deque[CounterCall] = deque()  # emptied by answers, or at once when the lane closes
+        self.wire: PeerConnection | None = None  # once it is up
         self.task = counter.loop.create_task(self.run())
 
-    def put(self, call: Call) -> None:
+    def put(self, call: CounterCall) -> None:
         self.mailbox.append(call)
         if self.wire is not None:
             self.write(self.wire, call)
 
-    def write(self, wire: Wire, call: Call) -> None:
+    def write(self, wire: PeerConnection, call: CounterCall) -> None:
         order = call.order
-        name = f"{self.counter.prefix}{order.name}"
-        target = f"/counters/{name}?by={order.amount:.12g}&expire_ms={order.lives_ms:.0f}"
+        name = f"{self.counter.prefix}{order.counter_key}"
+        target = f"/counters/{name}?by={order.amount:.12g}&expire_ms={order.ttl_ms:.0f}"
         wire.ask(
             (
                 f"POST {target} HTTP/1.1\r\nHost: {self.counter.address}\r\n" "Content-Length: 0\r\n\r\n"
@@ -61,23 +67,23 @@
             self.wire.heard, self.wire.lost = self.answered, lambda _: self.close()
             for call in self.mailbox:
                 self.write(self.wire, call)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             self.close()
         except Exception as error:
             self.counter.desk.complain(error, "the counter's lane")
             self.close()
 
-    def answered(self, answer: Answer) -> None:
+    def answered(self, answer: RawResponse) -> None:
         """Guards the books: after an answer without a number the connection means nothing any more."""
         message, body = answer
         call, total = self.mailbox.popleft(), read_number(body)
         self.used_at = self.counter.pulse.now()
         if message.code in TURNED_AWAY:
-            self.counter.ended(call, End.FULL, 0.0)
+            self.counter.ended(call, Outcome.REJECTED, 0.0)
         elif message.code == 200 and total is not None:
-            self.counter.ended(call, End.SETTLED, total)
+            self.counter.ended(call, Outcome.SUCCEEDED, total)
         else:
-            self.counter.ended(call, End.TIMEOUT, 0.0)
+            self.counter.ended(call, Outcome.TIMED_OUT, 0.0)
             self.close()
         if message.should_close:  # what is written behind it would be unsure for nothing
             self.close()
@@ -99,17 +105,19 @@
         self.trip.close()
         self.task.cancel()
         for call in rest:  # written, it may have been added, or may yet be
-            self.counter.ended(call, End.TIMEOUT if call.written else End.UNREACHED, 0.0)
+            self.counter.ended(call, Outcome.TIMED_OUT if call.written else Outcome.UNREACHABLE, 0.0)
 
 
-class Counter:
-    def __init__(self, charter: Charter, desk: Desk) -> None:
+class CounterClient:
+    def __init__(self, charter: GatewayConfig, desk: Dispatcher) -> None:
         assert charter.counter is not None
         self.desk, self.loop, self.pulse = desk, desk.loop, desk.pulse
-        self.wait_ms, self.most = charter.terms.counter_wait_ms, 4 * charter.lines
-        self.lines = Lines(COUNTER_LINES, IDLE_MS, None, desk.pulse)
-        self.lanes: set[Lane] = set()  # 32 at most; emptied as they close
-        self.names: dict[int, tuple[deque[Call], Lane | None]] = {}  # calls out; emptied by their ends
+        self.wait_ms, self.most = charter.terms.counter_timeout_ms, 4 * charter.lines
+        self.lines = ConnectionPool(COUNTER_LINES, IDLE_MS, None, desk.pulse)
+        self.lanes: set[CounterConnection] = set()  # 32 at most; emptied as they close
+        self.names: dict[
+            int, tuple[deque[CounterCall], CounterConnection | None]
+        ] = {}  # calls out; emptied by their ends
         self.waiting, self.prefix = 0, charter.prefix
         self.move(charter.counter)
 
@@ -125,21 +133,21 @@
             lane.close()
         await self.lines.close()
 
-    def call(self, order: Add) -> None:
+    def call(self, order: AddToCounter) -> None:
         """Calls of a name go behind each other on one lane, so none waits for another's answer."""
         now = self.pulse.now()
-        call = Call(order, now - self.pulse.stood_ms)
-        queue, last = self.names.get(order.name, (deque(), None))
+        call = CounterCall(order, now - self.pulse.stood_ms)
+        queue, last = self.names.get(order.counter_key, (deque(), None))
         lane = last if last is not None and last.open else self.lane(now)
         queue.append(call)
-        self.waiting, self.names[order.name] = self.waiting + 1, (queue, lane)
+        self.waiting, self.names[order.counter_key] = self.waiting + 1, (queue, lane)
         if lane is None or self.waiting > self.most:
-            self.ended(call, End.UNREACHED, 0.0)
+            self.ended(call, Outcome.UNREACHABLE, 0.0)
             return
         call.timer = self.pulse.at(now + self.wait_ms, partial(self.overdue, call, lane))
         lane.put(call)
 
-    def lane(self, now: float) -> Lane | None:
+    def lane(self, now: float) -> CounterConnection | None:
         """An idle one, a new one while there may be more, else the one with the fewest calls."""
         lanes = [lane for lane in self.lanes if lane.open]
         for lane in lanes:
@@ -149,17 +157,17 @@
                 return lane
             lane.close()
         if len(self.lanes) < COUNTER_LINES:
-            lane = Lane(self)
+            lane = CounterConnection(self)
             self.lanes.add(lane)
             return lane
         return min(lanes, key=lambda x: len(x.mailbox)) if lanes else None
 
-    def overdue(self, call: Call, lane: Lane) -> None:
+    def overdue(self, call: CounterCall, lane: CounterConnection) -> None:
         """A late total reaches nobody: its call is over, and new calls go to another lane."""
-        self.ended(call, End.TIMEOUT if call.written else End.UNREACHED, 0.0)
+        self.ended(call, Outcome.TIMED_OUT if call.written else Outcome.UNREACHABLE, 0.0)
         lane.retire()
 
-    def ended(self, call: Call, end: End, total: float) -> None:
+    def ended(self, call: CounterCall, end: Outcome, total: float) -> None:
         """Told in the order of the name's calls, as the module reads them."""
         if call.end is not None:
             return
@@ -167,10 +175,12 @@
         call.took_ms = self.pulse.now() - self.pulse.stood_ms - call.asked_at
         if call.timer is not None:
             call.timer.cancel()
-        queue, _ = self.names[call.order.name]
+        queue, _ = self.names[call.order.counter_key]
         while queue and (first := queue[0]).end is not None:
             queue.popleft()
             self.waiting -= 1
             if not queue:
-                del self.names[call.order.name]
-            self.desk.post(self.desk.core.total, first.order.name, first.end, first.total, first.took_ms)
+                del self.names[call.order.counter_key]
+            self.desk.post(
+                self.desk.core.total, first.order.counter_key, first.end, first.total, first.took_ms
+            )
--- a/drumgw/gateway/discovery.py
+++ b/drumgw/gateway/discovery.py
@@ -10,12 +10,12 @@
 
 from loguru import logger
 
-from drumgw.gateway.connection_pool import Answer, Lines, Trip
-from drumgw.gateway.dispatcher import Desk
-from drumgw.gateway.endpoint_clients import Workers
-from drumgw.gateway.membership import SILENT_START_MS, UNREADABLE, Change, Membership, worker_id
-from drumgw.gateway.process_config import BadCharter, Charter
-from drumgw.model.events import Health
+from drumgw.gateway.connection_pool import ConnectionPool, Exchange, RawResponse
+from drumgw.gateway.dispatcher import Dispatcher
+from drumgw.gateway.endpoint_clients import EndpointClients
+from drumgw.gateway.membership import SILENT_START_MS, UNREADABLE, Membership, MembershipChange, worker_id
+from drumgw.gateway.process_config import ConfigError, GatewayConfig
+from drumgw.model.events import EndpointStatus
 
 GRACE_PART, PACE_MOST_MS = 0.25, 150.0  # of a drain's grace; the most, as lists help service
 SLOW_MS = 2000.0  # a slow agent is waited for as long (the protocol's, once a wait is over)
@@ -38,7 +38,7 @@
 MOST_LIST = 4 * 1024 * 1024  # bytes; thousands of workers
 
 
-class Outcome(Enum):
+class CallOutcome(Enum):
     """How a call to discovery ended."""
 
     ANSWERED = "answered"
@@ -47,22 +47,25 @@
     DROPPED = "given up: discovery moved, or another call was answered"
 
 
-class TurnedAway(ValueError):
+class DiscoveryOverloadedError(ValueError):
     """Discovery has too many calls."""
 
 
-PAUSES = {Outcome.TURNED_AWAY: (BACK_OFF_MS, BACK_OFF_MOST_MS), Outcome.FAILED: (RETRY_MS, RETRY_MOST_MS)}
+PAUSES = {
+    CallOutcome.TURNED_AWAY: (BACK_OFF_MS, BACK_OFF_MOST_MS),
+    CallOutcome.FAILED: (RETRY_MS, RETRY_MOST_MS),
+}
 
 
-class Discovery:
-    def __init__(self, charter: Charter, desk: Desk, workers: Workers) -> None:
+class DiscoveryClient:
+    def __init__(self, charter: GatewayConfig, desk: Dispatcher, workers: EndpointClients) -> None:
         self.charter, self.desk, self.workers, self.pulse = charter, desk, workers, desk.pulse
         self.membership = Membership(charter.names)
         try:
             Membership(charter.names).stand_in(charter.known)
         except UNREADABLE as bad:
-            raise BadCharter(f"known cannot be read: {bad!r}") from bad
-        self.lines = Lines(LINES, IDLE_MS, CONNECT_MS, desk.pulse, MOST_LIST)
+            raise ConfigError(f"known cannot be read: {bad!r}") from bad
+        self.lines = ConnectionPool(LINES, IDLE_MS, CONNECT_MS, desk.pulse, MOST_LIST)
         self.calls: set[asyncio.Task[None]] = set()  # those out; emptied as they end
         self.tasks: list[asyncio.Task[None]] = []  # the watch and its scout
         self.round = 0  # a call that began before the last word, or a move, tells nothing any more
@@ -139,7 +142,7 @@
         service: many gateways that ask again before its line has come to them keep it too long for all."""
         outcome, failures = await self.call(0.0, ANSWER_MS, 0.0), 0  # answered though there is no news
         while True:
-            going_on = outcome is Outcome.ANSWERED
+            going_on = outcome is CallOutcome.ANSWERED
             outcome = await self.call(NEWS_MS, SILENT_MS if going_on else ANSWER_MS, GO_ON_MS)
             if outcome in PAUSES:
                 least_ms, most_ms = PAUSES[outcome]
@@ -157,7 +160,7 @@
             else:
                 await self.call(self.pace_ms / 2, self.pace_ms, self.pace_ms)
 
-    async def call(self, wait_ms: float, patience_ms: float, least_ms: float) -> Outcome:
+    async def call(self, wait_ms: float, patience_ms: float, least_ms: float) -> CallOutcome:
         """One call that the agent may let wait; given up when another one is answered or discovery moves."""
         end = self.pulse.now() + least_ms
         call = asyncio.create_task(self.ask(wait_ms, patience_ms))
@@ -168,16 +171,16 @@
             self.calls.discard(call)
             call.cancel()
         if call.cancelled():
-            return Outcome.DROPPED
+            return CallOutcome.DROPPED
         if (error := call.exception()) is not None:
             self.hear(error)
         await asyncio.sleep(max(0.0, end - self.pulse.now()) / 1000)
         if error is None:
-            return Outcome.ANSWERED
-        return Outcome.TURNED_AWAY if isinstance(error, TurnedAway) else Outcome.FAILED
+            return CallOutcome.ANSWERED
+        return CallOutcome.TURNED_AWAY if isinstance(error, DiscoveryOverloadedError) else CallOutcome.FAILED
 
     async def ask(self, wait_ms: float, patience_ms: float) -> None:
-        trip, over, end = Trip(), self.desk.loop.create_future(), self.pulse.now() + patience_ms
+        trip, over, end = Exchange(), self.desk.loop.create_future(), self.pulse.now() + patience_ms
         async with asyncio.timeout(patience_ms / 1000):
             connection, wire = await self.lines.connect(self.card)
         trip.connection = connection
@@ -216,7 +219,7 @@
         begun: int,
         plain: bool,
         asked_at: float,
-        answer: Answer,
+        answer: RawResponse,
     ) -> None:
         """Acts within the turn in which the bytes are read: no txn of that turn goes by an older list."""
         if over.done() or begun != self.round:
@@ -225,7 +228,7 @@
         now = self.looked_at = self.pulse.now()
         try:
             if message.code != 200:
-                kind = TurnedAway if message.code in TOO_MANY else ValueError
+                kind = DiscoveryOverloadedError if message.code in TOO_MANY else ValueError
                 raise kind(f"discovery answers {message.code}")
             change = self.membership.take(now, json.loads(body), plain)
         except Exception as error:  # no list that can be read: the last one stands
@@ -243,20 +246,20 @@
         if not over.done():
             over.set_result(None)
 
-    def act(self, change: Change, how: str) -> None:
+    def act(self, change: MembershipChange, how: str) -> None:
         """The module first: what the drained workers give back must not go to others of the same list."""
         for row in change.up:
-            self.workers.place(row.entry.worker, row.address, row.entry.born_ms)
-        if change.listed.entries or change.listed.whole:
+            self.workers.place(row.entry.endpoint_id, row.address, row.entry.started_at_ms)
+        if change.listed.endpoints or change.listed.is_complete:
             self.desk.post(self.desk.core.listed, change.listed)
-        for health in (Health.DRAINING, Health.GONE):
+        for health in (EndpointStatus.DRAINING, EndpointStatus.REMOVED):
             for name in change.told.get(health, ()):
-                self.workers.drain(worker_id(name), gone=health is Health.GONE)
+                self.workers.drain(worker_id(name), gone=health is EndpointStatus.REMOVED)
         self.log(change, how)
 
     # The log
 
-    def log(self, change: Change, how: str) -> None:
+    def log(self, change: MembershipChange, how: str) -> None:
         for health, names in change.told.items():
             numbered = ", ".join(f"{worker_id(name)} ({name})" for name in names)
             logger.info("{}{}: {} now {}: {}", self.desk.said, how, len(names), health.value, numbered)
--- a/drumgw/gateway/dispatcher.py
+++ b/drumgw/gateway/dispatcher.py
@@ -13,50 +13,62 @@
 
 from loguru import logger
 
-from drumgw.gateway.clock import Pulse, Timer
+from drumgw.gateway.clock import StallAwareClock, Timer
 from drumgw.gateway.invariants import invariant
-from drumgw.gateway.request_lifecycle import Alarm, Core, Effect, Fault, Reply, Send, Stop
-from drumgw.gateway.request_parsing import Passage
-from drumgw.model.actions import Add, Say, Wake
+from drumgw.gateway.request_lifecycle import (
+    AbortAttempt,
+    Command,
+    ReportFault,
+    RequestLifecycle,
+    ScheduleDeadline,
+    SendResponse,
+    StartAttempt,
+)
+from drumgw.gateway.request_parsing import ClientRequest
+from drumgw.model.actions import AddToCounter, LogMessage, SetTimer
 
 
-class Workers(Protocol):
-    def send(self, order: Send, passage: Passage) -> None: ...
+class AttemptTransport(Protocol):
+    def send(self, order: StartAttempt, passage: ClientRequest) -> None: ...
 
-    def stop(self, order: Stop) -> None: ...
+    def stop(self, order: AbortAttempt) -> None: ...
 
     def give_back(self, txn: int, submission: int) -> None: ...
 
 
-class Counter(Protocol):
-    def call(self, order: Add) -> None: ...
+class CounterTransport(Protocol):
+    def call(self, order: AddToCounter) -> None: ...
 
 
-class Desk:
-    def __init__(self, core: Core, pulse: Pulse, most: int, said: str = "") -> None:
+class Dispatcher:
+    def __init__(self, core: RequestLifecycle, pulse: StallAwareClock, most: int, said: str = "") -> None:
         self.core, self.pulse, self.loop, self.said = core, pulse, pulse.loop, said
-        self.workers: Workers | None = None  # set before the first txn
-        self.counter: Counter | None = None
+        self.workers: AttemptTransport | None = None  # set before the first txn
+        self.counter: CounterTransport | None = None
         self.most = most
-        self.mailbox: deque[tuple[Callable[..., list[Effect]], tuple[Any, ...]]] = deque()  # emptied by drain
+        self.mailbox: deque[tuple[Callable[..., list[Command]], tuple[Any, ...]]] = (
+            deque()
+        )  # emptied by drain
         self.draining = False
-        self.waiting: dict[int, tuple[Passage, asyncio.Future[Reply]]] = {}  # emptied by the replies
+        self.waiting: dict[
+            int, tuple[ClientRequest, asyncio.Future[SendResponse]]
+        ] = {}  # emptied by the replies
         self.alarms: dict[int, Timer] = {}  # expiries; emptied as txns leave the hand
         self.wakes: dict[int, asyncio.TimerHandle] = {}  # by label, of which there are few
         self.routes: dict[type, Callable[[Any], None]] = {
-            Send: self.on_send,
-            Stop: self.on_stop,
-            Reply: self.on_reply,
-            Alarm: self.on_alarm,
-            Fault: self.on_fault,
-            Add: self.on_add,
-            Wake: self.on_wake,
-            Say: self.on_say,
+            StartAttempt: self.on_send,
+            AbortAttempt: self.on_stop,
+            SendResponse: self.on_reply,
+            ScheduleDeadline: self.on_alarm,
+            ReportFault: self.on_fault,
+            AddToCounter: self.on_add,
+            SetTimer: self.on_wake,
+            LogMessage: self.on_say,
         }
 
     # The mailbox
 
-    def post(self, call: Callable[..., list[Effect]], *args: Any) -> None:
+    def post(self, call: Callable[..., list[Command]], *args: Any) -> None:
         """What comes from inside is bounded by what is out: each submission, call and alarm ends once."""
         self.mailbox.append((call, args))
         invariant(len(self.mailbox) <= self.most, "the module's mailbox is within its bound")
@@ -80,22 +92,22 @@
         self.core.stood = self.pulse.stood_ms
         return now
 
-    def carry_out(self, effects: list[Effect]) -> None:
+    def carry_out(self, effects: list[Command]) -> None:
         for effect in effects:
             try:
                 self.routes[type(effect)](effect)
             except Exception as error:  # an adapter's failure: its txn is answered, the process lives
                 self.complain(error, "an adapter")
-                txn = getattr(effect, "txn", None)
+                txn = getattr(effect, "request_id", None)
                 if txn is not None:
                     self.mailbox.append((self.core.abandon, (txn,)))
 
     # Txns, from the front
 
-    def take(self, passage: Passage) -> asyncio.Future[Reply]:
+    def take(self, passage: ClientRequest) -> asyncio.Future[SendResponse]:
         """Hands a txn to the module; the future is its answer, often there at once."""
         invariant(not self.draining, "the front calls from its own turn")
-        reply: asyncio.Future[Reply] = self.loop.create_future()
+        reply: asyncio.Future[SendResponse] = self.loop.create_future()
         self.draining = True
         try:
             now = self.now()
@@ -117,41 +129,41 @@
 
     # Effects
 
-    def on_send(self, order: Send) -> None:
+    def on_send(self, order: StartAttempt) -> None:
         assert self.workers is not None
-        self.workers.send(order, self.waiting[order.txn][0])
+        self.workers.send(order, self.waiting[order.request_id][0])
 
-    def on_stop(self, order: Stop) -> None:
+    def on_stop(self, order: AbortAttempt) -> None:
         assert self.workers is not None
         self.workers.stop(order)
 
-    def on_reply(self, reply: Reply) -> None:
-        _, waiting = self.waiting.pop(reply.txn, (None, None))
+    def on_reply(self, reply: SendResponse) -> None:
+        _, waiting = self.waiting.pop(reply.request_id, (None, None))
         if waiting is not None and not waiting.done():
             waiting.set_result(reply)
-        self.disarm(reply.txn)
+        self.disarm(reply.request_id)
 
     def disarm(self, txn: int) -> None:
         if txn not in self.core.hand and (alarm := self.alarms.pop(txn, None)) is not None:
             alarm.cancel()
 
-    def on_alarm(self, alarm: Alarm) -> None:
+    def on_alarm(self, alarm: ScheduleDeadline) -> None:
         handle = self.pulse.at(alarm.at_ms, partial(self.ring, alarm))
-        if alarm.submission < 0:
-            self.alarms[alarm.txn] = handle
+        if alarm.attempt < 0:
+            self.alarms[alarm.request_id] = handle
 
-    def ring(self, alarm: Alarm) -> None:
-        if alarm.submission < 0:
-            self.alarms.pop(alarm.txn, None)
-        self.post(self.core.alarm, alarm.txn, alarm.submission)
+    def ring(self, alarm: ScheduleDeadline) -> None:
+        if alarm.attempt < 0:
+            self.alarms.pop(alarm.request_id, None)
+        self.post(self.core.alarm, alarm.request_id, alarm.attempt)
 
-    def on_add(self, order: Add) -> None:
+    def on_add(self, order: AddToCounter) -> None:
         assert self.counter is not None
         self.counter.call(order)
 
-    def on_wake(self, order: Wake) -> None:
-        self.wakes[order.label] = self.loop.call_later(
-            order.after_ms / 1000.0, self.post, self.core.due, order.label
+    def on_wake(self, order: SetTimer) -> None:
+        self.wakes[order.timer_id] = self.loop.call_later(
+            order.delay_ms / 1000.0, self.post, self.core.due, order.timer_id
         )
 
     def close(self) -> None:
@@ -163,11 +175,11 @@
         self.wakes.clear()
         self.alarms.clear()
 
-    def on_fault(self, fault: Fault) -> None:
+    def on_fault(self, fault: ReportFault) -> None:
         self.complain(fault.error, "the module")
 
     def complain(self, error: Exception, where: str) -> None:
         logger.opt(exception=error).error("{}fault in {}: {!r}", self.said, where, error)
 
-    def on_say(self, line: Say) -> None:
+    def on_say(self, line: LogMessage) -> None:
         logger.info("{}{}", self.said, line.text)
--- a/drumgw/gateway/endpoint_clients.py
+++ b/drumgw/gateway/endpoint_clients.py
@@ -9,43 +9,43 @@
 
 import aiohttp
 
-from drumgw.gateway.connection_pool import BROKEN, Lines, TooLate, Trip
-from drumgw.gateway.dispatcher import Desk
-from drumgw.gateway.process_config import Charter
-from drumgw.gateway.request_lifecycle import Send, Stop
-from drumgw.gateway.request_parsing import Passage, read_number
-from drumgw.model.events import End
+from drumgw.gateway.connection_pool import CONNECTION_ERRORS, ConnectionPool, Exchange, WriteDeadlineError
+from drumgw.gateway.dispatcher import Dispatcher
+from drumgw.gateway.process_config import GatewayConfig
+from drumgw.gateway.request_lifecycle import AbortAttempt, StartAttempt
+from drumgw.gateway.request_parsing import ClientRequest, read_number
+from drumgw.model.events import Outcome
 from drumgw.model.settings_reader import LOADS
 
 TURNED_AWAY = (503, 504)
 Key = tuple[int, int]
 
 
-class Outcome:
+class AttemptResult:
     __slots__ = ("end", "units", "load", "answer")
 
     def __init__(
-        self, end: End, units: float = 0.0, load: dict[str, float] | None = None, answer: Any = None
+        self, end: Outcome, units: float = 0.0, load: dict[str, float] | None = None, answer: Any = None
     ) -> None:
         self.end, self.units, self.load, self.answer = end, units, load or {}, answer
 
 
-class Worker:
+class EndpointClient:
     """A worker's actor. Its mailbox holds what was sent to it and has not ended."""
 
     def __init__(self) -> None:
         self.place, self.open = ("", ""), True  # its address, and whose connections stand there
         self.made: aiohttp.ClientRequest | None = None
-        self.mailbox: dict[Key, tuple[asyncio.Task[None], Trip]] = {}  # emptied by ends and stops
+        self.mailbox: dict[Key, tuple[asyncio.Task[None], Exchange]] = {}  # emptied by ends and stops
 
 
-class Workers:
-    def __init__(self, charter: Charter, desk: Desk) -> None:
+class EndpointClients:
+    def __init__(self, charter: GatewayConfig, desk: Dispatcher) -> None:
         self.desk, self.loop, self.most = desk, desk.loop, charter.lines
-        self.lines = Lines(charter.lines, charter.idle_ms, charter.connect_ms, desk.pulse)
-        self.reports = bool(charter.terms.load_names)
-        self.actors: dict[int, Worker] = {}  # workers on the list; emptied by it
-        self.where: dict[Key, Worker] = {}  # submissions out; emptied by ends and stops
+        self.lines = ConnectionPool(charter.lines, charter.idle_ms, charter.connect_ms, desk.pulse)
+        self.reports = bool(charter.terms.load_report_fields)
+        self.actors: dict[int, EndpointClient] = {}  # workers on the list; emptied by it
+        self.where: dict[Key, EndpointClient] = {}  # submissions out; emptied by ends and stops
 
     async def close(self) -> None:
         await self.lines.close()
@@ -58,17 +58,20 @@
 
     def place(self, number: int, address: str, born: float | None) -> None:
         """Guards a new worker, or a new start, at a gone one's address: its connections are its own."""
-        worker, place = self.actors.setdefault(number, Worker()), (address, f"{number}-{born or 0:.0f}")
+        worker, place = (
+            self.actors.setdefault(number, EndpointClient()),
+            (address, f"{number}-{born or 0:.0f}"),
+        )
         if worker.place != place:
             self.leave(worker)
         worker.place, worker.open = place, True
 
-    def leave(self, worker: Worker) -> None:
+    def leave(self, worker: EndpointClient) -> None:
         card, worker.made = worker.made, None
         if card is not None:
             self.lines.drop(card.connection_key)
 
-    def card(self, worker: Worker) -> aiohttp.ClientRequest:
+    def card(self, worker: EndpointClient) -> aiohttp.ClientRequest:
         """Made at need: of a thousand workers a gateway sends to a few."""
         if worker.made is None:
             worker.made = self.lines.card(*worker.place)
@@ -86,25 +89,25 @@
 
     # From the desk
 
-    def send(self, order: Send, passage: Passage) -> None:
-        key, worker = (order.txn, order.submission), self.actors.get(order.worker)
+    def send(self, order: StartAttempt, passage: ClientRequest) -> None:
+        key, worker = (order.request_id, order.attempt), self.actors.get(order.endpoint_id)
         if worker is None or not worker.open or len(self.where) >= self.most:
-            self.tell(order.txn, order.submission, Outcome(End.NOT_SENT))
+            self.tell(order.request_id, order.attempt, AttemptResult(Outcome.NOT_SENT))
             return
-        trip = Trip(order.write_by_ms, partial(self.recheck, passage))
+        trip = Exchange(order.write_by_ms, partial(self.recheck, passage))
         worker.mailbox[key] = self.loop.create_task(self.run(order, passage, worker, trip)), trip
         self.where[key] = worker
 
-    def recheck(self, passage: Passage) -> None:
+    def recheck(self, passage: ClientRequest) -> None:
         """Guards against an attempt that begins after its client's close, which may lie unread."""
         if passage.client_left():
             self.desk.left(passage.txn)
 
-    def stop(self, order: Stop) -> None:
+    def stop(self, order: AbortAttempt) -> None:
         """Closes its connection before anything else of its txn is written."""
-        worker = self.where.pop((order.txn, order.submission), None)
+        worker = self.where.pop((order.request_id, order.attempt), None)
         if worker is not None:
-            task, trip = worker.mailbox.pop((order.txn, order.submission))
+            task, trip = worker.mailbox.pop((order.request_id, order.attempt))
             trip.close()
             task.cancel()
 
@@ -112,40 +115,46 @@
         """What waits for a connection, and was not written yet, is not sent any more: no worker's fault."""
         worker = self.where.get((txn, submission))
         if worker is not None and not worker.mailbox[txn, submission][1].written:
-            self.stop(Stop(txn, submission))
-            self.tell(txn, submission, Outcome(End.NOT_SENT))
+            self.stop(AbortAttempt(txn, submission))
+            self.tell(txn, submission, AttemptResult(Outcome.NOT_SENT))
 
-    def tell(self, txn: int, submission: int, o: Outcome) -> None:
+    def tell(self, txn: int, submission: int, o: AttemptResult) -> None:
         self.desk.post(self.desk.core.ended, txn, submission, o.end, o.units, o.load, o.answer)
 
-    async def run(self, order: Send, passage: Passage, worker: Worker, trip: Trip) -> None:
+    async def run(
+        self, order: StartAttempt, passage: ClientRequest, worker: EndpointClient, trip: Exchange
+    ) -> None:
         outcome = await self.carry(order, passage, worker, trip)
-        key = order.txn, order.submission
+        key = order.request_id, order.attempt
         if self.where.pop(key, None) is not None:
             del worker.mailbox[key]
-            self.tell(order.txn, order.submission, outcome)
+            self.tell(order.request_id, order.attempt, outcome)
 
-    async def carry(self, order: Send, passage: Passage, worker: Worker, trip: Trip) -> Outcome:
-        left = max(1, round(order.stop_at_ms - self.desk.pulse.now()))
+    async def carry(
+        self, order: StartAttempt, passage: ClientRequest, worker: EndpointClient, trip: Exchange
+    ) -> AttemptResult:
+        left = max(1, round(order.deadline_ms - self.desk.pulse.now()))
         request = b"%bRequest-Timeout: %dm\r\n\r\n%b" % (passage.head, left, passage.body)
         stood = self.desk.pulse.stood_ms
         try:
             message, body = await self.lines.ask(self.card(worker), request, trip)
-        except BROKEN as error:  # before its last byte was written it cannot have run
+        except CONNECTION_ERRORS as error:  # before its last byte was written it cannot have run
             self.desk.pulse.now()
             ours = isinstance(error, TimeoutError) and stood < self.desk.pulse.stood_ms
-            ours = ours or isinstance(error, TooLate)
-            return Outcome(End.BROKEN if trip.written else End.NOT_SENT if ours else End.UNREACHED)
+            ours = ours or isinstance(error, WriteDeadlineError)
+            return AttemptResult(
+                Outcome.BROKEN_RESPONSE if trip.written else Outcome.NOT_SENT if ours else Outcome.UNREACHABLE
+            )
         except Exception as error:
             self.desk.complain(error, "a worker's line")
-            return Outcome(End.BROKEN if trip.written else End.UNREACHED)
+            return AttemptResult(Outcome.BROKEN_RESPONSE if trip.written else Outcome.UNREACHABLE)
         headers = message.headers
         load = read_load(headers.get("Server-Load")) if self.reports else None
         if message.code == 200:
             units = read_units(headers.get("Billed-Units"))
-            return Outcome(End.SETTLED, units, load, (headers.get("Content-Type"), body))
+            return AttemptResult(Outcome.SUCCEEDED, units, load, (headers.get("Content-Type"), body))
         turned_away = message.code in TURNED_AWAY and headers.get("Not-Started") == "1"
-        return Outcome(End.FULL if turned_away else End.ERROR, load=load)
+        return AttemptResult(Outcome.REJECTED if turned_away else Outcome.FAILED, load=load)
 
 
 def read_units(text: str | None) -> float:
--- a/drumgw/gateway/http_server.py
+++ b/drumgw/gateway/http_server.py
@@ -15,9 +15,9 @@
 from aiohttp.web_server import Server
 
 from drumgw.gateway.clock import LATE_MS
-from drumgw.gateway.dispatcher import Desk
-from drumgw.gateway.process_config import CLIENT_MS, MOST_BODY, BadCharter, Charter
-from drumgw.gateway.request_parsing import Passage, Unfit, read_asked, write_head
+from drumgw.gateway.dispatcher import Dispatcher
+from drumgw.gateway.process_config import CLIENT_MS, MOST_BODY, ConfigError, GatewayConfig
+from drumgw.gateway.request_parsing import BadRequestError, ClientRequest, parse_request, write_head
 
 READY, LIVE = "/health/ready", "/health/live"
 SWEEP_S = CLIENT_MS / 8000.0
@@ -25,7 +25,7 @@
 PART_MS, PART_STEP_S = CLIENT_MS / 8.0, 0.01
 
 
-class Stage(Enum):
+class ConnectionState(Enum):
     """Where a client's connection is."""
 
     NEW = "no whole request yet"
@@ -35,7 +35,7 @@
     LAST = "nothing more is read; it closes once its client has ended its side"
 
 
-class Whole(StreamResponse):
+class CompleteResponse(StreamResponse):
     """An answer written in one piece, with the headers that are needed and no others."""
 
     def __init__(self, status: int, body: bytes = b"", header: str = "") -> None:
@@ -52,26 +52,26 @@
         if self._keep_alive:
             transport.write(data)
         else:
-            client: Client = request.protocol  # type: ignore[assignment]
+            client: ClientConnection = request.protocol  # type: ignore[assignment]
             client.part(data)
 
     async def write_eof(self, data: bytes = b"") -> None:
         """Nothing is left to write."""
 
 
-class Client(RequestHandler):
+class ClientConnection(RequestHandler):
     """A client's connection, with the time of its last change of stage."""
 
     __slots__ = ("front", "stage", "since", "owner", "line", "spared")
 
-    def __init__(self, front: Front, server: Server, **kwargs: Any) -> None:
+    def __init__(self, front: HttpServer, server: Server, **kwargs: Any) -> None:
         super().__init__(server, **kwargs)
-        self.front, self.stage, self.since = front, Stage.NEW, front.desk.pulse.now()
+        self.front, self.stage, self.since = front, ConnectionState.NEW, front.desk.pulse.now()
         self.owner = ""  # whom it asked last, where a front serves several
         self.line: asyncio.Transport | None = None  # aiohttp's own forgets it before it is closed
         self.spared = False
 
-    def move(self, stage: Stage) -> None:
+    def move(self, stage: ConnectionState) -> None:
         stages = self.front.stages
         if self in stages[self.stage]:  # not closed meanwhile
             del stages[self.stage][self]
@@ -89,8 +89,8 @@
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        if self.stage is Stage.IDLE:
-            self.move(Stage.PART)
+        if self.stage is ConnectionState.IDLE:
+            self.move(ConnectionState.PART)
         super().data_received(data)
 
     def end(self) -> None:
@@ -110,7 +110,7 @@
             return
         self._pause_transport_reading()
         self._force_close = True  # aiohttp's loop ends, and leaves the socket to us
-        self.move(Stage.LAST)
+        self.move(ConnectionState.LAST)
         if answer:
             line.write(answer)
         if line.can_write_eof() and not line.is_closing():
@@ -120,7 +120,7 @@
         self.front.watch_last()
 
     def _resume_transport_reading(self) -> None:
-        if self.stage is not Stage.LAST:
+        if self.stage is not ConnectionState.LAST:
             super()._resume_transport_reading()
 
     def seen(self, what: int) -> bool:
@@ -157,7 +157,7 @@
 
     def owes(self) -> bool:
         """A whole request of it was read and has no whole answer yet, or may lie unread."""
-        if self.stage is Stage.OPEN or self._messages:
+        if self.stage is ConnectionState.OPEN or self._messages:
             return True
         if self._waiter is not None and not self._waiter.done():
             return self.spare()
@@ -170,9 +170,9 @@
         status: int = 500,
         exc: BaseException | None = None,
         message: str | None = None,
-    ) -> Whole:
+    ) -> CompleteResponse:
         """What the parser can't read; no line in the log, there may be many."""
-        answer = Whole(status)
+        answer = CompleteResponse(status)
         answer.force_close()
         return answer
 
@@ -181,20 +181,20 @@
         self.front.desk.complain(error, "a client")
 
 
-class Clients(Server):
+class ConnectionServer(Server):
     """aiohttp's server with connections of ours."""
 
-    front: Front
+    front: HttpServer
 
-    def __call__(self) -> Client:
-        return Client(self.front, self, loop=self._loop, **self._kwargs)
+    def __call__(self) -> ClientConnection:
+        return ClientConnection(self.front, self, loop=self._loop, **self._kwargs)
 
 
-class Front:
-    def __init__(self, charter: Charter, desk: Desk) -> None:
+class HttpServer:
+    def __init__(self, charter: GatewayConfig, desk: Dispatcher) -> None:
         self.charter, self.desk = charter, desk
         self.ready = self.closing = False
-        self.server = Clients(
+        self.server = ConnectionServer(
             self.handle,
             handler_cancellation=True,
             request_factory=self.factory,
@@ -205,7 +205,9 @@
         )
         self.server.front = self
         # Connections by stage, who is in it for longest first; emptied as they close
-        self.stages: dict[Stage, dict[Client, None]] = {stage: {} for stage in Stage}
+        self.stages: dict[ConnectionState, dict[ClientConnection, None]] = {
+            stage: {} for stage in ConnectionState
+        }
         self.ids: set[str] = set()  # of the txns open here; emptied by their ends
         self.socket: asyncio.Server | None = None
         self.watching = False  # for those whose last answer is written
@@ -223,7 +225,7 @@
                 self.server, host, port, backlog=1024, start_serving=False
             )
         except OSError as error:
-            raise BadCharter(f"cannot listen at {host}:{port}: {error}") from error
+            raise ConfigError(f"cannot listen at {host}:{port}: {error}") from error
 
     async def open(self) -> tuple[str, int]:
         assert self.socket is not None
@@ -235,28 +237,30 @@
 
     # Connections
 
-    def came(self, client: Client) -> None:
+    def came(self, client: ClientConnection) -> None:
         """Guards usual clients against those that connect by the hundred and say nothing."""
         if self.crowd() >= self.charter.clients:
             self.least(client).end()
-        self.stages[Stage.NEW][client] = None
+        self.stages[ConnectionState.NEW][client] = None
 
-    def gone(self, client: Client) -> None:
+    def gone(self, client: ClientConnection) -> None:
         """Its connection has ended."""
 
     def crowd(self) -> int:
         return sum(map(len, self.stages.values()))
 
     def asked(self) -> int:
-        return self.crowd() - len(self.stages[Stage.NEW]) - len(self.stages[Stage.LAST])
+        return self.crowd() - len(self.stages[ConnectionState.NEW]) - len(self.stages[ConnectionState.LAST])
 
-    def least(self, newcomer: Client) -> Client:
+    def least(self, newcomer: ClientConnection) -> ClientConnection:
         """Who is missed least: one silent since its turn to be read, else the first of the larger crowd.
 
         Guards newcomers where many ask once and stay, and those idle where hundreds come and say nothing.
         """
-        new, idle, part = (self.stages[stage] for stage in (Stage.NEW, Stage.IDLE, Stage.PART))
-        if (last := next((c for c in self.stages[Stage.LAST] if not c.unsent()), None)) is not None:
+        new, idle, part = (
+            self.stages[stage] for stage in (ConnectionState.NEW, ConnectionState.IDLE, ConnectionState.PART)
+        )
+        if (last := next((c for c in self.stages[ConnectionState.LAST] if not c.unsent()), None)) is not None:
             return last
         silent = next(iter(new), None)
         if silent is not None and (newcomer.since - silent.since > LATE_MS or len(new) > len(idle)):
@@ -264,12 +268,12 @@
         idle_most = self.longest_idle()
         return next(iter(part), newcomer) if idle_most is None else idle_most
 
-    def longest_idle(self) -> Client | None:
+    def longest_idle(self) -> ClientConnection | None:
         """None whose answer may not be written yet."""
-        client = next(iter(self.stages[Stage.IDLE]), None)
+        client = next(iter(self.stages[ConnectionState.IDLE]), None)
         return client if client is not None and self.rests(client) else None
 
-    def rests(self, client: Client) -> bool:
+    def rests(self, client: ClientConnection) -> bool:
         return self.desk.pulse.now() - client.since > LATE_MS and not client.unsent() and not client.spare()
 
     def thin(self) -> None:
@@ -284,13 +288,17 @@
         if self.desk.pulse.lately_ms:  # we stood: what they sent may lie unread
             return
         many = self.asked() - self.charter.asking // 2
-        for stage, most in ((Stage.NEW, None), (Stage.PART, None), (Stage.IDLE, max(0, many))):
+        for stage, most in (
+            (ConnectionState.NEW, None),
+            (ConnectionState.PART, None),
+            (ConnectionState.IDLE, max(0, many)),
+        ):
             for client in list(islice(self.stages[stage], most)):
                 if client.since >= longest:
                     break
                 if client.spare():
                     continue
-                if stage is Stage.IDLE:
+                if stage is ConnectionState.IDLE:
                     client.part()
                 else:
                     client.end()
@@ -303,33 +311,33 @@
     def see_off(self) -> None:
         """Closes those whose last answer is written: at their own end, or when they had the time for it."""
         self.watching, now = False, self.desk.pulse.now()
-        for client in list(self.stages[Stage.LAST]):
+        for client in list(self.stages[ConnectionState.LAST]):
             if now - client.since > (CLIENT_MS if client.unsent() else PART_MS) or client.has_gone():
                 client.end()
-        if self.stages[Stage.LAST]:
+        if self.stages[ConnectionState.LAST]:
             self.watch_last()
 
     # Requests
 
-    async def handle(self, request: BaseRequest) -> Whole:
+    async def handle(self, request: BaseRequest) -> CompleteResponse:
         """One request of a client. Cancelled when the client closes its connection: then it has gone away."""
         target: str = request._message.path  # the raw target; the public form is decoded and re-encoded
-        client: Client = request.protocol  # type: ignore[assignment]
+        client: ClientConnection = request.protocol  # type: ignore[assignment]
         closes = False
         try:
             if target in (READY, LIVE):
-                answer = Whole(200 if self.ready or target == LIVE else 503)
+                answer = CompleteResponse(200 if self.ready or target == LIVE else 503)
             else:
                 answer = await self.serve(request, target, client)
-        except Unfit as unfit:
-            answer = Whole(unfit.status, f"{unfit}\n".encode())
+        except BadRequestError as unfit:
+            answer = CompleteResponse(unfit.status, f"{unfit}\n".encode())
             closes = True  # whatever else it sends is not read
         except Exception as error:
             self.desk.complain(error, "the front")
-            answer = Whole(500)  # a submission may be out
+            answer = CompleteResponse(500)  # a submission may be out
         if closes or self.closing and not client._messages:  # what was read whole is answered first
             answer.force_close()
-        client.move(Stage.IDLE)
+        client.move(ConnectionState.IDLE)
         self.thin()
         return answer
 
@@ -337,17 +345,17 @@
         if not request.body_exists:
             return b""
         if request.method == "GET":
-            raise Unfit(400, "a GET has no body")
+            raise BadRequestError(400, "a GET has no body")
         if (request.content_length or 0) > MOST_BODY:
-            raise Unfit(413, "the body is too large")
+            raise BadRequestError(413, "the body is too large")
         try:
             return await request.read()
         except HTTPRequestEntityTooLarge as large:
-            raise Unfit(413, "the body is too large") from large
+            raise BadRequestError(413, "the body is too large") from large
         except (RequestPayloadError, ValueError) as bad:
-            raise Unfit(400, "the body can't be read") from bad
+            raise BadRequestError(400, "the body can't be read") from bad
 
-    async def serve(self, request: BaseRequest, target: str, client: Client) -> Whole:
+    async def serve(self, request: BaseRequest, target: str, client: ClientConnection) -> CompleteResponse:
         return await self.pass_on(request, target, target, client, self.charter, self.desk, self.ids)
 
     async def pass_on(
@@ -355,20 +363,20 @@
         request: BaseRequest,
         target: str,
         path: str,
-        client: Client,
-        charter: Charter,
-        desk: Desk,
+        client: ClientConnection,
+        charter: GatewayConfig,
+        desk: Dispatcher,
         ids: set[str],
-    ) -> Whole:
+    ) -> CompleteResponse:
         """To the desk of whoever serves it; path is the target as the product is read from it."""
         headers = request.headers
-        asked = read_asked(charter.names, charter.terms, request.method, path, headers)
+        asked = parse_request(charter.names, charter.terms, request.method, path, headers)
         body = await self.read(request)
         if (name := headers["Request-Id"]) in ids:
-            raise Unfit(409, "a txn of this id is open")  # it would spoil that one
-        client.move(Stage.OPEN)
+            raise BadRequestError(409, "a txn of this id is open")  # it would spoil that one
+        client.move(ConnectionState.OPEN)
         head = write_head(request.method, target, request._message.raw_headers, body)
-        passage = Passage(head, body, asked, client_left=client.left)
+        passage = ClientRequest(head, body, asked, client_left=client.left)
         ids.add(name)
         try:
             reply = await desk.take(passage)
@@ -377,11 +385,11 @@
             raise
         finally:
             ids.discard(name)
-        if reply.answer is not None:
-            kind, body = reply.answer
-            return Whole(200, body, f"Content-Type: {kind}\r\n" if kind else "")
+        if reply.response is not None:
+            kind, body = reply.response
+            return CompleteResponse(200, body, f"Content-Type: {kind}\r\n" if kind else "")
         after = reply.retry_after_ms / 1000.0
-        return Whole(reply.status, b"", f"Retry-After: {after:.3f}\r\n" if after else "")
+        return CompleteResponse(reply.status, b"", f"Retry-After: {after:.3f}\r\n" if after else "")
 
     # The end
 
@@ -403,8 +411,8 @@
             self.socket.close()
         busy = 0
         for client in self.server.connections:
-            assert isinstance(client, Client)
-            if client.stage is Stage.LAST:
+            assert isinstance(client, ClientConnection)
+            if client.stage is ConnectionState.LAST:
                 continue
             if client.owes():
                 busy += 1
@@ -416,5 +424,5 @@
 
     async def seen_off(self) -> None:
         """Bounded: see_off ends each of them."""
-        while self.stages[Stage.LAST]:
+        while self.stages[ConnectionState.LAST]:
             await asyncio.sleep(PART_STEP_S)
--- a/drumgw/gateway/membership.py
+++ b/drumgw/gateway/membership.py
@@ -21,14 +21,14 @@
 from math import inf, isfinite
 from typing import Any, NamedTuple
 
-from drumgw.model.events import Entry, Health, Listed
-from drumgw.model.settings_reader import Names
+from drumgw.model.events import EndpointInfo, EndpointStatus, EndpointsUpdated
+from drumgw.model.settings_reader import NameIndex
 
 READY_MS = 4000.0  # ready within 6 s of a start (the shortest that is asked for), less a third for the start
 SILENT_START_MS = 20000.0  # longer than any outage that the operators' pages know of
 RENUMBERED_MS = 6000.0  # what discovery has to tell counts as told by then (the protocol's figure)
 MOST_NAME = 256  # characters of an id
-STATES = {"up": Health.READY, "draining": Health.DRAINING, "removed": Health.GONE}
+STATES = {"up": EndpointStatus.READY, "draining": EndpointStatus.DRAINING, "removed": EndpointStatus.REMOVED}
 ADDRESS = re.compile(r"[0-9A-Za-z._:\[\]-]{1,256}:[0-9]{1,5}")
 UNREADABLE = (KeyError, TypeError, ValueError, ArithmeticError)
 
@@ -42,33 +42,33 @@
     )
 
 
-class Row(NamedTuple):
+class EndpointRow(NamedTuple):
     """What is known of a worker: its last readable row."""
 
-    entry: Entry
+    entry: EndpointInfo
     address: str
     born: float  # of the start that the row speaks of; without end where a leaving row does not say
 
 
-class Change(NamedTuple):
+class MembershipChange(NamedTuple):
     """What a list changes. Those up are new, or a new start, or at a new address."""
 
-    listed: Listed
-    up: tuple[Row, ...]
-    told: dict[Health, list[str]]  # for the log: who is now what
+    listed: EndpointsUpdated
+    up: tuple[EndpointRow, ...]
+    told: dict[EndpointStatus, list[str]]  # for the log: who is now what
     unread: int  # rows that could not be read
 
 
-Read = dict[str, "Row | None"]
+Read = dict[str, "EndpointRow | None"]
 
 
 class Membership:
-    def __init__(self, names: Names) -> None:
+    def __init__(self, names: NameIndex) -> None:
         self.names, self.state = names, WAITING
         self.since: int | None = None  # what the next call asks from; none: for the whole list
         self.newest: int | None = None  # the generation acted on; none: without one, or not heard yet
         self.older_at = 0.0  # since when the agent is behind
-        self.rows: dict[str, Row] = {}  # workers on the list; emptied by it
+        self.rows: dict[str, EndpointRow] = {}  # workers on the list; emptied by it
         self.base: Read = {}  # what the first changes are changes of; dropped with them
 
     def build_on(self, known: dict[str, Any]) -> None:
@@ -77,11 +77,11 @@
         if (generation := generation_of(known)) is not None:
             self.base, self.since = self.read(rows_of(known)), generation
 
-    def stand_in(self, known: dict[str, Any]) -> Change:
+    def stand_in(self, known: dict[str, Any]) -> MembershipChange:
         """The known list, while the agent says nothing. Whatever the agent says first goes before it."""
         return self.adopt(self.read(rows_of(known)), True)
 
-    def take(self, now: float, told: Any, plain: bool) -> Change:
+    def take(self, now: float, told: Any, plain: bool) -> MembershipChange:
         """A list of the agent's; plain: the whole one was asked for. Raises what UNREADABLE names."""
         rows, generation = rows_of(told), generation_of(told)
         whole = plain or bool(told.get("reset"))
@@ -123,16 +123,20 @@
 
     # Effects
 
-    def adopt(self, read: Read, whole: bool) -> Change:
+    def adopt(self, read: Read, whole: bool) -> MembershipChange:
         """As it stands. Who is not named in a whole list is gone; who can't be read stays what it was."""
         changed = {name: row for name, row in read.items() if row is not None and self.rows.get(name) != row}
         return self.change(read, changed | self.unnamed(read, whole), whole)
 
-    def unnamed(self, read: Read, whole: bool) -> dict[str, Row]:
+    def unnamed(self, read: Read, whole: bool) -> dict[str, EndpointRow]:
         """Guards drains, which a whole list may tell by leaving their workers out."""
-        return {name: leaving(name, Health.GONE) for name in self.rows.keys() - read.keys()} if whole else {}
+        return (
+            {name: leaving(name, EndpointStatus.REMOVED) for name in self.rows.keys() - read.keys()}
+            if whole
+            else {}
+        )
 
-    def heed(self, read: Read, whole: bool) -> Change:
+    def heed(self, read: Read, whole: bool) -> MembershipChange:
         """Of an older list: who leaves, and later starts of those that are known. It undoes nothing. Who is
         not named in a whole one is gone here too: where a numbering began anew, as at another agent after
         SIGHUP, its drains count long before RENUMBERED_MS. A worker that joined since comes back with the
@@ -142,24 +146,24 @@
             known = self.rows.get(name)
             if row is None or known is None or known == row:
                 continue
-            if row.entry.health is not Health.READY or row.born > known.born:
+            if row.entry.status is not EndpointStatus.READY or row.born > known.born:
                 changed[name] = row
         return self.change(read, changed, False)
 
-    def change(self, read: Read, changed: dict[str, Row], whole: bool) -> Change:
-        told: dict[Health, list[str]] = {}
+    def change(self, read: Read, changed: dict[str, EndpointRow], whole: bool) -> MembershipChange:
+        told: dict[EndpointStatus, list[str]] = {}
         for name, row in changed.items():
-            health = row.entry.health
+            health = row.entry.status
             if is_news(self.rows.get(name), row):
                 told.setdefault(health, []).append(name)
-            if health is Health.GONE:
+            if health is EndpointStatus.REMOVED:
                 self.rows.pop(name, None)
             else:
                 self.rows[name] = row
         rows = self.rows.values() if whole else changed.values()
-        up = tuple(row for row in changed.values() if row.entry.health is Health.READY)
-        return Change(
-            Listed(whole, tuple(row.entry for row in rows)),
+        up = tuple(row for row in changed.values() if row.entry.status is EndpointStatus.READY)
+        return MembershipChange(
+            EndpointsUpdated(whole, tuple(row.entry for row in rows)),
             up,
             told,
             sum(row is None for row in read.values()),
@@ -189,23 +193,23 @@
             raise ValueError("no row of the list can be read")
         return found
 
-    def row(self, name: str, row: dict[str, Any]) -> Row:
+    def row(self, name: str, row: dict[str, Any]) -> EndpointRow:
         health = STATES[row["lifecycle"]]
-        if health is not Health.READY:
+        if health is not EndpointStatus.READY:
             return leaving(name, health, row.get("startedAtMs"))
         born, address = number(row["startedAtMs"]), row["hostPort"]
         if not ADDRESS.fullmatch(address) or int(address.rpartition(":")[2]) > 65535:
             raise ValueError("no address")
-        entry = Entry(
+        entry = EndpointInfo(
             worker_id(name),
-            self.names.zone(row["zone"]),
+            self.names.zone_index(row["zone"]),
             int(row["cell"]),
             str(row["machineType"]),
             health,
             born or None,
             number(row["weight"]),
         )
-        return Row(entry, address, born)
+        return EndpointRow(entry, address, born)
 
 
 def rows_of(told: Any) -> list[Any]:
@@ -229,27 +233,27 @@
     return float(value)
 
 
-def leaving(name: str, health: Health, born: Any = None) -> Row:
+def leaving(name: str, health: EndpointStatus, born: Any = None) -> EndpointRow:
     """Needs nothing but its id and lifecycle."""
     try:
         start = number(born)
     except UNREADABLE:
         start = inf
-    return Row(Entry(worker_id(name), 0, 0, "", health, None, 0.0), "", start)
+    return EndpointRow(EndpointInfo(worker_id(name), 0, 0, "", health, None, 0.0), "", start)
 
 
-def is_news(known: Row | None, row: Row) -> bool:
+def is_news(known: EndpointRow | None, row: EndpointRow) -> bool:
     """For the log: another health than before, or another start."""
     if known is None:
-        return row.entry.health is not Health.GONE
-    return known.entry.health is not row.entry.health or row.entry.born_ms != known.entry.born_ms
+        return row.entry.status is not EndpointStatus.REMOVED
+    return known.entry.status is not row.entry.status or row.entry.started_at_ms != known.entry.started_at_ms
 
 
-def precedence(row: Row) -> tuple[float, bool]:
-    return row.born, row.entry.health is not Health.READY
+def precedence(row: EndpointRow) -> tuple[float, bool]:
+    return row.born, row.entry.status is not EndpointStatus.READY
 
 
-TABLE: dict[tuple[str, str], tuple[str, Callable[[Membership, Read, bool], Change]]] = {
+TABLE: dict[tuple[str, str], tuple[str, Callable[[Membership, Read, bool], MembershipChange]]] = {
     (WAITING, "newer"): (IN_STEP, Membership.adopt),
     (IN_STEP, "newer"): (IN_STEP, Membership.adopt),
     (IN_STEP, "older"): (BEHIND, Membership.heed),
--- a/drumgw/gateway/process.py
+++ b/drumgw/gateway/process.py
@@ -10,29 +10,29 @@
 
 from loguru import logger
 
-from drumgw.gateway.clock import Clock, Pulse
-from drumgw.gateway.http_server import Front
+from drumgw.gateway.clock import MonotonicClock, StallAwareClock
+from drumgw.gateway.http_server import HttpServer
 from drumgw.gateway.invariants import broken
 from drumgw.gateway.membership import READY_MS
-from drumgw.gateway.process_config import BadCharter, Charter
-from drumgw.gateway.service import Station
+from drumgw.gateway.process_config import ConfigError, GatewayConfig
+from drumgw.gateway.service import GatewayService
 
 LINGER_MS = 700.0  # after SIGTERM clients still come for so long (the protocol's figure)
 GARBAGE = 20000  # objects between two walks of the collector
 
 
-class Gateway:
-    def __init__(self, charter: Charter) -> None:
+class GatewayProcess:
+    def __init__(self, charter: GatewayConfig) -> None:
         self.charter = charter
-        self.pulse = Pulse(Clock(), asyncio.get_running_loop())
-        self.station = station = Station(charter, self.pulse)
+        self.pulse = StallAwareClock(MonotonicClock(), asyncio.get_running_loop())
+        self.station = station = GatewayService(charter, self.pulse)
         self.desk, self.workers, self.counter, self.discovery = (
             station.desk,
             station.workers,
             station.counter,
             station.discovery,
         )
-        self.front = Front(charter, self.desk)
+        self.front = HttpServer(charter, self.desk)
         self.term = asyncio.Event()
 
     async def open(self) -> tuple[str, int]:
@@ -70,11 +70,11 @@
             dict(broken) or "none",
         )
 
-    def reload(self, read: Callable[[], Charter]) -> None:
+    def reload(self, read: Callable[[], GatewayConfig]) -> None:
         """SIGHUP: discovery and the counter move; the list, the books and all in hand stay as they are."""
         try:
             told = read()
-        except BadCharter as bad:
+        except ConfigError as bad:
             logger.warning("SIGHUP: {}; the old configuration stands", bad)
             return
         self.station.move(told)
@@ -88,9 +88,11 @@
         await self.station.shut()
 
 
-async def serve(charter: Charter, again: Callable[[], Charter], early: Sequence[int] = ()) -> None:
+async def serve(
+    charter: GatewayConfig, again: Callable[[], GatewayConfig], early: Sequence[int] = ()
+) -> None:
     """Guards SIGHUP at both ends: early ones are heeded once it serves, late ones do not end the process."""
-    gateway, loop = Gateway(charter), asyncio.get_running_loop()
+    gateway, loop = GatewayProcess(charter), asyncio.get_running_loop()
     heed(loop, signal.SIGTERM, gateway.term.set)
     heed(loop, signal.SIGHUP, partial(gateway.reload, again))
     opening, term = asyncio.create_task(gateway.open()), asyncio.create_task(gateway.term.wait())
--- a/drumgw/gateway/process_config.py
+++ b/drumgw/gateway/process_config.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from drumgw.model.settings import Terms
-from drumgw.model.settings_reader import Names, read_terms
+from drumgw.model.settings import GatewaySettings
+from drumgw.model.settings_reader import NameIndex, read_settings
 
 RESERVED = 24  # descriptors for standard streams, the loop, the listener, the list and log files
 COUNTER_LINES = 32  # what the counter holds of one gatekeeper (the protocol's figure)
@@ -18,20 +18,20 @@
 CLIENT_MS = 2000.0  # a connection with no request open may be closed after this (the protocol's figure)
 
 
-class BadCharter(ValueError):
+class ConfigError(ValueError):
     """A configuration that cannot be used; its text is one line."""
 
 
 @dataclass(frozen=True)
-class Charter:
+class GatewayConfig:
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     counter: tuple[str, int] | None
     seed: int
     known: dict[str, Any]
-    terms: Terms
-    names: Names
+    terms: GatewaySettings
+    names: NameIndex
     clients: int  # connections at most, of clients
     asking: int  # of them that have asked: three quarters of what the protocol lets them hold
     lines: int  # and to workers
@@ -45,56 +45,56 @@
 
     @property
     def longest_ms(self) -> float:
-        return max(p.expiry_ms for p in self.terms.products)
+        return max(p.deadline_ms for p in self.terms.request_classes)
 
 
 def address(text: object, what: str) -> tuple[str, int]:
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise BadCharter(f"{what} is no host:port: {text!r}")
+        raise ConfigError(f"{what} is no host:port: {text!r}")
     return host, int(port)
 
 
-def read_charter(env: Mapping[str, str], again: bool = False) -> Charter:
+def read_config(env: Mapping[str, str], again: bool = False) -> GatewayConfig:
     """Read again after SIGHUP, the file names discovery; GW_DISCOVERY says where it was at the start."""
     if again:
         env = {name: value for name, value in env.items() if name != "GW_DISCOVERY"}
     path = env.get("GW_CONFIG")
     if not path:
-        raise BadCharter("GW_CONFIG names no file")
+        raise ConfigError("GW_CONFIG names no file")
     try:
         with open(path, encoding="utf-8") as file:
             told = json.load(file)
     except (OSError, ValueError) as bad:
-        raise BadCharter(f"{path}: {str(bad).splitlines()[0]}") from bad
+        raise ConfigError(f"{path}: {str(bad).splitlines()[0]}") from bad
     if not isinstance(told, dict):
-        raise BadCharter(f"{path}: not an object")
-    return charter_of(told, env, path)
+        raise ConfigError(f"{path}: not an object")
+    return parse_config(told, env, path)
 
 
-def charter_of(told: dict[str, Any], env: Mapping[str, str], path: str = "configuration") -> Charter:
+def parse_config(told: dict[str, Any], env: Mapping[str, str], path: str = "configuration") -> GatewayConfig:
     """The charter of what a configuration says; GW_ variables stand over it."""
     try:
         return _charter(told, env)
     except KeyError as lack:
-        raise BadCharter(f"{path}: missing {lack.args[0]}") from lack
+        raise ConfigError(f"{path}: missing {lack.args[0]}") from lack
     except (TypeError, ValueError, AttributeError) as bad:
-        raise BadCharter(f"{path}: {str(bad).splitlines()[0]}") from bad
+        raise ConfigError(f"{path}: {str(bad).splitlines()[0]}") from bad
 
 
-def _charter(told: dict[str, Any], env: Mapping[str, str]) -> Charter:
+def _charter(told: dict[str, Any], env: Mapping[str, str]) -> GatewayConfig:
     settings = told["settings"]
-    terms, names = read_terms(settings)
+    terms, names = read_settings(settings)
     allowed = settings["ceilings"]
     sockets = int((told.get("limits") or {}).get("sockets") or 1024)
-    counter = address(told["counter"], "counter") if terms.counter else None
+    counter = address(told["counter"], "counter") if terms.has_counter else None
     free = sockets - RESERVED - (COUNTER_LINES if counter else 0)
     lines = free * 2 // 5  # clients may hold a third of all, and as many again come and say nothing
     if lines < 1:
-        raise BadCharter(f"limits.sockets is {sockets}, too few")
+        raise ConfigError(f"limits.sockets is {sockets}, too few")
     grace = settings["contract"].get("stopSendingWithinMs")
     known = told.get("known") or {"generation": 0, "reset": True, "instances": []}
-    return Charter(
+    return GatewayConfig(
         name=str(env.get("GW_NAME") or told["name"]),
         listen=address(env.get("GW_LISTEN") or told["listen"], "listen"),
         discovery=address(env.get("GW_DISCOVERY") or told["discovery"], "discovery"),
--- a/drumgw/gateway/request_lifecycle.py
+++ b/drumgw/gateway/request_lifecycle.py
@@ -12,56 +12,85 @@
 from typing import Any, NamedTuple, Protocol
 
 from drumgw.gateway.invariants import invariant
-from drumgw.model.actions import Action, Add, Cancel, Decline, Probe, Say, Submit, Void, Wake
-from drumgw.model.events import Answer, Due, End, Ending, Event, Left, Listed, Total, Txn
-from drumgw.model.settings import Terms
-
-NEVER_RAN = (End.FULL, End.UNREACHED, End.NOT_SENT)
+from drumgw.model.actions import (
+    Action,
+    AddToCounter,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    ForwardRequest,
+    LogMessage,
+    RejectRequest,
+    SetTimer,
+)
+from drumgw.model.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    CounterReplied,
+    EndpointsUpdated,
+    Event,
+    GatewayStopping,
+    Outcome,
+    RequestReceived,
+    TimerFired,
+)
+from drumgw.model.settings import GatewaySettings
+
+NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
 OK, FAILED, REFUSED = 200, 500, 503
 
 
-class Send(NamedTuple):
-    txn: int
-    submission: int
-    worker: int
-    stop_at_ms: float
+class StartAttempt(NamedTuple):
+    request_id: int
+    attempt: int
+    endpoint_id: int
+    deadline_ms: float
     write_by_ms: float = inf
 
 
-class Stop(NamedTuple):
+class AbortAttempt(NamedTuple):
     """Give up a submission: its connection is closed; nothing more is told of it."""
 
-    txn: int
-    submission: int
+    request_id: int
+    attempt: int
 
 
-class Reply(NamedTuple):
+class SendResponse(NamedTuple):
     """The final answer; answer is the worker's, for OK."""
 
-    txn: int
+    request_id: int
     status: int
     retry_after_ms: float
-    answer: Any
+    response: Any
 
 
-class Alarm(NamedTuple):
+class ScheduleDeadline(NamedTuple):
     """Call core.alarm then; submission -1 is the txn's expiry."""
 
     at_ms: float
-    txn: int
-    submission: int
+    request_id: int
+    attempt: int
 
 
-class Fault(NamedTuple):
+class ReportFault(NamedTuple):
     """The module failed; its error, for the log."""
 
     error: Exception
 
 
-Effect = Send | Stop | Reply | Alarm | Fault | Add | Wake | Say
+Command = (
+    StartAttempt
+    | AbortAttempt
+    | SendResponse
+    | ScheduleDeadline
+    | ReportFault
+    | AddToCounter
+    | SetTimer
+    | LogMessage
+)
 
 
-class Keeper(Protocol):
+class PolicyEngineProtocol(Protocol):
     """The decision module."""
 
     def start(self, now: float) -> list[Action]: ...
@@ -69,7 +98,7 @@
     def handle(self, now: float, event: Event) -> list[Action]: ...
 
 
-class InHand:
+class InFlightRequest:
     """A txn taken. Dropped once it is answered and each submission has ended."""
 
     __slots__ = ("expiry", "owed", "ran", "tries", "out")
@@ -79,82 +108,82 @@
         self.out: dict[int, tuple[int, float]] = {}  # submission: worker, sent at (less our stalls)
 
 
-class Core:
-    def __init__(self, keeper: Keeper, terms: Terms) -> None:
-        self.keeper, self.most, self.copies = keeper, terms.submissions, terms.second_copies
-        self.hand: dict[int, InHand] = {}  # emptied by answers and ended submissions
+class RequestLifecycle:
+    def __init__(self, keeper: PolicyEngineProtocol, terms: GatewaySettings) -> None:
+        self.keeper, self.most, self.copies = keeper, terms.max_attempts, terms.hedging_allowed
+        self.hand: dict[int, InFlightRequest] = {}  # emptied by answers and ended submissions
         self.ticks: dict[int, float] = {}  # label: interval; the module's few labels
         self.events: deque[Event] = deque()  # emptied by each call
-        self.effects: list[Effect] = []
+        self.effects: list[Command] = []
         self.taken = 0
         self.stood = 0.0  # ms in which our own loop stood; they are in no submission's time
 
-    def start(self, now: float, listed: Listed) -> list[Effect]:
+    def start(self, now: float, listed: EndpointsUpdated) -> list[Command]:
         for action in self.keeper.start(now):
             self.act(now, action)
         return self.tell(now, listed)
 
-    def arrive(self, now: float, asked: Txn, waited_ms: float = 0.0) -> tuple[int, list[Effect]]:
+    def arrive(self, now: float, asked: RequestReceived, waited_ms: float = 0.0) -> tuple[int, list[Command]]:
         """A request that came while our loop stood has less time left than it says."""
         self.taken += 1
-        txn, left_ms = self.taken, max(0.0, asked.left_ms - waited_ms)
-        self.hand[txn] = InHand(now + left_ms)
-        self.effects.append(Alarm(now + left_ms, txn, -1))
-        return txn, self.tell(now, asked._replace(txn=txn, left_ms=left_ms))
+        txn, left_ms = self.taken, max(0.0, asked.time_left_ms - waited_ms)
+        self.hand[txn] = InFlightRequest(now + left_ms)
+        self.effects.append(ScheduleDeadline(now + left_ms, txn, -1))
+        return txn, self.tell(now, asked._replace(request_id=txn, time_left_ms=left_ms))
 
     def ended(
         self,
         now: float,
         txn: int,
         submission: int,
-        end: End,
+        end: Outcome,
         units: float,
         load: dict[str, float],
         answer: Any,
-    ) -> list[Effect]:
+    ) -> list[Command]:
         """A submission ended by itself. One that was given up meanwhile is told no second time."""
         h = self.hand.get(txn)
         if h is None or submission not in h.out:
             return []
-        first = h.owed and end is End.SETTLED
+        first = h.owed and end is Outcome.SUCCEEDED
         if first:
             self.reply(txn, h, OK, 0.0, answer)
         self.close(now, txn, h, submission, end, units if first else 0.0, load)
         return self.tell(now)
 
-    def left(self, now: float, txn: int) -> list[Effect]:
+    def left(self, now: float, txn: int) -> list[Command]:
         h = self.hand.get(txn)
         if h is None or not h.owed:
             return []
         h.owed = False
         self.drop(txn, h)
-        return self.tell(now, Left(txn))
+        return self.tell(now, ClientDisconnected(txn))
 
-    def alarm(self, now: float, txn: int, submission: int) -> list[Effect]:
+    def alarm(self, now: float, txn: int, submission: int) -> list[Command]:
         h = self.hand.get(txn)
         if h is None:
             return []
         for n in list(h.out) if submission < 0 else [submission] if submission in h.out else []:
-            self.effects.append(Stop(txn, n))
-            self.close(now, txn, h, n, End.TIMEOUT, 0.0, {})
+            self.effects.append(AbortAttempt(txn, n))
+            self.close(now, txn, h, n, Outcome.TIMED_OUT, 0.0, {})
         effects = self.tell(now)  # its answers come first, and are kept
         if submission < 0 and h.owed:  # guards clients against a module that forgot the txn
             self.end_by_self(now, txn, h)
         return effects + self.tell(now)
 
-    def listed(self, now: float, listed: Listed) -> list[Effect]:
+    def listed(self, now: float, listed: EndpointsUpdated) -> list[Command]:
         return self.tell(now, listed)
 
-    def ending(self, now: float) -> list[Effect]:
-        return self.tell(now, Ending())
+    def ending(self, now: float) -> list[Command]:
+        return self.tell(now, GatewayStopping())
 
-    def due(self, now: float, label: int) -> list[Effect]:
-        return self.tell(now, Due(label))
+    def due(self, now: float, label: int) -> list[Command]:
+        return self.tell(now, TimerFired(label))
 
-    def total(self, now: float, name: int, end: End, total: float, took_ms: float) -> list[Effect]:
-        return self.tell(now, Total(name, end, total, took_ms))
+    def total(self, now: float, name: int, end: Outcome, total: float, took_ms: float) -> list[Command]:
+        return self.tell(now, CounterReplied(name, end, total, took_ms))
 
-    def abandon(self, now: float, txn: int) -> list[Effect]:
+    def abandon(self, now: float, txn: int) -> list[Command]:
         """An adapter failed at this txn: it is answered here."""
         h = self.hand.get(txn)
         if h is not None and h.owed:
@@ -163,7 +192,7 @@
 
     # Telling the module and carrying its actions over
 
-    def tell(self, now: float, *events: Event) -> list[Effect]:
+    def tell(self, now: float, *events: Event) -> list[Command]:
         """Returns all effects since the last call's; what acting brings about is told after them."""
         self.events.extend(events)
         while self.events:
@@ -180,39 +209,41 @@
 
     def act(self, now: float, action: Action) -> None:
         match action:
-            case Submit():
+            case ForwardRequest():
                 self.submit(now, action)
-            case Decline():
-                self.finish(action.txn, REFUSED, action.retry_after_ms)
-            case Void():
-                self.finish(action.txn, FAILED, 0.0)
-            case Cancel():
-                h = self.hand.get(action.txn)
-                if h is not None and action.submission in h.out:
-                    self.effects.append(Stop(action.txn, action.submission))
-                    self.close(now, action.txn, h, action.submission, End.CANCELLED, 0.0, {})
-            case Wake():
-                self.ticks[action.label] = action.after_ms
+            case RejectRequest():
+                self.finish(action.request_id, REFUSED, action.retry_after_ms)
+            case FailRequest():
+                self.finish(action.request_id, FAILED, 0.0)
+            case CancelAttempt():
+                h = self.hand.get(action.request_id)
+                if h is not None and action.attempt in h.out:
+                    self.effects.append(AbortAttempt(action.request_id, action.attempt))
+                    self.close(now, action.request_id, h, action.attempt, Outcome.CANCELLED, 0.0, {})
+            case SetTimer():
+                self.ticks[action.timer_id] = action.delay_ms
                 self.effects.append(action)
-            case Add() | Say():
+            case AddToCounter() | LogMessage():
                 self.effects.append(action)
-            case Probe():
+            case CheckHealth():
                 invariant(False, "the module probes where probes have no port")
 
-    def submit(self, now: float, a: Submit) -> None:
-        h = self.hand.get(a.txn)
+    def submit(self, now: float, a: ForwardRequest) -> None:
+        h = self.hand.get(a.request_id)
         invariant(h is not None and h.owed, "a txn is submitted only while in hand")
         if h is None or not h.owed:
             return
-        n, stop_at = h.tries, min(a.stop_at_ms or h.expiry, h.expiry)
+        n, stop_at = h.tries, min(a.deadline_ms or h.expiry, h.expiry)
         h.tries += 1
         if n >= self.most or min(stop_at, a.write_by_ms) <= now or h.out and not self.copies:
-            self.events.append(Answer(a.txn, n, a.worker, End.NOT_SENT, 0.0, False, 0.0, {}))
+            self.events.append(
+                AttemptEnded(a.request_id, n, a.endpoint_id, Outcome.NOT_SENT, 0.0, False, 0.0, {})
+            )
             return
-        h.out[n] = a.worker, now - self.stood
-        self.effects.append(Send(a.txn, n, a.worker, stop_at, a.write_by_ms))
+        h.out[n] = a.endpoint_id, now - self.stood
+        self.effects.append(StartAttempt(a.request_id, n, a.endpoint_id, stop_at, a.write_by_ms))
         if stop_at < h.expiry:
-            self.effects.append(Alarm(stop_at, a.txn, n))
+            self.effects.append(ScheduleDeadline(stop_at, a.request_id, n))
 
     def finish(self, txn: int, status: int, retry_after_ms: float) -> None:
         h = self.hand.get(txn)
@@ -221,20 +252,27 @@
             self.reply(txn, h, status, retry_after_ms, None)
             self.drop(txn, h)
 
-    def reply(self, txn: int, h: InHand, status: int, retry_after_ms: float, answer: Any) -> None:
+    def reply(self, txn: int, h: InFlightRequest, status: int, retry_after_ms: float, answer: Any) -> None:
         h.owed = False
-        self.effects.append(Reply(txn, status, retry_after_ms, answer))
+        self.effects.append(SendResponse(txn, status, retry_after_ms, answer))
 
     def close(
-        self, now: float, txn: int, h: InHand, n: int, end: End, units: float, load: dict[str, float]
+        self,
+        now: float,
+        txn: int,
+        h: InFlightRequest,
+        n: int,
+        end: Outcome,
+        units: float,
+        load: dict[str, float],
     ) -> None:
         worker, sent = h.out.pop(n)
         h.ran = h.ran or end not in NEVER_RAN
         took = now - self.stood - sent
-        self.events.append(Answer(txn, n, worker, end, took, not h.owed, units, load))
+        self.events.append(AttemptEnded(txn, n, worker, end, took, not h.owed, units, load))
         self.drop(txn, h)
 
-    def drop(self, txn: int, h: InHand) -> None:
+    def drop(self, txn: int, h: InFlightRequest) -> None:
         if not h.owed and not h.out:
             self.hand.pop(txn, None)
 
@@ -242,20 +280,20 @@
 
     def fault(self, now: float, event: Event, error: Exception) -> None:
         """The txn at hand is answered; the others go on, and at worst end at their expiry."""
-        self.effects.append(Fault(error))
-        if isinstance(event, Due):  # the tick must not die with one fault
-            self.effects.append(Wake(self.ticks.get(event.label, 0.0), event.label))
-        elif isinstance(event, Txn | Answer):
-            h = self.hand.get(event.txn)
+        self.effects.append(ReportFault(error))
+        if isinstance(event, TimerFired):  # the tick must not die with one fault
+            self.effects.append(SetTimer(self.ticks.get(event.timer_id, 0.0), event.timer_id))
+        elif isinstance(event, RequestReceived | AttemptEnded):
+            h = self.hand.get(event.request_id)
             if h is not None and h.owed:
-                self.end_by_self(now, event.txn, h)
+                self.end_by_self(now, event.request_id, h)
 
-    def end_by_self(self, now: float, txn: int, h: InHand) -> None:
+    def end_by_self(self, now: float, txn: int, h: InFlightRequest) -> None:
         """503 says that trying again is harmless: only where no submission may have run."""
         ran = h.ran or bool(h.out)
         self.reply(txn, h, FAILED if ran else REFUSED, 0.0, None)
         for n in list(h.out):
-            self.effects.append(Stop(txn, n))
-            self.close(now, txn, h, n, End.CANCELLED, 0.0, {})
+            self.effects.append(AbortAttempt(txn, n))
+            self.close(now, txn, h, n, Outcome.CANCELLED, 0.0, {})
         self.drop(txn, h)
-        self.events.append(Left(txn))
+        self.events.append(ClientDisconnected(txn))
--- a/drumgw/gateway/request_parsing.py
+++ b/drumgw/gateway/request_parsing.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from math import isfinite
 
-from drumgw.model.events import Txn
-from drumgw.model.settings import Repeat, Terms
-from drumgw.model.settings_reader import Names
+from drumgw.model.events import RequestReceived
+from drumgw.model.settings import GatewaySettings, Idempotency
+from drumgw.model.settings_reader import NameIndex
 
 UNITS_MS = {"m": 1.0, "u": 0.001}
 TIME = re.compile(r"([0-9]{1,9}(?:\.[0-9]{1,9})?)([mu])")  # float() takes nan, inf, 1_0, far too much
@@ -19,7 +19,7 @@
 METHODS = ("GET", "POST")
 
 
-class Unfit(Exception):
+class BadRequestError(Exception):
     """A request that the module never hears of: a status of 4xx and a line for the client."""
 
     def __init__(self, status: int, line: str) -> None:
@@ -32,12 +32,12 @@
 
 
 @dataclass(slots=True)
-class Passage:
+class ClientRequest:
     """What goes on to a worker as it came, and what was taken out of it."""
 
     head: bytes  # request line and headers, without Request-Timeout, which each submission adds
     body: bytes
-    asked: Txn  # its number is given by the core
+    asked: RequestReceived  # its number is given by the core
     txn: int = 0
     client_left: Callable[[], bool] = still_there  # asked before each attempt's first byte
 
@@ -75,41 +75,43 @@
     return b"\r\n".join(lines) + b"\r\n"
 
 
-def read_asked(names: Names, terms: Terms, method: str, target: str, headers: Mapping[str, str]) -> Txn:
+def parse_request(
+    names: NameIndex, terms: GatewaySettings, method: str, target: str, headers: Mapping[str, str]
+) -> RequestReceived:
     """The fields of a request; raises Unfit where one is missing or means nothing here.
 
     Guards the books and the workers: what is beyond the settings' ranges, or not a number, in whoever's name,
     would be counted, and a worker that can't use it would be taken for a sick one.
     """
     if method not in METHODS:
-        raise Unfit(405, "no such method")
+        raise BadRequestError(405, "no such method")
     path, _, query = target.partition("?")
-    product = names.products.get(path.split("/", 2)[1] if path.startswith("/") else "")
+    product = names.request_classes.get(path.split("/", 2)[1] if path.startswith("/") else "")
     if product is None:
-        raise Unfit(404, "no such product")
-    if (method == "GET") != (terms.products[product].repeat is Repeat.INQUIRY):
-        raise Unfit(405, "not this product's method")
+        raise BadRequestError(404, "no such product")
+    if (method == "GET") != (terms.request_classes[product].idempotency is Idempotency.IDEMPOTENT):
+        raise BadRequestError(405, "not this product's method")
     if not REQUEST_ID.fullmatch(headers.get("Request-Id", "")):
-        raise Unfit(400, "Request-Id is missing or unusable")
+        raise BadRequestError(400, "Request-Id is missing or unusable")
     plan = names.plans.get(headers.get("Plan", ""))
     if plan is None:
-        raise Unfit(400, "Plan is missing or unknown")
+        raise BadRequestError(400, "Plan is missing or unknown")
     try:
         left, info = _left(headers["Request-Timeout"]), _pairs(headers["Quota-Info"])
         units, gates, first = (_count(info[name]) for name in ("units", "spread", "first"))
         customer = _account(query)
     except (KeyError, ValueError) as bad:
-        raise Unfit(400, f"missing or unusable: {bad}") from bad
+        raise BadRequestError(400, f"missing or unusable: {bad}") from bad
     if not (
         left > 0
-        and 0 < units <= terms.top_units
-        and 1 <= gates <= terms.gatekeepers
-        and first < terms.gatekeepers
+        and 0 < units <= terms.max_request_units
+        and 1 <= gates <= terms.gateways
+        and first < terms.gateways
         and gates % 1 == first % 1 == 0
     ):
-        raise Unfit(400, "Request-Timeout or Quota-Info is out of its range")
+        raise BadRequestError(400, "Request-Timeout or Quota-Info is out of its range")
     again = headers.get("Client-Retry") == "1"
-    return Txn(0, left, plan, customer, product, units, again, int(gates), int(first))
+    return RequestReceived(0, left, plan, customer, product, units, again, int(gates), int(first))
 
 
 def read_number(text: str | bytes | None) -> float | None:
--- a/drumgw/gateway/service.py
+++ b/drumgw/gateway/service.py
@@ -4,33 +4,33 @@
 
 import asyncio
 
-from drumgw.gateway.clock import Pulse
-from drumgw.gateway.counter_client import Counter
-from drumgw.gateway.discovery import Discovery
-from drumgw.gateway.dispatcher import Desk
-from drumgw.gateway.endpoint_clients import Workers
-from drumgw.gateway.process_config import Charter
-from drumgw.gateway.request_lifecycle import Core
-from drumgw.model.events import Listed
-from drumgw.policy.engine import Gatekeeper
-
-
-class Station:
-    def __init__(self, charter: Charter, pulse: Pulse) -> None:
+from drumgw.gateway.clock import StallAwareClock
+from drumgw.gateway.counter_client import CounterClient
+from drumgw.gateway.discovery import DiscoveryClient
+from drumgw.gateway.dispatcher import Dispatcher
+from drumgw.gateway.endpoint_clients import EndpointClients
+from drumgw.gateway.process_config import GatewayConfig
+from drumgw.gateway.request_lifecycle import RequestLifecycle
+from drumgw.model.events import EndpointsUpdated
+from drumgw.policy.engine import PolicyEngine
+
+
+class GatewayService:
+    def __init__(self, charter: GatewayConfig, pulse: StallAwareClock) -> None:
         self.charter, self.pulse = charter, pulse
-        core = Core(Gatekeeper(charter.seed, charter.terms), charter.terms)
-        self.desk = Desk(core, pulse, 4 * charter.lines, charter.said)
-        self.workers = Workers(charter, self.desk)
-        self.counter = Counter(charter, self.desk) if charter.counter else None
-        self.discovery = Discovery(charter, self.desk, self.workers)
+        core = RequestLifecycle(PolicyEngine(charter.seed, charter.terms), charter.terms)
+        self.desk = Dispatcher(core, pulse, 4 * charter.lines, charter.said)
+        self.workers = EndpointClients(charter, self.desk)
+        self.counter = CounterClient(charter, self.desk) if charter.counter else None
+        self.discovery = DiscoveryClient(charter, self.desk, self.workers)
         self.desk.workers, self.desk.counter = self.workers, self.counter
         self.workers.heed(self.discovery.look)
 
     def start(self) -> None:
         """Before anything else of it; it knows no worker yet."""
-        self.desk.post(self.desk.core.start, Listed(True, ()))
+        self.desk.post(self.desk.core.start, EndpointsUpdated(True, ()))
 
-    def move(self, told: Charter) -> None:
+    def move(self, told: GatewayConfig) -> None:
         """Discovery and the counter are asked there; the list, the books and all in hand stay as they are."""
         self.discovery.move(told.discovery)
         if self.counter is not None and told.counter is not None:
--- a/drumgw/hosting/admin_api.py
+++ b/drumgw/hosting/admin_api.py
@@ -11,15 +11,15 @@
 from loguru import logger
 from pydantic import BaseModel, ValidationError
 
-from drumgw.config.host_file import Named, Spec
-from drumgw.gateway.process_config import BadCharter
-from drumgw.hosting.authentication import NOT_ITS_OWN, TENANT, Access, Token, may
-from drumgw.hosting.tenant_registry import Change, Obj, Refused, Registry, Tenant
-from drumgw.hosting.tenant_services import Hosting
+from drumgw.config.host_file import NamedTenantSpec, TenantSpec
+from drumgw.gateway.process_config import ConfigError
+from drumgw.hosting.authentication import NOT_ITS_OWN, TENANT, Authenticator, Token, is_allowed
+from drumgw.hosting.tenant_registry import ChangeRejected, Obj, Tenant, TenantChange, TenantRegistry
+from drumgw.hosting.tenant_services import TenantServices
 
 MOST_BODY, MOST_CALLS, BODY_S, MOST_PAGE = 256 * 1024, 16, 5.0, 200
 PARTS = {"plans": "plan", "routes": "route", "limits": "allowed"}
-Handler = Callable[["Api", web.Request, Token], Awaitable[web.Response]]
+Handler = Callable[["AdminApi", web.Request, Token], Awaitable[web.Response]]
 
 
 class Action(NamedTuple):
@@ -31,8 +31,8 @@
     answers: dict[int, str]  # beside the refusals that any call may get
 
 
-class Api:
-    def __init__(self, hosting: Hosting, access: Access) -> None:
+class AdminApi:
+    def __init__(self, hosting: TenantServices, access: Authenticator) -> None:
         self.hosting, self.access, self.calls = hosting, access, 0
         self.app = web.Application(client_max_size=MOST_BODY, middlewares=[self.guard])
         for action, handler in LIST:
@@ -55,23 +55,23 @@
     async def guard(self, request: web.Request, handler: Any) -> web.StreamResponse:
         """Guards serving against a flood of calls, and callers against anything but an answer in our form."""
         if self.calls >= MOST_CALLS:
-            no = Refused(429, "Too many calls", f"{MOST_CALLS} calls are open")
+            no = ChangeRejected(429, "Too many calls", f"{MOST_CALLS} calls are open")
             return problem(no, {"Retry-After": "1"})
         self.calls += 1
         try:
             found: web.StreamResponse = await handler(request)
             return found
-        except Refused as refused:
+        except ChangeRejected as refused:
             return problem(refused)
         except web.HTTPException as other:
-            return problem(Refused(other.status, other.reason, other.reason), allow(other))
-        except BadCharter as bad:
-            return problem(Refused(422, "Unusable", str(bad)))
+            return problem(ChangeRejected(other.status, other.reason, other.reason), allow(other))
+        except ConfigError as bad:
+            return problem(ChangeRejected(422, "Unusable", str(bad)))
         except asyncio.CancelledError:
             raise
         except Exception as error:
             logger.opt(exception=error).error("fault in the API: {!r}", error)
-            return problem(Refused(500, "Fault", "a fault of our own; nothing was changed"))
+            return problem(ChangeRejected(500, "Fault", "a fault of our own; nothing was changed"))
         finally:
             self.calls -= 1
 
@@ -81,9 +81,9 @@
                 return await handler(self, request, Token("", "", None, ""))
             who = self.access.who(request.headers.get("Authorization"))
             if who is None:
-                raise Refused(401, "No token", "say Authorization: Bearer and a token of this host")
-            if not may(who, action.name, request.match_info.get("tenant")):
-                raise Refused(403, "Not yours", f"a {who.role} may not {action.name} there")
+                raise ChangeRejected(401, "No token", "say Authorization: Bearer and a token of this host")
+            if not is_allowed(who, action.name, request.match_info.get("tenant")):
+                raise ChangeRejected(403, "Not yours", f"a {who.role} may not {action.name} there")
             if action.method in ("POST", "PUT", "DELETE"):
                 return await self.audited(action, request, who, handler)
             return await handler(self, request, who)
@@ -97,14 +97,16 @@
         status, where = 500, request.match_info.get("tenant", "")
         try:
             if self.hosting.store is None:
-                raise Refused(405, "Read only", "tenants come from the operator's file: no folder lasts here")
+                raise ChangeRejected(
+                    405, "Read only", "tenants come from the operator's file: no folder lasts here"
+                )
             found = await handler(self, request, who)
             status, where = found.status, found.headers.get("Location", where)
             return found
-        except Refused as no:
+        except ChangeRejected as no:
             status = no.status
             raise
-        except BadCharter:
+        except ConfigError:
             status = 422
             raise
         finally:
@@ -117,30 +119,30 @@
             async with asyncio.timeout(BODY_S):
                 text = await request.read()
         except TimeoutError as late:
-            raise Refused(408, "Too slow", "the body did not come whole in time") from late
+            raise ChangeRejected(408, "Too slow", "the body did not come whole in time") from late
         if request.content_type != "application/json":
-            raise Refused(415, "Not JSON", "say Content-Type: application/json")
+            raise ChangeRejected(415, "Not JSON", "say Content-Type: application/json")
         try:
             return json.loads(text)
         except (ValueError, RecursionError) as bad:
-            raise Refused(400, "Not JSON", str(bad)[:200]) from bad
+            raise ChangeRejected(400, "Not JSON", str(bad)[:200]) from bad
 
     def tenant(self, request: web.Request) -> Tenant:
         return self.hosting.registry.get(request.match_info["tenant"])
 
-    async def change(self, make: Callable[[Registry], tuple[Any, Change | None]]) -> Any:
+    async def change(self, make: Callable[[TenantRegistry], tuple[Any, TenantChange | None]]) -> Any:
         return await self.hosting.change(make)
 
     async def put(self, request: web.Request, who: Token, whole: Callable[[Obj], Obj]) -> web.Response:
         """Replaces the spec by what whole makes of the one that stands."""
         name, match = request.match_info["tenant"], request.headers.get("If-Match")
 
-        def make(registry: Registry) -> tuple[Any, Change | None]:
+        def make(registry: TenantRegistry) -> tuple[Any, TenantChange | None]:
             old = registry.get(name).spec
-            spec = checked(Spec, whole(old)).model_dump(mode="json")
+            spec = checked(TenantSpec, whole(old)).model_dump(mode="json")
             for key in NOT_ITS_OWN if who.role == TENANT else ():
                 if spec[key] != old[key]:
-                    raise Refused(403, "Not yours", f"only an operator changes {key}", f"/{key}")
+                    raise ChangeRejected(403, "Not yours", f"only an operator changes {key}", f"/{key}")
             return registry.replace(name, spec, match)
 
         tenant = await self.change(make)
@@ -156,15 +158,17 @@
     async def list_all(self, request: web.Request, who: Token) -> web.Response:
         after, limit = request.query.get("after", ""), request.query.get("limit", "50")
         if not (limit.isascii() and limit.isdigit() and 1 <= int(limit[:6]) <= MOST_PAGE):
-            raise Refused(400, "Out of range", f"limit is 1 to {MOST_PAGE}", "limit")
+            raise ChangeRejected(400, "Out of range", f"limit is 1 to {MOST_PAGE}", "limit")
         found, further = self.hosting.registry.page(after, int(limit), who.tenant)
         return answer({"tenants": [tenant.told() for tenant in found], "after": further})
 
     async def create(self, request: web.Request, who: Token) -> web.Response:
         key = request.headers.get("Idempotency-Key")
         if key is not None and not 1 <= len(key) <= 128:
-            raise Refused(400, "Out of range", "Idempotency-Key has 1 to 128 characters", "Idempotency-Key")
-        named = checked(Named, await self.told(request))
+            raise ChangeRejected(
+                400, "Out of range", "Idempotency-Key has 1 to 128 characters", "Idempotency-Key"
+            )
+        named = checked(NamedTenantSpec, await self.told(request))
         tenant = await self.change(lambda registry: registry.create(named.name, named.spec(), key))
         return answer(tenant.told(), 201, tenant=tenant, Location=f"/v1/tenants/{tenant.name}")
 
@@ -199,7 +203,7 @@
     async def operation(self, request: web.Request, who: Token) -> web.Response:
         found = self.hosting.registry.operation(request.match_info["operation"])
         if who.role == TENANT and found.tenant != who.tenant:
-            raise Refused(404, "No such operation", "there is no such operation of yours")
+            raise ChangeRejected(404, "No such operation", "there is no such operation of yours")
         return answer(found._asdict())
 
 
@@ -212,7 +216,7 @@
             {"pointer": "".join(f"/{part}" for part in error["loc"]), "detail": error["msg"]}
             for error in bad.errors(include_url=False, include_input=False)[:50]
         ]
-        raise Refused(422, "Unusable", f"{bad.error_count()} mistake(s)", errors=errors) from bad
+        raise ChangeRejected(422, "Unusable", f"{bad.error_count()} mistake(s)", errors=errors) from bad
 
 
 def answer(told: Any, status: int = 200, tenant: Tenant | None = None, **headers: str) -> web.Response:
@@ -221,7 +225,7 @@
     return web.json_response(told, status=status, headers=headers)
 
 
-def problem(no: Refused, headers: dict[str, str] | None = None) -> web.Response:
+def problem(no: ChangeRejected, headers: dict[str, str] | None = None) -> web.Response:
     errors = no.errors or ([{"pointer": no.pointer, "detail": no.detail}] if no.pointer else [])
     told: Obj = {"type": "about:blank", "title": no.title, "status": no.status, "detail": no.detail}
     if errors:
@@ -241,8 +245,11 @@
 VERSIONED = {**BY_NAME, 409: "not now, or a route taken", 412: "changed meanwhile", 428: "no If-Match"}
 CHANGED, BEGUN = {200: "the tenant", **VERSIONED}, {202: "an operation to poll", **VERSIONED}
 LIST: list[tuple[Action, Handler]] = [
-    (Action("GET", "/openapi.json", "describe", "This text", None, {200: "OpenAPI 3.1"}), Api.describe),
-    (Action("GET", ALL, "list", "Tenants by name, paged", None, {200: "a page", 400: "limit"}), Api.list_all),
+    (Action("GET", "/openapi.json", "describe", "This text", None, {200: "OpenAPI 3.1"}), AdminApi.describe),
+    (
+        Action("GET", ALL, "list", "Tenants by name, paged", None, {200: "a page", 400: "limit"}),
+        AdminApi.list_all,
+    ),
     (
         Action(
             "POST",
@@ -252,18 +259,21 @@
             "Named",
             {201: "created", 409: "name or route taken", 410: "what the key created is gone"},
         ),
-        Api.create,
+        AdminApi.create,
     ),
-    (Action("GET", ONE, "read", "Read a tenant", None, {200: "the tenant", **BY_NAME}), Api.read),
+    (Action("GET", ONE, "read", "Read a tenant", None, {200: "the tenant", **BY_NAME}), AdminApi.read),
     (
         Action("PUT", ONE, "replace", "Replace what a tenant is made of", "Spec", CHANGED),
-        Api.replace,
+        AdminApi.replace,
+    ),
+    (Action("DELETE", ONE, "remove", "Remove a tenant; its txns finish", None, BEGUN), AdminApi.mark),
+    (Action("POST", f"{ONE}/suspend", "suspend", "Turn its txns away", None, CHANGED), AdminApi.mark),
+    (Action("POST", f"{ONE}/resume", "resume", "Serve it again", None, CHANGED), AdminApi.mark),
+    (
+        Action("POST", f"{ONE}/drain", "drain", "Take nothing new; its txns finish", None, BEGUN),
+        AdminApi.mark,
     ),
-    (Action("DELETE", ONE, "remove", "Remove a tenant; its txns finish", None, BEGUN), Api.mark),
-    (Action("POST", f"{ONE}/suspend", "suspend", "Turn its txns away", None, CHANGED), Api.mark),
-    (Action("POST", f"{ONE}/resume", "resume", "Serve it again", None, CHANGED), Api.mark),
-    (Action("POST", f"{ONE}/drain", "drain", "Take nothing new; its txns finish", None, BEGUN), Api.mark),
-    (Action("GET", f"{ONE}/use", "use", "Use and state now", None, {200: "use", **BY_NAME}), Api.use),
+    (Action("GET", f"{ONE}/use", "use", "Use and state now", None, {200: "use", **BY_NAME}), AdminApi.use),
     (
         Action(
             "GET",
@@ -273,14 +283,17 @@
             None,
             {200: "it", 404: "unknown, or long ago"},
         ),
-        Api.operation,
+        AdminApi.operation,
     ),
 ]
 for _part in PARTS:
     _path = f"{ONE}/{_part}"
     LIST.append(
-        (Action("GET", _path, "read part", f"Read its {_part}", None, {200: _part, **BY_NAME}), Api.read_part)
+        (
+            Action("GET", _path, "read part", f"Read its {_part}", None, {200: _part, **BY_NAME}),
+            AdminApi.read_part,
+        )
     )
     LIST.append(
-        (Action("PUT", _path, "replace part", f"Replace its {_part}", _part, CHANGED), Api.replace_part)
+        (Action("PUT", _path, "replace part", f"Replace its {_part}", _part, CHANGED), AdminApi.replace_part)
     )
--- a/drumgw/hosting/authentication.py
+++ b/drumgw/hosting/authentication.py
@@ -23,7 +23,7 @@
     sha256: str
 
 
-class Access:
+class Authenticator:
     def __init__(self, tokens: Iterable[Token]) -> None:
         self.tokens = tuple(tokens)
 
@@ -38,7 +38,7 @@
         return found
 
 
-def may(who: Token, action: str, tenant: str | None) -> bool:
+def is_allowed(who: Token, action: str, tenant: str | None) -> bool:
     if who.role == OPERATOR:
         return True
     return action in TENANTS_OWN and (tenant is None or tenant == who.tenant)
--- a/drumgw/hosting/host_process.py
+++ b/drumgw/hosting/host_process.py
@@ -9,33 +9,35 @@
 
 from loguru import logger
 
-from drumgw.config.host_file import House
-from drumgw.gateway.clock import Clock, Pulse
+from drumgw.config.host_file import HostFile
+from drumgw.gateway.clock import MonotonicClock, StallAwareClock
 from drumgw.gateway.process import GARBAGE, LINGER_MS, deaf, heed
-from drumgw.gateway.process_config import RESERVED, BadCharter, address
-from drumgw.hosting.admin_api import MOST_CALLS, Api
-from drumgw.hosting.authentication import Access, Token
-from drumgw.hosting.http_server import Doorway, HostFront
-from drumgw.hosting.state_file import BadState, Store
-from drumgw.hosting.tenant_registry import Refused, Registry
-from drumgw.hosting.tenant_services import Hosting
+from drumgw.gateway.process_config import RESERVED, ConfigError, address
+from drumgw.hosting.admin_api import MOST_CALLS, AdminApi
+from drumgw.hosting.authentication import Authenticator, Token
+from drumgw.hosting.http_server import HostHttpServer, ListenerConfig
+from drumgw.hosting.state_file import StateFile, StateFileError
+from drumgw.hosting.tenant_registry import ChangeRejected, TenantRegistry
+from drumgw.hosting.tenant_services import TenantServices
 
 
-class Service:
-    def __init__(self, house: House) -> None:
+class HostProcess:
+    def __init__(self, house: HostFile) -> None:
         self.house = house
-        self.pulse = Pulse(Clock(), asyncio.get_running_loop())
-        self.store = Store(house.host.state) if house.host.state else None
-        self.hosting = Hosting(house, self.pulse, self.tenants(), self.store)
+        self.pulse = StallAwareClock(MonotonicClock(), asyncio.get_running_loop())
+        self.store = StateFile(house.host.state) if house.host.state else None
+        self.hosting = TenantServices(house, self.pulse, self.tenants(), self.store)
         clients = house.limits.sockets - RESERVED - 2 * MOST_CALLS - self.hosting.most
         if clients < 1:
-            raise BadCharter(f"limits.sockets is {house.limits.sockets}, too few")
-        doorway = Doorway(address(house.host.listen, "listen"), clients, clients * 3 // 4)
-        self.front = HostFront(doorway, self.hosting)
-        self.api = Api(self.hosting, Access(Token(t.id, t.role, t.tenant, t.sha256) for t in house.token))
+            raise ConfigError(f"limits.sockets is {house.limits.sockets}, too few")
+        doorway = ListenerConfig(address(house.host.listen, "listen"), clients, clients * 3 // 4)
+        self.front = HostHttpServer(doorway, self.hosting)
+        self.api = AdminApi(
+            self.hosting, Authenticator(Token(t.id, t.role, t.tenant, t.sha256) for t in house.token)
+        )
         self.term = asyncio.Event()
 
-    def tenants(self) -> Registry:
+    def tenants(self) -> TenantRegistry:
         """Those of the state folder, where there is one and it has any; else the file's."""
         if self.store is not None:
             try:
@@ -43,17 +45,17 @@
                 if said is not None:
                     logger.warning("{}", said)
                 if kept is not None:
-                    return Registry.of(kept)
-            except BadState as bad:
-                raise BadCharter(str(bad)) from bad
+                    return TenantRegistry.of(kept)
+            except StateFileError as bad:
+                raise ConfigError(str(bad)) from bad
             except (KeyError, TypeError, ValueError, AttributeError) as bad:
-                raise BadCharter(f"{self.store.path}: not as this version writes it: {bad!r}") from bad
-        registry = Registry()
+                raise ConfigError(f"{self.store.path}: not as this version writes it: {bad!r}") from bad
+        registry = TenantRegistry()
         for named in self.house.tenant:
             try:
                 registry.create(named.name, named.spec())
-            except Refused as no:
-                raise BadCharter(f"tenant {named.name}: {no.detail}") from no
+            except ChangeRejected as no:
+                raise ConfigError(f"tenant {named.name}: {no.detail}") from no
         return registry
 
     async def open(self) -> tuple[tuple[str, int], tuple[str, int]]:
@@ -63,7 +65,7 @@
         try:
             api = await self.api.open(address(self.house.host.api, "api"))
         except OSError as error:
-            raise BadCharter(f"cannot listen at {self.house.host.api}: {error}") from error
+            raise ConfigError(f"cannot listen at {self.house.host.api}: {error}") from error
         place = await self.front.open()
         logger.info(
             "host {} serves at {}:{}, its API at {}:{}: {} tenants, {}",
@@ -86,24 +88,24 @@
         await self.hosting.close()
         logger.info("host {} ends", self.house.host.name)
 
-    def reload(self, read: Callable[[], House]) -> None:
+    def reload(self, read: Callable[[], HostFile]) -> None:
         """SIGHUP: tokens are read again; tenants change by the API, all else by a restart."""
         try:
             house = read()
         except ValueError as bad:
             logger.warning("SIGHUP: {}; the old file stands", str(bad).splitlines()[0])
             return
-        self.api.access = Access(Token(t.id, t.role, t.tenant, t.sha256) for t in house.token)
+        self.api.access = Authenticator(Token(t.id, t.role, t.tenant, t.sha256) for t in house.token)
         logger.info("SIGHUP: {} tokens", len(house.token))
 
 
-async def serve(house: House, again: Callable[[], House]) -> None:
-    service, loop = Service(house), asyncio.get_running_loop()
+async def serve(house: HostFile, again: Callable[[], HostFile]) -> None:
+    service, loop = HostProcess(house), asyncio.get_running_loop()
     heed(loop, signal.SIGTERM, service.term.set)
     heed(loop, signal.SIGHUP, lambda: service.reload(again))
     try:
         await service.open()
-    except BadCharter:
+    except ConfigError:
         await service.api.close()
         await service.hosting.close()
         raise
--- a/drumgw/hosting/http_server.py
+++ b/drumgw/hosting/http_server.py
@@ -8,54 +8,54 @@
 from aiohttp.web_request import BaseRequest
 from loguru import logger
 
-from drumgw.gateway.clock import LATE_MS, Pulse
-from drumgw.gateway.http_server import Client, Front, Stage, Whole
-from drumgw.gateway.request_parsing import Unfit
-from drumgw.hosting.tenant_services import Hosting
+from drumgw.gateway.clock import LATE_MS, StallAwareClock
+from drumgw.gateway.http_server import ClientConnection, CompleteResponse, ConnectionState, HttpServer
+from drumgw.gateway.request_parsing import BadRequestError
+from drumgw.hosting.tenant_services import TenantServices
 
 
 @dataclass(frozen=True)
-class Doorway:
+class ListenerConfig:
     listen: tuple[str, int]
     clients: int
     asking: int
 
 
-class Porter:
+class ListenerDispatcher:
     """What the front needs of a desk beside the txns."""
 
-    def __init__(self, pulse: Pulse) -> None:
+    def __init__(self, pulse: StallAwareClock) -> None:
         self.pulse, self.loop = pulse, pulse.loop
 
     def complain(self, error: Exception, where: str) -> None:
         logger.opt(exception=error).error("fault in {}: {!r}", where, error)
 
 
-class HostFront(Front):
-    def __init__(self, doorway: Doorway, hosting: Hosting) -> None:
-        super().__init__(cast(Any, doorway), cast(Any, Porter(hosting.pulse)))
+class HostHttpServer(HttpServer):
+    def __init__(self, doorway: ListenerConfig, hosting: TenantServices) -> None:
+        super().__init__(cast(Any, doorway), cast(Any, ListenerDispatcher(hosting.pulse)))
         self.hosting = hosting
         self.held: dict[str, int] = {}  # connections by whom they asked last; emptied as they close
 
     # Connections
 
-    def own(self, client: Client, key: str) -> None:
+    def own(self, client: ClientConnection, key: str) -> None:
         if client.owner != key:
             self.gone(client)
             client.owner, self.held[key] = key, self.held.get(key, 0) + 1
 
-    def gone(self, client: Client) -> None:
+    def gone(self, client: ClientConnection) -> None:
         if client.owner:
             self.held[client.owner] -= 1
             if not self.held[client.owner]:
                 del self.held[client.owner]
             client.owner = ""
 
-    def longest_idle(self) -> Client | None:
+    def longest_idle(self) -> ClientConnection | None:
         """Guards tenants whose clients keep few connections: who keeps more than its part loses one first."""
         weights, now = self.hosting.weights, self.desk.pulse.now()
         all_of_them = sum(weights.values()) or 1.0
-        for client in self.stages[Stage.IDLE]:
+        for client in self.stages[ConnectionState.IDLE]:
             if now - client.since <= LATE_MS:
                 break
             part = self.charter.clients * weights.get(client.owner, 0.0) / all_of_them
@@ -65,14 +65,14 @@
 
     # Requests
 
-    async def serve(self, request: BaseRequest, target: str, client: Client) -> Whole:
+    async def serve(self, request: BaseRequest, target: str, client: ClientConnection) -> CompleteResponse:
         found = self.hosting.registry.routes.find(request.headers.get("Host"), target)
         if found is None:
-            raise Unfit(404, "no tenant is served there")
+            raise BadRequestError(404, "no tenant is served there")
         seat, wait_ms = self.hosting.take(found.tenant)
         if seat is None:
             await self.read(request)
-            return Whole(503, b"", f"Retry-After: {wait_ms / 1000:.3f}\r\n")
+            return CompleteResponse(503, b"", f"Retry-After: {wait_ms / 1000:.3f}\r\n")
         self.own(client, seat.key)
         try:
             station = seat.station
--- a/drumgw/hosting/openapi.py
+++ b/drumgw/hosting/openapi.py
@@ -6,8 +6,8 @@
 
 from pydantic import TypeAdapter
 
-from drumgw.config.host_file import Named, Spec, Way
-from drumgw.config.sections import Allowed, Plan
+from drumgw.config.host_file import NamedTenantSpec, RouteSection, TenantSpec
+from drumgw.config.sections import AllowedSection, PlanSection
 from drumgw.hosting.admin_api import LIST, Action
 
 ANY_CALL = {401: "no token", 403: "not yours", 429: "too many calls", 500: "a fault of ours"}
@@ -20,11 +20,11 @@
     422: "unusable",
 }
 BODIES: dict[str, Any] = {
-    "Named": Named,
-    "Spec": Spec,
-    "plans": list[Plan],
-    "routes": list[Way],
-    "limits": Allowed,
+    "Named": NamedTenantSpec,
+    "Spec": TenantSpec,
+    "plans": list[PlanSection],
+    "routes": list[RouteSection],
+    "limits": AllowedSection,
 }
 
 
--- a/drumgw/hosting/resource_limits.py
+++ b/drumgw/hosting/resource_limits.py
@@ -14,7 +14,7 @@
 OVER, SMALL = 1.25, 8  # multiple of its part that a tenant may take then, and so many more: counts vary
 
 
-class Part:
+class TenantShare:
     """A tenant's. Dropped when it is removed and holds nothing."""
 
     __slots__ = ("weight", "own", "open", "refused")
@@ -23,13 +23,13 @@
         self.weight, self.own, self.open, self.refused = weight, 1, 0, 0
 
 
-class Shares:
+class FairShares:
     def __init__(self, most: int) -> None:
         self.most, self.lent = most, 0
-        self.parts: dict[str, Part] = {}  # emptied as tenants go
+        self.parts: dict[str, TenantShare] = {}  # emptied as tenants go
 
     def put(self, tenant: str, weight: float) -> None:
-        self.parts.setdefault(tenant, Part(weight)).weight = weight
+        self.parts.setdefault(tenant, TenantShare(weight)).weight = weight
         self.divide()
 
     def drop(self, tenant: str) -> None:
@@ -75,7 +75,7 @@
             self.drop(tenant)
 
 
-class Turns:
+class FairTurns:
     """Guards the loop's time: while it lags, who took more than its part of the txns lately waits."""
 
     def __init__(self) -> None:
--- a/drumgw/hosting/routing.py
+++ b/drumgw/hosting/routing.py
@@ -18,7 +18,7 @@
     prefix: str  # "" or /segment/segment
 
 
-class Ambiguous(ValueError):
+class AmbiguousRouteError(ValueError):
     """Two tenants ask for the same route; its text is one line."""
 
     def __init__(self, route: Route, one: str, other: str) -> None:
@@ -43,7 +43,7 @@
     def add(self, tenant: str, route: Route) -> None:
         paths, parts = self.table.setdefault(route.host, {}), segments(route.prefix)
         if paths.get(parts, tenant) != tenant:
-            raise Ambiguous(route, paths[parts], tenant)
+            raise AmbiguousRouteError(route, paths[parts], tenant)
         paths[parts] = tenant
         self.deepest[route.host] = max(self.deepest.get(route.host, 0), len(parts))
 
--- a/drumgw/hosting/state_file.py
+++ b/drumgw/hosting/state_file.py
@@ -16,7 +16,7 @@
 MARK = "drumgw state"
 
 
-class BadState(ValueError):
+class StateFileError(ValueError):
     """A state file that is not used; its text is one line."""
 
 
@@ -46,7 +46,7 @@
             os.close(number)
 
 
-class Store:
+class StateFile:
     def __init__(self, folder: str, disk: Disk | None = None) -> None:
         self.folder, self.disk = pathlib.Path(folder), disk or Disk()
         self.path = self.folder / "tenants.state"
@@ -71,7 +71,7 @@
             return None, None
         try:
             return read(self.path), None
-        except BadState as bad:
+        except StateFileError as bad:
             if "newer" in str(bad) or not self.last.exists():
                 raise
             return read(self.last), f"{bad}; the last good state stands"
@@ -82,18 +82,18 @@
         with open(path, "rb") as file:
             line, text = file.readline(MOST_HEAD), file.read(MOST_BYTES + 1)
     except OSError as bad:
-        raise BadState(f"{path}: {bad.strerror or bad}") from bad
+        raise StateFileError(f"{path}: {bad.strerror or bad}") from bad
     try:
         head = json.loads(line)
         version, size, digest = head[MARK], head["bytes"], head["sha256"]
     except (ValueError, KeyError, TypeError) as bad:
-        raise BadState(f"{path}: no state file") from bad
+        raise StateFileError(f"{path}: no state file") from bad
     if version != VERSION:
         newer = isinstance(version, int) and version > VERSION
-        raise BadState(f"{path}: of {'a newer' if newer else 'an unknown'} version, {version!r}")
+        raise StateFileError(f"{path}: of {'a newer' if newer else 'an unknown'} version, {version!r}")
     if len(text) != size or hashlib.sha256(text).hexdigest() != digest:
-        raise BadState(f"{path}: damaged")
+        raise StateFileError(f"{path}: damaged")
     try:
         return json.loads(text)
     except ValueError as bad:
-        raise BadState(f"{path}: damaged") from bad
+        raise StateFileError(f"{path}: damaged") from bad
--- a/drumgw/hosting/tenant_registry.py
+++ b/drumgw/hosting/tenant_registry.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from drumgw.hosting.routing import Ambiguous, Route, Routes
+from drumgw.hosting.routing import AmbiguousRouteError, Route, Routes
 
 MOST_TENANTS, MOST_KEYS, MOST_OPERATIONS = 10_000, 1024, 1024
 ACTIVE, SUSPENDED, DRAINING, DRAINED, REMOVED = "active", "suspended", "draining", "drained", "removed"
@@ -19,7 +19,7 @@
 Obj = dict[str, Any]
 
 
-class Refused(Exception):
+class ChangeRejected(Exception):
     """A change that is not made: a status, a line, and where the mistake is."""
 
     def __init__(
@@ -60,7 +60,7 @@
     state: str
 
 
-class Change(NamedTuple):
+class TenantChange(NamedTuple):
     """For hosting: what became of a tenant."""
 
     what: str  # opened, changed, marked, removed
@@ -71,7 +71,7 @@
     return [Route(route["host"], route["path"]) for route in spec["route"]]
 
 
-class Registry:
+class TenantRegistry:
     def __init__(self) -> None:
         self.tenants: dict[str, Tenant] = {}  # emptied by removals
         self.leaving: dict[int, str] = {}  # serial: its removal; emptied as txns end
@@ -84,9 +84,9 @@
         self.counted += 1
         return self.counted
 
-    def copy(self) -> Registry:
+    def copy(self) -> TenantRegistry:
         """To make a change in, which takes effect once it is kept."""
-        new = Registry()
+        new = TenantRegistry()
         for name, tenant in self.tenants.items():
             one = new.tenants[name] = Tenant(name, tenant.serial, tenant.version, tenant.spec, tenant.state)
             one.operation = tenant.operation
@@ -98,7 +98,7 @@
 
     def get(self, name: str) -> Tenant:
         if (tenant := self.tenants.get(name)) is None:
-            raise Refused(404, "No such tenant", f"there is no tenant {name!r}")
+            raise ChangeRejected(404, "No such tenant", f"there is no tenant {name!r}")
         return tenant
 
     def page(self, after: str, limit: int, only: str | None = None) -> tuple[list[Tenant], str | None]:
@@ -108,25 +108,27 @@
 
     def operation(self, name: str) -> Operation:
         if (found := self.operations.get(name)) is None:
-            raise Refused(404, "No such operation", f"there is no operation {name!r}, or it was long ago")
+            raise ChangeRejected(
+                404, "No such operation", f"there is no operation {name!r}, or it was long ago"
+            )
         return found
 
     # Changes
 
-    def create(self, name: str, spec: Obj, key: str | None = None) -> tuple[Tenant, Change | None]:
+    def create(self, name: str, spec: Obj, key: str | None = None) -> tuple[Tenant, TenantChange | None]:
         """No change where the key says that it was made before."""
         digest = hashlib.sha256(json.dumps([name, spec], sort_keys=True).encode()).hexdigest()
         if key is not None and (known := self.keys.get(key)) is not None:
             if known[0] != digest:
-                raise Refused(422, "Key used", "this idempotency key came with another body")
+                raise ChangeRejected(422, "Key used", "this idempotency key came with another body")
             tenant = self.tenants.get(known[1])
             if tenant is None or tenant.serial != known[2]:
-                raise Refused(410, "Gone", f"what this key created is no more: {known[1]!r}")
+                raise ChangeRejected(410, "Gone", f"what this key created is no more: {known[1]!r}")
             return tenant, None
         if name in self.tenants:
-            raise Refused(409, "Name taken", f"there is a tenant {name!r}", "/name")
+            raise ChangeRejected(409, "Name taken", f"there is a tenant {name!r}", "/name")
         if len(self.tenants) >= MOST_TENANTS:
-            raise Refused(409, "Full", f"there are {MOST_TENANTS} tenants")
+            raise ChangeRejected(409, "Full", f"there are {MOST_TENANTS} tenants")
         routes = self.compiled(name, spec)
         number = self.number()
         tenant = self.tenants[name] = Tenant(name, number, number, spec)
@@ -134,24 +136,24 @@
         if key is not None:
             self.keys[key] = digest, name, number
             bound(self.keys, MOST_KEYS)
-        return tenant, Change("opened", tenant)
+        return tenant, TenantChange("opened", tenant)
 
-    def replace(self, name: str, spec: Obj, match: str | None) -> tuple[Tenant, Change]:
+    def replace(self, name: str, spec: Obj, match: str | None) -> tuple[Tenant, TenantChange]:
         tenant = self.matched(name, match)
         routes = self.compiled(name, spec)
         tenant.spec, tenant.version, self.routes = spec, self.number(), routes
-        return tenant, Change("changed", tenant)
+        return tenant, TenantChange("changed", tenant)
 
-    def mark(self, name: str, word: str, match: str | None) -> tuple[Tenant, Change]:
+    def mark(self, name: str, word: str, match: str | None) -> tuple[Tenant, TenantChange]:
         tenant = self.matched(name, match)
         row = TABLE.get((tenant.state, word))
         if row is None:
-            raise Refused(409, "Not now", f"{name!r} is {tenant.state}: it can't be told to {word}")
+            raise ChangeRejected(409, "Not now", f"{name!r} is {tenant.state}: it can't be told to {word}")
         tenant.state, effect = row
         tenant.version = self.number()
         if effect is not None:
             effect(self, tenant, word)
-        return tenant, Change("removed" if tenant.state == REMOVED else "marked", tenant)
+        return tenant, TenantChange("removed" if tenant.state == REMOVED else "marked", tenant)
 
     def emptied(self, serial: int) -> Tenant | None:
         """No txn is in flight there any more."""
@@ -170,9 +172,9 @@
     def matched(self, name: str, match: str | None) -> Tenant:
         tenant = self.get(name)
         if match is None:
-            raise Refused(428, "Version wanted", "say in If-Match which version this was made from")
+            raise ChangeRejected(428, "Version wanted", "say in If-Match which version this was made from")
         if match.strip() != f'"{tenant.version}"':
-            raise Refused(412, "Changed meanwhile", f"{name!r} is at version {tenant.version}")
+            raise ChangeRejected(412, "Changed meanwhile", f"{name!r} is at version {tenant.version}")
         return tenant
 
     def compiled(self, name: str, spec: Obj) -> Routes:
@@ -182,8 +184,8 @@
         for place, route in enumerate(routes_of(spec)):
             try:
                 routes.add(name, route)
-            except Ambiguous as bad:
-                raise Refused(409, "Route taken", str(bad), f"/route/{place}") from bad
+            except AmbiguousRouteError as bad:
+                raise ChangeRejected(409, "Route taken", str(bad), f"/route/{place}") from bad
         return routes
 
     def begin(self, tenant: Tenant, word: str) -> None:
@@ -220,7 +222,7 @@
         return {"counted": self.counted, "tenants": rows, "keys": self.keys}
 
     @classmethod
-    def of(cls, kept: Obj) -> Registry:
+    def of(cls, kept: Obj) -> TenantRegistry:
         """A process that ended has no txns in flight: what drained has drained."""
         registry = cls()
         registry.counted = kept["counted"]
@@ -237,16 +239,16 @@
         del table[next(iter(table))]
 
 
-Effect = Callable[[Registry, Tenant, str], None]
+Effect = Callable[[TenantRegistry, Tenant, str], None]
 TABLE: dict[tuple[str, str], tuple[str, Effect | None]] = {
     (ACTIVE, "suspend"): (SUSPENDED, None),
     (SUSPENDED, "resume"): (ACTIVE, None),
-    (ACTIVE, "drain"): (DRAINING, Registry.drain),
-    (SUSPENDED, "drain"): (DRAINING, Registry.drain),
-    (DRAINING, "resume"): (ACTIVE, Registry.call_off),
+    (ACTIVE, "drain"): (DRAINING, TenantRegistry.drain),
+    (SUSPENDED, "drain"): (DRAINING, TenantRegistry.drain),
+    (DRAINING, "resume"): (ACTIVE, TenantRegistry.call_off),
     (DRAINED, "resume"): (ACTIVE, None),
-    (ACTIVE, "remove"): (REMOVED, Registry.remove),
-    (SUSPENDED, "remove"): (REMOVED, Registry.remove),
-    (DRAINING, "remove"): (REMOVED, Registry.remove),
-    (DRAINED, "remove"): (REMOVED, Registry.remove),
+    (ACTIVE, "remove"): (REMOVED, TenantRegistry.remove),
+    (SUSPENDED, "remove"): (REMOVED, TenantRegistry.remove),
+    (DRAINING, "remove"): (REMOVED, TenantRegistry.remove),
+    (DRAINED, "remove"): (REMOVED, TenantRegistry.remove),
 }
--- a/drumgw/hosting/tenant_services.py
+++ b/drumgw/hosting/tenant_services.py
@@ -10,23 +10,23 @@
 from loguru import logger
 from pydantic import ValidationError
 
-from drumgw.config.host_file import House, Spec, tenant_charter
-from drumgw.gateway.clock import Pulse
-from drumgw.gateway.process_config import BadCharter
-from drumgw.gateway.service import Station
-from drumgw.hosting.resource_limits import Shares, Turns
-from drumgw.hosting.state_file import Store
-from drumgw.hosting.tenant_registry import ACTIVE, DRAINING, Change, Obj, Registry, Tenant
+from drumgw.config.host_file import HostFile, TenantSpec, tenant_config
+from drumgw.gateway.clock import StallAwareClock
+from drumgw.gateway.process_config import ConfigError
+from drumgw.gateway.service import GatewayService
+from drumgw.hosting.resource_limits import FairShares, FairTurns
+from drumgw.hosting.state_file import StateFile
+from drumgw.hosting.tenant_registry import ACTIVE, DRAINING, Obj, Tenant, TenantChange, TenantRegistry
 
 LAG_BEAT_MS = 50.0
 MOVES = ("discovery", "counter")  # a station goes on with others of these
 OUTSIDE = ("route", "weight")  # and knows nothing of these
 
 
-class Seat:
+class TenantService:
     """A tenant's station, and what is in flight there."""
 
-    def __init__(self, tenant: Tenant, station: Station) -> None:
+    def __init__(self, tenant: Tenant, station: GatewayService) -> None:
         self.name, self.serial, self.spec, self.station = tenant.name, tenant.serial, tenant.spec, station
         self.key = tenant.key
         self.ids: set[str] = set()  # of open txns; emptied by their ends
@@ -35,14 +35,16 @@
         self.empty: Callable[[], None] | None = None  # called once nothing is in flight
 
 
-class Hosting:
-    def __init__(self, house: House, pulse: Pulse, registry: Registry, store: Store | None) -> None:
+class TenantServices:
+    def __init__(
+        self, house: HostFile, pulse: StallAwareClock, registry: TenantRegistry, store: StateFile | None
+    ) -> None:
         self.house, self.pulse, self.registry, self.store = house, pulse, registry, store
         self.most = house.host.txns or house.limits.sockets // 3
-        self.shares, self.turns = Shares(self.most), Turns()
-        self.seats: dict[str, Seat] = {}  # by name; emptied by removals
-        self.coming: dict[str, Seat] = {}  # that take a seat's place once they are ready
-        self.leaving: set[Seat] = set()  # that finish; emptied as they end
+        self.shares, self.turns = FairShares(self.most), FairTurns()
+        self.seats: dict[str, TenantService] = {}  # by name; emptied by removals
+        self.coming: dict[str, TenantService] = {}  # that take a seat's place once they are ready
+        self.leaving: set[TenantService] = set()  # that finish; emptied as they end
         self.tasks: set[asyncio.Task[Any]] = set()  # emptied as they end
         self.lock = asyncio.Lock()  # changes come one after another
         self.weights: dict[str, float] = {}  # by key; emptied by removals
@@ -77,7 +79,7 @@
 
     # Changes: kept first, then made
 
-    async def change(self, make: Callable[[Registry], tuple[Any, Change | None]]) -> Any:
+    async def change(self, make: Callable[[TenantRegistry], tuple[Any, TenantChange | None]]) -> Any:
         """On a copy, which takes the registry's place once it is kept; nothing is half applied."""
         async with self.lock:
             new = self.registry.copy()
@@ -93,9 +95,9 @@
 
     def fits(self, tenant: Tenant) -> None:
         """Raises BadCharter where a station could not be made of it."""
-        tenant_charter(self.house, tenant.name, tenant.serial, Spec.model_validate(tenant.spec), 2)
+        tenant_config(self.house, tenant.name, tenant.serial, TenantSpec.model_validate(tenant.spec), 2)
 
-    def apply(self, change: Change) -> None:
+    def apply(self, change: TenantChange) -> None:
         tenant = change.tenant
         logger.info("tenant {}: {}, version {}, {}", tenant.name, change.what, tenant.version, tenant.state)
         if change.what == "opened":
@@ -112,18 +114,18 @@
     def seat(self, tenant: Tenant) -> None:
         self.shares.put(tenant.key, tenant.spec["weight"])
         self.weights[tenant.key] = tenant.spec["weight"]
-        seat = self.seats[tenant.name] = Seat(tenant, self.station(tenant))
+        seat = self.seats[tenant.name] = TenantService(tenant, self.station(tenant))
         self.spawn(self.begin(seat))
 
-    def station(self, tenant: Tenant) -> Station:
+    def station(self, tenant: Tenant) -> GatewayService:
         try:
-            spec = Spec.model_validate(tenant.spec)
+            spec = TenantSpec.model_validate(tenant.spec)
         except ValidationError as bad:  # from a state file of other days
-            raise BadCharter(f"tenant {tenant.name}: {bad.errors()[0]['msg']}") from bad
+            raise ConfigError(f"tenant {tenant.name}: {bad.errors()[0]['msg']}") from bad
         lines = self.shares.holds_most(tenant.key)
-        return Station(tenant_charter(self.house, tenant.name, tenant.serial, spec, lines), self.pulse)
+        return GatewayService(tenant_config(self.house, tenant.name, tenant.serial, spec, lines), self.pulse)
 
-    async def begin(self, seat: Seat) -> None:
+    async def begin(self, seat: TenantService) -> None:
         """Nobody is let in there before its own discovery has spoken: one that takes another's place would
         refuse what that one still serves."""
         seat.station.start()
@@ -148,12 +150,12 @@
         moves = inner <= set(MOVES) and (tenant.spec["counter"] is None) == (seat.spec["counter"] is None)
         if moves:
             if inner:
-                spec = Spec.model_validate(tenant.spec)
+                spec = TenantSpec.model_validate(tenant.spec)
                 lines = seat.station.charter.lines
-                seat.station.move(tenant_charter(self.house, tenant.name, tenant.serial, spec, lines))
+                seat.station.move(tenant_config(self.house, tenant.name, tenant.serial, spec, lines))
             seat.spec = tenant.spec
             return
-        new = Seat(tenant, self.station(tenant))
+        new = TenantService(tenant, self.station(tenant))
         new.ids = seat.ids  # an id is open in the tenant, whichever station has it
         if (waiting := self.coming.pop(tenant.name, None)) is not None:
             self.retire(waiting)
@@ -171,18 +173,18 @@
 
     # What is in flight
 
-    def take(self, name: str) -> tuple[Seat | None, float]:
+    def take(self, name: str) -> tuple[TenantService | None, float]:
         """The seat that a txn may go to, or none and when to come back (ms)."""
         tenant, seat = self.registry.tenants.get(name), self.seats.get(name)
         if tenant is None or seat is None or tenant.state != ACTIVE or not seat.ready:
             return None, 1000.0
         if not self.turns.take(self.pulse.now(), seat.key, self.weights) or not self.shares.take(seat.key):
             seat.turned_away += 1
-            return None, seat.station.charter.terms.retry_after_ms or 500.0
+            return None, seat.station.charter.terms.max_retry_after_ms or 500.0
         seat.open, seat.taken = seat.open + 1, seat.taken + 1
         return seat, 0.0
 
-    def give(self, seat: Seat) -> None:
+    def give(self, seat: TenantService) -> None:
         seat.open -= 1
         self.shares.give(seat.key)
         if not seat.open and seat.empty is not None:
@@ -200,17 +202,17 @@
             self.drains.pop(key, None)
             self.spawn(self.emptied(serial))
 
-    def when_empty(self, seat: Seat, call: Callable[[], Any]) -> None:
+    def when_empty(self, seat: TenantService, call: Callable[[], Any]) -> None:
         if seat.open:
             seat.empty = call
         else:
             call()
 
-    def retire(self, seat: Seat) -> None:
+    def retire(self, seat: TenantService) -> None:
         self.leaving.add(seat)
         self.when_empty(seat, lambda: self.spawn(self.shut(seat)))
 
-    async def shut(self, seat: Seat) -> None:
+    async def shut(self, seat: TenantService) -> None:
         await seat.station.finish()
         await seat.station.shut()
         self.leaving.discard(seat)
@@ -234,7 +236,7 @@
             "taken": seat.taken,
             "turned_away": seat.turned_away,
             "share": {"own": part.own, "most": self.shares.holds_most(seat.key), "refused": part.refused},
-            "workers": Counter(row.entry.health.value for row in station.discovery.membership.rows.values()),
+            "workers": Counter(row.entry.status.value for row in station.discovery.membership.rows.values()),
             "lines": len(station.workers.lines.wires),
             "discovery_heard": station.discovery.heard,
         }
--- a/drumgw/model/actions.py
+++ b/drumgw/model/actions.py
@@ -6,48 +6,57 @@
 from typing import NamedTuple
 
 
-class Submit(NamedTuple):
-    txn: int
-    worker: int
-    stop_at_ms: float
+class ForwardRequest(NamedTuple):
+    request_id: int
+    endpoint_id: int
+    deadline_ms: float
     write_by_ms: float = inf  # its last byte leaves by then, or never
 
 
-class Decline(NamedTuple):
-    txn: int
+class RejectRequest(NamedTuple):
+    request_id: int
     retry_after_ms: float
 
 
-class Void(NamedTuple):
-    txn: int
+class FailRequest(NamedTuple):
+    request_id: int
 
 
-class Cancel(NamedTuple):
-    txn: int
-    submission: int
+class CancelAttempt(NamedTuple):
+    request_id: int
+    attempt: int
 
 
-class Wake(NamedTuple):
-    after_ms: float
-    label: int
+class SetTimer(NamedTuple):
+    delay_ms: float
+    timer_id: int
 
 
-class Add(NamedTuple):
+class AddToCounter(NamedTuple):
     """Add to a named count of the quota counter and learn its total."""
 
-    name: int
+    counter_key: int
     amount: float
-    lives_ms: float
+    ttl_ms: float
 
 
-class Probe(NamedTuple):
-    worker: int
+class CheckHealth(NamedTuple):
+    endpoint_id: int
 
 
-class Say(NamedTuple):
+class LogMessage(NamedTuple):
     """A line for the log."""
 
     text: str
 
 
-Action = Submit | Decline | Void | Cancel | Wake | Add | Probe | Say
+Action = (
+    ForwardRequest
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | SetTimer
+    | AddToCounter
+    | CheckHealth
+    | LogMessage
+)
--- a/drumgw/model/events.py
+++ b/drumgw/model/events.py
@@ -6,107 +6,117 @@
 from typing import NamedTuple
 
 
-class End(Enum):
+class Outcome(Enum):
     """How a submission (or a call, or a probe) ended."""
 
-    SETTLED = "settled"
-    ERROR = "error"
-    FULL = "full"
-    TIMEOUT = "timeout"
-    UNREACHED = "unreached"
-    BROKEN = "broken"
+    SUCCEEDED = "settled"
+    FAILED = "error"
+    REJECTED = "full"
+    TIMED_OUT = "timeout"
+    UNREACHABLE = "unreached"
+    BROKEN_RESPONSE = "broken"
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
 
 
-class Health(Enum):
+class EndpointStatus(Enum):
     """What the worker list says of a worker."""
 
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
-class Entry(NamedTuple):
+class EndpointInfo(NamedTuple):
     """A line of the worker list."""
 
-    worker: int
+    endpoint_id: int
     zone: int
     cell: int
-    kind: str
-    health: Health
-    born_ms: float | None
-    size: float
+    machine_type: str
+    status: EndpointStatus
+    started_at_ms: float | None
+    weight: float
 
 
-class Listed(NamedTuple):
+class EndpointsUpdated(NamedTuple):
     """The worker list: whole, or its changes."""
 
-    whole: bool
-    entries: tuple[Entry, ...]
+    is_complete: bool
+    endpoints: tuple[EndpointInfo, ...]
 
 
-class Txn(NamedTuple):
-    txn: int
-    left_ms: float
+class RequestReceived(NamedTuple):
+    request_id: int
+    time_left_ms: float
     plan: int
     customer: int
-    product: int
+    request_class: int
     units: float
-    repeat: bool
-    gates: int  # how many gatekeepers this customer's txns come in through
-    first_gate: int
+    is_client_retry: bool
+    gateway_count: int  # how many gatekeepers this customer's txns come in through
+    first_gateway: int
 
 
-class Answer(NamedTuple):
+class AttemptEnded(NamedTuple):
     """One submission ended."""
 
-    txn: int
-    submission: int
-    worker: int
-    end: End
-    took_ms: float
-    final: bool
-    units: float  # true units; 0: not told
-    load: dict[str, float]
+    request_id: int
+    attempt: int
+    endpoint_id: int
+    outcome: Outcome
+    duration_ms: float
+    is_final: bool
+    billed_units: float  # true units; 0: not told
+    load_report: dict[str, float]
 
 
-class Begun(NamedTuple):
+class ResponseStarted(NamedTuple):
     """A streamed answer has begun; it belongs to the client."""
 
-    txn: int
+    request_id: int
 
 
-class Left(NamedTuple):
+class ClientDisconnected(NamedTuple):
     """The client has gone; nothing is owed for this txn."""
 
-    txn: int
+    request_id: int
 
 
-class Due(NamedTuple):
+class TimerFired(NamedTuple):
     """A timer fell due."""
 
-    label: int
+    timer_id: int
 
 
-class Total(NamedTuple):
+class CounterReplied(NamedTuple):
     """A call to the quota counter ended."""
 
-    name: int
-    end: End
+    counter_key: int
+    outcome: Outcome
     total: float
-    took_ms: float
+    duration_ms: float
 
 
-class Probed(NamedTuple):
-    worker: int
-    end: End
-    took_ms: float
-    load: dict[str, float]
+class HealthCheckEnded(NamedTuple):
+    endpoint_id: int
+    outcome: Outcome
+    duration_ms: float
+    load_report: dict[str, float]
 
 
-class Ending(NamedTuple):
+class GatewayStopping(NamedTuple):
     """The gateway ends, and has finished what was in hand: what was leased and not spent goes back."""
 
 
-Event = Listed | Txn | Answer | Begun | Left | Due | Total | Probed | Ending
+Event = (
+    EndpointsUpdated
+    | RequestReceived
+    | AttemptEnded
+    | ResponseStarted
+    | ClientDisconnected
+    | TimerFired
+    | CounterReplied
+    | HealthCheckEnded
+    | GatewayStopping
+)
