--- a/drumgw/policy/engine.py
+++ b/drumgw/policy/engine.py
@@ -20,24 +20,32 @@
 from types import SimpleNamespace
 from typing import Any, NamedTuple
 
-from drumgw.model.actions import Action, Add, Cancel, Decline, Say, Submit, Void, Wake
+from drumgw.model.actions import (
+    Action,
+    AddToCounter,
+    CancelAttempt,
+    FailRequest,
+    ForwardRequest,
+    LogMessage,
+    RejectRequest,
+    SetTimer,
+)
 from drumgw.model.events import (
-    Answer,
-    Begun,
-    Due,
-    End,
-    Ending,
-    Entry,
+    AttemptEnded,
+    ClientDisconnected,
+    CounterReplied,
+    EndpointInfo,
+    EndpointStatus,
+    EndpointsUpdated,
     Event,
-    Health,
-    Left,
-    Listed,
-    Probed,
-    Total,
-    Txn,
+    GatewayStopping,
+    HealthCheckEnded,
+    Outcome,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
 )
-from drumgw.model.settings import Group, Repeat, Terms
-from drumgw.model.settings import Plan as PlanSettings
+from drumgw.model.settings import DeduplicationScope, GatewaySettings, Idempotency, Plan
 from drumgw.stable_hash import stable_hash
 
 SHARES, FLOORS = (0.70, 0.20, 0.10), (0.70, 0.10, 0.05)  # the source's; classes ranked by value
@@ -66,12 +74,17 @@
 Table = dict[tuple[str, str], tuple[str, Callable[..., "str | None"]]]
 
 
-class Worker:
+class Endpoint:
     """One worker. Dropped when the list lacks it and nothing is out."""
 
-    def __init__(self, entry: Entry, now: float, chance: float, products: int) -> None:
-        self.wid, self.zone, self.cell, self.born = entry.worker, entry.zone, entry.cell, entry.born_ms
-        self.key, self.listed = stable_hash(entry.worker), True
+    def __init__(self, entry: EndpointInfo, now: float, chance: float, products: int) -> None:
+        self.wid, self.zone, self.cell, self.born = (
+            entry.endpoint_id,
+            entry.zone,
+            entry.cell,
+            entry.started_at_ms,
+        )
+        self.key, self.listed = stable_hash(entry.endpoint_id), True
         self.lanes = [
             SimpleNamespace(state=FIT, until=0.0, rest_ms=0.0, failures=0.0, heard_at=LONG_AGO)
             for _ in range(products)
@@ -80,23 +93,26 @@
         self.slow, self.tokens, self.heard_at, self.tokens_at = 1.0, chance, now, now
 
 
-class Plan:
+class PlanLimits:
     """The few figures that decisions use of a plan. The window is the time in which its store fills."""
 
-    def __init__(self, p: PlanSettings) -> None:
-        self.rate, self.quota = p.rate / 1000.0, p.burst if p.rate else NEVER
-        self.window = p.burst / self.rate if p.rate else 1000.0
-        self.open_cap, self.soft = p.open_cap, p.over_value > p.over_cost
-        self.ceiling_rate, self.ceiling_burst = p.ceiling_rate / 1000.0, p.ceiling_burst
+    def __init__(self, p: Plan) -> None:
+        self.rate, self.quota = p.units_per_s / 1000.0, p.burst_units if p.units_per_s else NEVER
+        self.window = p.burst_units / self.rate if p.units_per_s else 1000.0
+        self.open_cap, self.soft = (
+            p.max_concurrent_attempts,
+            p.over_quota_value_share > p.over_quota_cost_share,
+        )
+        self.ceiling_rate, self.ceiling_burst = p.ceiling_units_per_s / 1000.0, p.ceiling_burst_units
 
 
-class Account:
+class QuotaAccount:
     """A customer's books here, by class. Dropped when idle."""
 
-    def __init__(self, plan: Plan, t: Txn, keeper: Gatekeeper) -> None:
+    def __init__(self, plan: PlanLimits, t: RequestReceived, keeper: PolicyEngine) -> None:
         classes, now, top = keeper.classes, keeper.now, keeper.top_units
         self.plan, self.customer = plan, t.customer
-        self.gates, self.key = max(1, t.gates), stable_hash(t.customer)
+        self.gates, self.key = max(1, t.gateway_count), stable_hash(t.customer)
         self.at = self.window_at = now
         self.use, self.spent, self.last = ([0.0] * classes for _ in range(3))  # all gateways'; by window
         self.mine, self.lease = ([0.0] * classes for _ in range(2))  # pace of spending; unspent blocks
@@ -112,59 +128,83 @@
         self.most = self.allowance = max(top, plan.quota / self.gates)  # without a total; a txn at least
 
 
-class Held:
+class PendingRequest:
     """A txn in hand. Dropped at its final answer."""
 
-    def __init__(self, t: Txn, account: Account, rank: int, now: float) -> None:
-        self.txn, self.account, self.units, self.product, self.rank = t.txn, account, t.units, t.product, rank
-        self.expiry, self.state, self.wait, self.repeat = now + t.left_ms, NEW, 0.0, t.repeat
-        self.over, self.tried, self.ran_at, self.sent_at = False, list[Worker](), 0.0, 0.0
+    def __init__(self, t: RequestReceived, account: QuotaAccount, rank: int, now: float) -> None:
+        self.txn, self.account, self.units, self.product, self.rank = (
+            t.request_id,
+            account,
+            t.units,
+            t.request_class,
+            rank,
+        )
+        self.expiry, self.state, self.wait, self.repeat = now + t.time_left_ms, NEW, 0.0, t.is_client_retry
+        self.over, self.tried, self.ran_at, self.sent_at = False, list[Endpoint](), 0.0, 0.0
         self.epoch, self.lag, self.top = -1, 0.0, 0.0  # of the count it is told to
-        self.ran: Worker | None = None  # the first worker that may have run it
+        self.ran: Endpoint | None = None  # the first worker that may have run it
 
 
-class Call(NamedTuple):
+class CounterCall(NamedTuple):
     """A call to the counter: what it adds, of that to put the count right, and the total before it."""
 
-    held: Held
+    held: PendingRequest
     amount: float
     epoch: int
     fix: int
     before: float
 
 
-class Gatekeeper:
-    def __init__(self, seed: int, terms: Terms) -> None:
+class PolicyEngine:
+    def __init__(self, seed: int, terms: GatewaySettings) -> None:
         self.chance, self.now, self.acts = random.Random(seed), 0.0, list[Action]()
         self.ordinal, self.gatekeepers, self.zone, self.fee = (
             terms.ordinal,
-            terms.gatekeepers,
+            terms.gateways,
             terms.zone,
-            terms.zone_fee > 0,
+            terms.cross_zone_fee > 0,
+        )
+        self.products, self.plans = terms.request_classes, [PlanLimits(p) for p in terms.plans]
+        by_value = sorted(
+            range(len(terms.request_classes)), key=lambda i: -terms.request_classes[i].priority_weight
         )
-        self.products, self.plans = terms.products, [Plan(p) for p in terms.plans]
-        by_value = sorted(range(len(terms.products)), key=lambda i: -terms.products[i].value)
         self.rank, self.classes = {p: r for r, p in enumerate(by_value)}, len(by_value)
         self.shares, self.floors = portions(SHARES, self.classes), portions(FLOORS, self.classes)
-        self.has_counter, self.counter_wait = terms.counter, terms.counter_wait_ms
-        self.can_cancel, self.top_units, self.submissions = terms.cancel, terms.top_units, terms.submissions
-        self.longest_wait, self.cold_from, self.cold_ms = terms.retry_after_ms, terms.cold_from, terms.cold_ms
-        self.workers, self.around = dict[int, Worker](), list[Worker]()  # all; listed, nearest first
-        self.busy, self.calls = dict[int, Worker](), dict[int, list[Call]]()  # till answers
-        self.accounts, self.held = dict[int, Account](), dict[int, Held]()
+        self.has_counter, self.counter_wait = terms.has_counter, terms.counter_timeout_ms
+        self.can_cancel, self.top_units, self.submissions = (
+            terms.cancellation_allowed,
+            terms.max_request_units,
+            terms.max_attempts,
+        )
+        self.longest_wait, self.cold_from, self.cold_ms = (
+            terms.max_retry_after_ms,
+            terms.warm_up_initial_fraction,
+            terms.warm_up_ms,
+        )
+        self.workers, self.around = dict[int, Endpoint](), list[Endpoint]()  # all; listed, nearest first
+        self.busy, self.calls = dict[int, Endpoint](), dict[int, list[CounterCall]]()  # till answers
+        self.accounts, self.held = dict[int, QuotaAccount](), dict[int, PendingRequest]()
         self.counter, self.back_end = SimpleNamespace(state=HEARD), SimpleNamespace(state=QUIET)
-        self.high, self.answers = [p.sla_ms / 2 for p in terms.products], [0] * self.classes  # quantiles
+        self.high, self.answers = (
+            [p.latency_objective_ms / 2 for p in terms.request_classes],
+            [0] * self.classes,
+        )  # quantiles
         self.missed = self.outs = self.stuck = 0  # counter calls; submissions out; of them overdue
         self.settled = self.pace = self.late = self.shed = self.fill = self.broken = 0.0  # lately; they fade
         self.resends, self.room, self.grown, self.near = RESEND_SAVED, ROOM_CALM, ROOM_FIRST, NEAR_LEAST
         self.began, self.woke, self.full_at, self.call_at = 0.0, LONG_AGO, LONG_AGO, LONG_AGO
-        self.asking, self.fleet = min(1.0, ASK_FIRST / terms.gatekeepers), 1.0  # odds of a call
-        self.hold, self.cold_multiple = max(HOLD_MS, 2 * self.counter_wait), COLD_PART * terms.fall_multiple
-        self.wait_ms = self.calm_ms = WAIT_SLA * min(p.sla_ms for p in terms.products)  # calm: mean answer
+        self.asking, self.fleet = min(1.0, ASK_FIRST / terms.gateways), 1.0  # odds of a call
+        self.hold, self.cold_multiple = (
+            max(HOLD_MS, 2 * self.counter_wait),
+            COLD_PART * terms.warm_up_overload_multiple,
+        )
+        self.wait_ms = self.calm_ms = WAIT_SLA * min(
+            p.latency_objective_ms for p in terms.request_classes
+        )  # calm: mean answer
 
     def start(self, now: float) -> list[Action]:
         self.began = now
-        return [Wake(TICK_MS, 0)]
+        return [SetTimer(TICK_MS, 0)]
 
     def handle(self, now: float, event: Event) -> list[Action]:
         if self.now and now - self.now > STALL_MS:
@@ -188,16 +228,20 @@
 
     # The worker list and the choice of worker
 
-    def on_listed(self, e: Listed) -> None:
-        gone = set(self.workers) - {entry.worker for entry in e.entries} if e.whole else set[int]()
-        for entry in e.entries:
-            w = self.workers.get(entry.worker)
-            if entry.health is not Health.READY:
-                gone.add(entry.worker)
-            elif w is None or not w.listed or (entry.born_ms or 0) > (w.born or 0):
-                new = self.workers[entry.worker] = Worker(entry, self.now, self.chance.random(), self.classes)
+    def on_listed(self, e: EndpointsUpdated) -> None:
+        gone = (
+            set(self.workers) - {entry.endpoint_id for entry in e.endpoints} if e.is_complete else set[int]()
+        )
+        for entry in e.endpoints:
+            w = self.workers.get(entry.endpoint_id)
+            if entry.status is not EndpointStatus.READY:
+                gone.add(entry.endpoint_id)
+            elif w is None or not w.listed or (entry.started_at_ms or 0) > (w.born or 0):
+                new = self.workers[entry.endpoint_id] = Endpoint(
+                    entry, self.now, self.chance.random(), self.classes
+                )
                 if w is not None and w.out:
-                    new.out, self.busy[entry.worker] = w.out, new
+                    new.out, self.busy[entry.endpoint_id] = w.out, new
         for wid in gone & set(self.workers):
             self.workers[wid].listed = False
         self.workers = {wid: w for wid, w in self.workers.items() if w.listed or w.out}
@@ -208,13 +252,15 @@
         self.around = sorted(order, key=lambda w: self.fee and w.zone != self.zone)[: self.near]
         self.around += [w for w in order if w not in self.around]  # the next may be in any zone
 
-    def pick(self, h: Held) -> Worker | None:
+    def pick(self, h: PendingRequest) -> Endpoint | None:
         """First in the customer's rank of the near workers that has not enough; else the least loaded."""
         near = [w for w in self.around[: self.near] if w not in h.tried and self.able(w, h)]
         if len(near) < NEAR_FEW:  # not more: each further one may be as sick, and is found out by a txn
             further = (w for w in self.around[self.near :] if w not in h.tried and self.able(w, h))
             near += islice(further, NEAR_FEW - len(near))
-        if self.products[h.product].repeat is Repeat.ONCE:  # a failure is final: others find out who is well
+        if (
+            self.products[h.product].idempotency is Idempotency.NOT_IDEMPOTENT
+        ):  # a failure is final: others find out who is well
             near = [w for w in near if not self.doubted(w, h)] or near
         near = near or [w for w in self.around if self.allowed(w, h) and self.warmth(w) >= 1]
         near.sort(key=lambda w: (w.key ^ h.account.key) * 0x9E3779B97F4A7C15 & (2**64 - 1))
@@ -227,14 +273,18 @@
                 return w
         return min(near, key=lambda w: (len(w.out) + 1) * w.slow) if near else None
 
-    def allowed(self, w: Worker, h: Held) -> bool:
+    def allowed(self, w: Endpoint, h: PendingRequest) -> bool:
         """Repeats of a referenced txn stay where they are known."""
         p, ran = self.products[h.product], h.ran
-        if ran is None or p.repeat is not Repeat.REFERENCED or p.group is Group.ALL:
+        if (
+            ran is None
+            or p.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY
+            or p.deduplication_scope is DeduplicationScope.ALL
+        ):
             return True
-        return w.zone == ran.zone if p.group is Group.ZONE else w.cell == ran.cell
+        return w.zone == ran.zone if p.deduplication_scope is DeduplicationScope.ZONE else w.cell == ran.cell
 
-    def able(self, w: Worker, h: Held) -> bool:
+    def able(self, w: Endpoint, h: PendingRequest) -> bool:
         lane = w.lanes[h.product]
         if lane.state is RESTING and self.now >= lane.until:
             self.step(LANE_TABLE, lane, "rested")
@@ -242,7 +292,7 @@
             return False
         return self.allowed(w, h) and (self.warmth(w) >= 1.0 or self.cold_tokens(w) >= 1.0)
 
-    def doubted(self, w: Worker, h: Held) -> bool:
+    def doubted(self, w: Endpoint, h: PendingRequest) -> bool:
         """While another product rests there, and for as long again, in which that one may be tried first."""
         return any(
             lane.state is not FIT and self.now < lane.until + lane.rest_ms
@@ -250,11 +300,11 @@
             if k != h.product
         )
 
-    def warmth(self, w: Worker) -> float:
+    def warmth(self, w: Endpoint) -> float:
         age = 1.0 if w.born is None else (self.now - w.born) / max(1.0, self.cold_ms)
         return min(1.0, self.cold_from + (1 - self.cold_from) * age)
 
-    def cold_tokens(self, w: Worker) -> float:
+    def cold_tokens(self, w: Endpoint) -> float:
         """Guards cold workers: a part of what near fellows settle here, so all gateways keep the rule."""
         rate = self.cold_multiple * self.warmth(w) / self.between()
         w.tokens, w.tokens_at = min(1.0, w.tokens + rate * (self.now - w.tokens_at)), self.now
@@ -265,16 +315,16 @@
 
     # Admission
 
-    def on_txn(self, t: Txn) -> None:
+    def on_txn(self, t: RequestReceived) -> None:
         if (a := self.accounts.get(t.customer)) is None:
-            a = self.accounts[t.customer] = Account(self.plans[t.plan], t, self)
+            a = self.accounts[t.customer] = QuotaAccount(self.plans[t.plan], t, self)
         self.age(a)
-        h = self.held[t.txn] = Held(t, a, self.rank[t.product], self.now)
+        h = self.held[t.request_id] = PendingRequest(t, a, self.rank[t.request_class], self.now)
         h.wait = self.lacks(h)
-        if not self.ask(h, t.left_ms > self.hold):
+        if not self.ask(h, t.time_left_ms > self.hold):
             self.decide(h)
 
-    def decide(self, h: Held) -> None:
+    def decide(self, h: PendingRequest) -> None:
         """Where answers are late, lower classes are shed first; for them what is overdue is still out."""
         outs = self.outs if self.late > LATE_MOST and h.rank else self.outs - self.stuck
         full = outs + self.chance.random() > self.room * LOWER_ROOM**h.rank
@@ -282,7 +332,7 @@
             h.wait = max(1.0, self.longest_wait * self.chance.uniform(*NO_ROOM_WAIT))
         self.step(TXN_TABLE, h, "refused" if h.wait else "admitted")
 
-    def ask(self, h: Held, may_wait: bool) -> bool:
+    def ask(self, h: PendingRequest, may_wait: bool) -> bool:
         """True while held for the total, by odds where the counter is crowded; else an allowance counts."""
         a, plan, age = h.account, h.account.plan, self.now - h.account.told
         needless = not (plan.rate and self.around) or plan.soft and self.asking < 1 and self.quiet(plan)
@@ -299,7 +349,7 @@
                 a.allowance -= h.units
         return False
 
-    def lacks(self, h: Held) -> float:
+    def lacks(self, h: PendingRequest) -> float:
         """The design: own share, else borrowing, else past a soft quota. 0: pass; else how long to wait."""
         a, c, units, plan = h.account, h.rank, h.units, h.account.plan
         if plan.ceiling_rate and units > a.ceiling:
@@ -312,18 +362,18 @@
         h.over = lack > 0 and plan.soft and self.quiet(plan)
         return 0.0 if lack <= 0 or h.over else max(1.0, lack / plan.rate if plan.rate else self.longest_wait)
 
-    def quiet(self, plan: Plan) -> bool:
+    def quiet(self, plan: PlanLimits) -> bool:
         return self.back_end.state is QUIET and self.now - self.full_at > plan.window
 
-    def reserved_above(self, a: Account, c: int) -> float:
+    def reserved_above(self, a: QuotaAccount, c: int) -> float:
         """Floors of the higher classes, each up to its last window's use and one block."""
         needs = (max(a.last[d], a.spent[d]) + self.block(a, d) for d in range(c))
         return sum(max(0.0, min(self.floors[d] * a.plan.quota, n) - a.use[d]) for d, n in enumerate(needs))
 
-    def block(self, a: Account, c: int) -> float:
+    def block(self, a: QuotaAccount, c: int) -> float:
         return (1 - self.asking) * min(BLOCK_PART * a.plan.quota, a.mine[c] * BLOCK_MS)
 
-    def spend(self, h: Held) -> None:
+    def spend(self, h: PendingRequest) -> None:
         """The first submission takes its units; a lease used up is renewed."""
         a, c, block = h.account, h.rank, self.block(h.account, h.rank)
         a.ceiling -= h.units
@@ -335,7 +385,7 @@
         if h.epoch >= 0:
             self.tell(h, block)
 
-    def age(self, a: Account) -> None:
+    def age(self, a: QuotaAccount) -> None:
         """The store fills, so use leaks, and what is leased with it."""
         dt, plan, a.at = self.now - a.at, a.plan, self.now
         a.sure, a.here = max(0.0, a.sure - plan.rate * dt), max(0.0, a.here - plan.rate * dt)
@@ -352,43 +402,47 @@
 
     # The counter
 
-    def add(self, h: Held, amount: float, fix: int = 0, back: int = 0) -> bool:
+    def add(self, h: PendingRequest, amount: float, fix: int = 0, back: int = 0) -> bool:
         """Adds to the customer's count for a txn. A blind counter is asked seldom until it answers."""
         if self.counter.state is BLIND and self.now - self.call_at < TICK_MS / self.asking:
             return False
         name, self.call_at = stable_hash(h.account.customer, h.epoch - back), self.now
         calls = self.calls.setdefault(name, [])
         before = h.account.count * (h.account.counted == h.epoch) + sum(math.floor(c.amount) for c in calls)
-        calls.append(Call(h, amount, h.epoch - back, fix, before))
-        self.acts.append(Add(name, amount, COUNT_LIVES_MS))
+        calls.append(CounterCall(h, amount, h.epoch - back, fix, before))
+        self.acts.append(AddToCounter(name, amount, COUNT_LIVES_MS))
         return True
 
-    def on_total(self, e: Total) -> None:
-        if e.name not in self.calls:
+    def on_total(self, e: CounterReplied) -> None:
+        if e.counter_key not in self.calls:
             return
-        call = self.calls[e.name].pop(0)
+        call = self.calls[e.counter_key].pop(0)
         h, a = call.held, call.held.account
-        if not self.calls[e.name]:
-            del self.calls[e.name]
+        if not self.calls[e.counter_key]:
+            del self.calls[e.counter_key]
         self.age(a)
         if call.epoch < h.epoch:
-            self.carry(h, max(0.0, e.total - self.filled(a, call.epoch)) if e.end is End.SETTLED else 0.0)
-        elif e.end is End.SETTLED and call.epoch >= a.counted:  # else its name is not in use any more
+            self.carry(
+                h, max(0.0, e.total - self.filled(a, call.epoch)) if e.outcome is Outcome.SUCCEEDED else 0.0
+            )
+        elif (
+            e.outcome is Outcome.SUCCEEDED and call.epoch >= a.counted
+        ):  # else its name is not in use any more
             self.take_back(call, e.total, self.read(call, e.total))
-        elif e.end not in (End.TIMEOUT, End.SETTLED):
+        elif e.outcome not in (Outcome.TIMED_OUT, Outcome.SUCCEEDED):
             a.lease[h.rank] -= math.floor(call.amount) - call.fix  # was not told: it is owed
         if h.state is NEW and h.txn in self.held:
             h.wait = self.lacks(h)
             self.decide(h)
         if self.now != self.woke:  # guards a crowded counter: all ask less by what each sees
-            prompt = e.end is End.SETTLED and e.took_ms < PROMPT * self.counter_wait
+            prompt = e.outcome is Outcome.SUCCEEDED and e.duration_ms < PROMPT * self.counter_wait
             asking = self.asking + ASK_MORE if prompt else self.asking * ASK_LESS
             self.asking = min(1.0, max(ASK_LEAST, asking))
-        self.missed = 0 if e.end is End.SETTLED else self.missed + 1
+        self.missed = 0 if e.outcome is Outcome.SUCCEEDED else self.missed + 1
         word = "told" if not self.missed else "missed" if self.missed >= MISSES else None
         self.step(MODE_TABLE, self.counter, word)
 
-    def take_back(self, call: Call, total: float, level: float) -> None:
+    def take_back(self, call: CounterCall, total: float, level: float) -> None:
         """Guards the others: what went beyond a quota takes nothing from the store, so the count loses it;
         and so does what others had put right before us, as the counter's order of calls tells."""
         h, a, c = call.held, call.held.account, call.held.rank
@@ -398,10 +452,10 @@
         if (back := max(0, beyond) + twice) and self.add(h, -back):
             a.lease[c] -= min(max(0, beyond), max(0.0, a.lease[c]))
 
-    def filled(self, a: Account, epoch: int) -> float:
+    def filled(self, a: QuotaAccount, epoch: int) -> float:
         return a.plan.rate * (self.now + a.phase - epoch * COUNT_MS)
 
-    def read(self, call: Call, total: float) -> float:
+    def read(self, call: CounterCall, total: float) -> float:
         """The store's level is what was told less what has filled; decimals count the top class's steps."""
         h, a = call.held, call.held.account
         quota, filled, own = a.plan.quota, self.filled(a, h.epoch), math.floor(call.amount) - call.fix
@@ -428,7 +482,7 @@
         a.use = [max(0.0, used * part - max(0.0, v)) for part, v in zip(parts, a.lease, strict=True)]
         return level
 
-    def restore(self, h: Held, fresh: bool) -> None:
+    def restore(self, h: PendingRequest, fresh: bool) -> None:
         """A count that lost what it held, or holds more than a store can, is put right by one call at a time.
         Who finds a new name empty is the first there, so it alone asks what the old one held."""
         a = h.account
@@ -438,7 +492,7 @@
         if not (fresh and self.filled(a, h.epoch) < a.plan.quota and self.add(h, 0.0, back=1)):
             self.carry(h, 0.0)
 
-    def carry(self, h: Held, level: float) -> None:
+    def carry(self, h: PendingRequest, level: float) -> None:
         """What the old name held, or what we know to be there, whichever is more."""
         a = h.account
         known = max(min(a.plan.quota, level), a.sure)
@@ -448,7 +502,7 @@
         if abs(lacking) >= LOST_LEAST and a.counted == h.epoch and self.add(h, lacking, lacking):
             h.lag = 0.0
 
-    def tell(self, h: Held, block: float) -> None:
+    def tell(self, h: PendingRequest, block: float) -> None:
         """Adds what was spent and a block, for the untold too, by odds; puts an overfull store right."""
         a, c = h.account, h.rank
         units = max(h.units, min(h.units / self.asking, a.plan.quota / 2)) - h.units + block - a.lease[c]
@@ -458,20 +512,20 @@
         if self.add(h, whole + max(0, steps) / TOP_DIGITS, lag):
             a.lease[c] = block
 
-    def on_ending(self, _e: Ending) -> None:
+    def on_ending(self, _e: GatewayStopping) -> None:
         """What is leased here and was not spent is not lost to its customers."""
         for a in self.accounts.values():
             self.age(a)
             unspent = math.floor(sum(v for v in a.lease if v > 0))
             if unspent >= 1 and a.counted == int((self.now + a.phase) // COUNT_MS):
-                none = Txn(-1, 0.0, 0, a.customer, 0, 0.0, False, a.gates, 0)
-                h = Held(none, a, self.classes - 1, self.now)
+                none = RequestReceived(-1, 0.0, 0, a.customer, 0, 0.0, False, a.gates, 0)
+                h = PendingRequest(none, a, self.classes - 1, self.now)
                 h.epoch, h.state, a.lease = a.counted, DONE, [min(v, 0.0) for v in a.lease]
                 self.add(h, -unspent)
 
     # Submissions
 
-    def submit(self, h: Held) -> str | None:
+    def submit(self, h: PendingRequest) -> str | None:
         w = self.pick(h) if len(h.tried) < self.submissions and h.expiry - self.now > 1 else None
         if w is None:
             return "no worker"
@@ -481,14 +535,17 @@
         self.resends = max(0.0, min(RESEND_SAVED, self.resends + (-1.0 if h.tried else RESEND_PART)))
         h.account.out, self.outs, h.sent_at = h.account.out + 1, self.outs + 1, self.now
         h.tried.append(w)
-        late = min(self.products[h.product].sla_ms, SILENT * self.high[h.product] * w.slow / self.warmth(w))
+        late = min(
+            self.products[h.product].latency_objective_ms,
+            SILENT * self.high[h.product] * w.slow / self.warmth(w),
+        )
         w.out[h.txn], self.busy[w.wid] = (self.now, self.now + late, h.product), w
-        self.acts.append(Submit(h.txn, w.wid, h.expiry, self.known_until(h)))
+        self.acts.append(ForwardRequest(h.txn, w.wid, h.expiry, self.known_until(h)))
         return None
 
-    def on_answer(self, e: Answer) -> None:
-        h, w = self.held.get(e.txn), self.workers.get(e.worker)
-        if w is not None and (out := w.out.pop(e.txn, None)) is not None:
+    def on_answer(self, e: AttemptEnded) -> None:
+        h, w = self.held.get(e.request_id), self.workers.get(e.endpoint_id)
+        if w is not None and (out := w.out.pop(e.request_id, None)) is not None:
             self.outs, self.stuck = self.outs - 1, self.stuck - (out[1] == NEVER)
             self.judge(w, e, out)
             if not w.out:
@@ -496,70 +553,92 @@
         if h is None:
             return
         h.account.out -= 1
-        if e.end is End.SETTLED and e.units and not h.over:
+        if e.outcome is Outcome.SUCCEEDED and e.billed_units and not h.over:
             self.age(h.account)
-            h.account.use[h.rank] = max(0.0, h.account.use[h.rank] + e.units - h.units)
-        if e.end in (End.ERROR, End.TIMEOUT, End.BROKEN, End.CANCELLED) and h.ran is None:
+            h.account.use[h.rank] = max(0.0, h.account.use[h.rank] + e.billed_units - h.units)
+        if (
+            e.outcome in (Outcome.FAILED, Outcome.TIMED_OUT, Outcome.BROKEN_RESPONSE, Outcome.CANCELLED)
+            and h.ran is None
+        ):
             h.ran, h.ran_at = h.tried[-1], h.sent_at
-        self.step(TXN_TABLE, h, "settled" if e.end is End.SETTLED else "left" if e.final else "unsettled")
+        self.step(
+            TXN_TABLE,
+            h,
+            "settled" if e.outcome is Outcome.SUCCEEDED else "left" if e.is_final else "unsettled",
+        )
 
-    def again(self, h: Held) -> str | None:
+    def again(self, h: PendingRequest) -> str | None:
         """Sends again what may run again, within the budget; what never ran is always free to go."""
         p = self.products[h.product]
         spent = self.resends < 1 and (h.ran is not None or self.late > LATE_MOST)
-        if spent or h.ran is not None and p.repeat is Repeat.ONCE or self.now >= self.known_until(h):
+        if (
+            spent
+            or h.ran is not None
+            and p.idempotency is Idempotency.NOT_IDEMPOTENT
+            or self.now >= self.known_until(h)
+        ):
             return "no worker"
         return self.submit(h)
 
-    def known_until(self, h: Held) -> float:
+    def known_until(self, h: PendingRequest) -> float:
         """Guards referenced txns: a repeat whose last byte comes after the workers forgot the first has a
         second effect, however early it was decided."""
         p = self.products[h.product]
-        bound = h.ran is not None and p.repeat is Repeat.REFERENCED
-        return h.ran_at + p.remember_ms if bound else NEVER
+        bound = h.ran is not None and p.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        return h.ran_at + p.idempotency_window_ms if bound else NEVER
 
-    def finish(self, h: Held) -> None:
+    def finish(self, h: PendingRequest) -> None:
         """The final answer, at once: declined where trying again is known to be harmless, else voided."""
         p = self.products[h.product]
         left = self.known_until(h) - self.now  # guards referenced txns: it comes again while it is known
         wait = min(self.longest_wait, (h.wait or REST_MS) * self.chance.uniform(1.0, 1.2), DOUBT_PART * left)
-        known = p.group is Group.ALL and left > 1
-        harmless = p.repeat is Repeat.INQUIRY or p.repeat is Repeat.REFERENCED and known
-        self.acts.append(Decline(h.txn, max(0.0, wait)) if harmless or h.ran is None else Void(h.txn))
+        known = p.deduplication_scope is DeduplicationScope.ALL and left > 1
+        harmless = (
+            p.idempotency is Idempotency.IDEMPOTENT
+            or p.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            and known
+        )
+        self.acts.append(
+            RejectRequest(h.txn, max(0.0, wait)) if harmless or h.ran is None else FailRequest(h.txn)
+        )
         self.forget(h)
 
-    def forget(self, h: Held) -> None:
+    def forget(self, h: PendingRequest) -> None:
         del self.held[h.txn]
 
-    def on_left(self, e: Left) -> None:
-        if (h := self.held.get(e.txn)) is not None:
+    def on_left(self, e: ClientDisconnected) -> None:
+        if (h := self.held.get(e.request_id)) is not None:
             if h.tried:
                 h.account.out -= 1
                 if self.can_cancel:
-                    self.acts.append(Cancel(h.txn, len(h.tried) - 1))
+                    self.acts.append(CancelAttempt(h.txn, len(h.tried) - 1))
             self.step(TXN_TABLE, h, "left")
 
     # Health
 
-    def judge(self, w: Worker, e: Answer, out: tuple[float, float, int]) -> None:
+    def judge(self, w: Endpoint, e: AttemptEnded, out: tuple[float, float, int]) -> None:
         k, lane = out[2], w.lanes[out[2]]
-        self.broken += HIGH_STEP * ((e.end is End.BROKEN) - self.broken)
-        if e.end is End.SETTLED:
+        self.broken += HIGH_STEP * ((e.outcome is Outcome.BROKEN_RESPONSE) - self.broken)
+        if e.outcome is Outcome.SUCCEEDED:
             self.pace, self.settled = self.pace + 1 / PACE_MS, self.settled + 1
             if self.now != self.woke:
-                self.time(w, k, e.took_ms, e.submission > 0)
+                self.time(w, k, e.duration_ms, e.attempt > 0)
             lane.failures = 0.0 if lane.state is TRIAL else lane.failures * (1 - FAILURE_STEP)
             lane.rest_ms, lane.heard_at = 0.0, self.now
             self.step(LANE_TABLE, lane, "settled")
-        elif e.end in (End.ERROR, End.BROKEN, End.UNREACHED) or e.end is End.TIMEOUT and out[1] != NEVER:
-            for each in w.lanes if e.end is End.UNREACHED else [lane]:
-                self.fail(w, each, DOUBT_PART if e.end is End.BROKEN else 1.0)
-        elif e.end is End.FULL:
+        elif (
+            e.outcome in (Outcome.FAILED, Outcome.BROKEN_RESPONSE, Outcome.UNREACHABLE)
+            or e.outcome is Outcome.TIMED_OUT
+            and out[1] != NEVER
+        ):
+            for each in w.lanes if e.outcome is Outcome.UNREACHABLE else [lane]:
+                self.fail(w, each, DOUBT_PART if e.outcome is Outcome.BROKEN_RESPONSE else 1.0)
+        elif e.outcome is Outcome.REJECTED:
             self.full_at = self.now
             lane.rest_ms = lane.rest_ms or FULL_REST_MS / 2
             self.step(LANE_TABLE, lane, "full")
 
-    def time(self, w: Worker, k: int, took: float, again: bool) -> None:
+    def time(self, w: Endpoint, k: int, took: float, again: bool) -> None:
         """Follows the high quantiles of answer times; first and rare answers move them most."""
         self.answers[k] += 1
         step = max(HIGH_STEP, 1 / (1 + self.answers[k]))
@@ -567,20 +646,22 @@
             self.calm_ms += CALM_STEP * (took - self.calm_ms)
         self.high[k] *= 1 + step * (QUANTILE - (took <= self.high[k]))
         self.slower(w, took > w.slow * self.high[k])
-        late = took > LATE_PART * self.products[k].sla_ms
+        late = took > LATE_PART * self.products[k].latency_objective_ms
         self.grown = self.grown if late else min(ROOM_CALM, self.grown + ROOM_GROW)
         lost = LATE_STEP if again and not late else 0.0  # in time elsewhere: the first was lost, not late
         self.late = max(0.0, self.late + LATE_STEP * (late - self.late) - lost)
 
-    def slower(self, w: Worker, late: bool) -> None:
+    def slower(self, w: Endpoint, late: bool) -> None:
         step = min(SLOW_STEP_MOST, max(SLOW_STEP, (self.now - w.heard_at) / RATE_MEMORY_MS))
         w.slow, w.heard_at = w.slow * (1 + step * (QUANTILE - (not late))), self.now
         w.slow = min(SLOW_MOST, max(SLOW_LEAST, w.slow))
 
-    def fail(self, w: Worker, lane: SimpleNamespace, part: float = 1.0) -> None:
+    def fail(self, w: Endpoint, lane: SimpleNamespace, part: float = 1.0) -> None:
         lane.failures += part * FAILURE_STEP * (1 - lane.failures)
         if lane.failures > SICK_FAILURES + self.broken or lane.state is TRIAL:  # all break: no use
-            self.acts.append(Say(f"worker {w.wid} rests: failures {lane.failures:.2f}, out {len(w.out)}"))
+            self.acts.append(
+                LogMessage(f"worker {w.wid} rests: failures {lane.failures:.2f}, out {len(w.out)}")
+            )
             self.step(LANE_TABLE, lane, "sick")
 
     def rest(self, lane: SimpleNamespace) -> None:
@@ -588,7 +669,7 @@
         lane.rest_ms = min(REST_MOST_MS, max(self.between(), 2 * lane.rest_ms or REST_MS))
         lane.until = self.now + lane.rest_ms
 
-    def overdue(self, w: Worker, txn: int, sent: float, k: int) -> None:
+    def overdue(self, w: Endpoint, txn: int, sent: float, k: int) -> None:
         """Guards against answers that never come: their lane rests, and what may run again is called off."""
         w.out[txn], self.stuck = (sent, NEVER, k), self.stuck + 1
         self.slower(w, True)
@@ -597,13 +678,13 @@
             return
         if w.lanes[k].heard_at < sent:
             self.fail(w, w.lanes[k], DOUBT_PART)
-        may = self.can_cancel and self.products[k].repeat is not Repeat.ONCE
+        may = self.can_cancel and self.products[k].idempotency is not Idempotency.NOT_IDEMPOTENT
         if may and self.fill < PRESSED_AT and txn in self.held and self.resends >= 1:
-            self.acts.append(Cancel(txn, len(self.held[txn].tried) - 1))
+            self.acts.append(CancelAttempt(txn, len(self.held[txn].tried) - 1))
 
-    def on_due(self, _e: Due) -> None:
+    def on_due(self, _e: TimerFired) -> None:
         """The tick: what is overdue is judged, rates fade, room is made, idle books are dropped."""
-        self.acts.append(Wake(TICK_MS, 0))
+        self.acts.append(SetTimer(TICK_MS, 0))
         self.settled *= 1 - TICK_MS / RATE_MEMORY_MS
         for w in self.busy.values():
             for txn, (sent, late, k) in w.out.items():
@@ -629,7 +710,7 @@
 
     def announce(self, mode: SimpleNamespace) -> None:
         figures = f"missed {self.missed}, out {self.outs}, room {self.room:.0f}, late {self.late:.2f}"
-        self.acts.append(Say(f"{mode.state}: {figures}"))
+        self.acts.append(LogMessage(f"{mode.state}: {figures}"))
 
 
 def portions(source: tuple[float, ...], n: int) -> list[float]:
@@ -638,39 +719,39 @@
     return [*source[:-1], *[source[-1] / more] * more][:n]
 
 
-def nothing(_keeper: Gatekeeper, _thing: Any) -> None: ...
+def nothing(_keeper: PolicyEngine, _thing: Any) -> None: ...
 
 
 TXN_TABLE: Table = {
-    (NEW, "admitted"): (OUT, Gatekeeper.submit),
-    (NEW, "refused"): (DONE, Gatekeeper.finish),
-    (OUT, "no worker"): (DONE, Gatekeeper.finish),
-    (OUT, "unsettled"): (OUT, Gatekeeper.again),
-    (OUT, "settled"): (DONE, Gatekeeper.forget),
-    (ANY, "left"): (DONE, Gatekeeper.forget),
+    (NEW, "admitted"): (OUT, PolicyEngine.submit),
+    (NEW, "refused"): (DONE, PolicyEngine.finish),
+    (OUT, "no worker"): (DONE, PolicyEngine.finish),
+    (OUT, "unsettled"): (OUT, PolicyEngine.again),
+    (OUT, "settled"): (DONE, PolicyEngine.forget),
+    (ANY, "left"): (DONE, PolicyEngine.forget),
 }
 LANE_TABLE: Table = {
-    (FIT, "sick"): (RESTING, Gatekeeper.rest),
-    (FIT, "full"): (RESTING, Gatekeeper.rest),
+    (FIT, "sick"): (RESTING, PolicyEngine.rest),
+    (FIT, "full"): (RESTING, PolicyEngine.rest),
     (RESTING, "rested"): (TRIAL, nothing),
     (TRIAL, "settled"): (FIT, nothing),
-    (TRIAL, "sick"): (RESTING, Gatekeeper.rest),
-    (TRIAL, "full"): (RESTING, Gatekeeper.rest),
+    (TRIAL, "sick"): (RESTING, PolicyEngine.rest),
+    (TRIAL, "full"): (RESTING, PolicyEngine.rest),
 }
 MODE_TABLE: Table = {
-    (HEARD, "missed"): (BLIND, Gatekeeper.announce),
-    (BLIND, "told"): (HEARD, Gatekeeper.announce),
-    (QUIET, "full"): (PRESSED, Gatekeeper.announce),
-    (PRESSED, "slack"): (QUIET, Gatekeeper.announce),
+    (HEARD, "missed"): (BLIND, PolicyEngine.announce),
+    (BLIND, "told"): (HEARD, PolicyEngine.announce),
+    (QUIET, "full"): (PRESSED, PolicyEngine.announce),
+    (PRESSED, "slack"): (QUIET, PolicyEngine.announce),
 }
 HANDLERS: dict[type, Callable[..., None]] = {
-    Listed: Gatekeeper.on_listed,
-    Txn: Gatekeeper.on_txn,
-    Answer: Gatekeeper.on_answer,
-    Left: Gatekeeper.on_left,
-    Due: Gatekeeper.on_due,
-    Total: Gatekeeper.on_total,
-    Begun: nothing,
-    Probed: nothing,
-    Ending: Gatekeeper.on_ending,
+    EndpointsUpdated: PolicyEngine.on_listed,
+    RequestReceived: PolicyEngine.on_txn,
+    AttemptEnded: PolicyEngine.on_answer,
+    ClientDisconnected: PolicyEngine.on_left,
+    TimerFired: PolicyEngine.on_due,
+    CounterReplied: PolicyEngine.on_total,
+    ResponseStarted: nothing,
+    HealthCheckEnded: nothing,
+    GatewayStopping: PolicyEngine.on_ending,
 }
--- a/drumgw/simulator/__main__.py
+++ b/drumgw/simulator/__main__.py
@@ -6,9 +6,9 @@
 import sys
 from typing import Any, TextIO
 
-from drumgw.model.events import Listed
-from drumgw.model.settings_reader import BadTerms, Names, read_terms
-from drumgw.policy.engine import Gatekeeper
+from drumgw.model.events import EndpointsUpdated
+from drumgw.model.settings_reader import NameIndex, SettingsError, read_settings
+from drumgw.policy.engine import PolicyEngine
 from drumgw.simulator import wire
 
 
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.now = 0.0
         self.in_round = False
-        self.hosts: dict[int, tuple[Gatekeeper, Names]] = {}  # emptied by Retire
+        self.hosts: dict[int, tuple[PolicyEngine, NameIndex]] = {}  # emptied by Retire
         self.lists: dict[int, list[dict[str, Any]]] = {}  # 16 list numbers at most, reused
         self.out: list[dict[str, Any]] = []
 
@@ -62,7 +62,7 @@
 
     def event(self, name: str, who: int, body: dict[str, Any]) -> None:
         if name == "Begin":
-            terms, names = read_terms(body["options"])
+            terms, names = read_settings(body["options"])
             seed = int(body["seed"])
             self.decide(who, lambda: self.begin(who, seed, terms, names))
             return
@@ -76,15 +76,15 @@
             if body["form"] == "error":
                 return
             rows = tuple(wire.read_entry(names, row) for row in self.lists[body["rosterId"]])
-            listed = Listed(body["form"] != "diff", rows)
+            listed = EndpointsUpdated(body["form"] != "diff", rows)
             self.decide(who, lambda: keeper.handle(self.now, listed))
             return
         event = wire.read_event(names, name, body)
         if event is not None:
             self.decide(who, lambda: keeper.handle(self.now, event))
 
-    def begin(self, who: int, seed: int, terms: Any, names: Names) -> list[Any]:
-        keeper = Gatekeeper(seed, terms)
+    def begin(self, who: int, seed: int, terms: Any, names: NameIndex) -> list[Any]:
+        keeper = PolicyEngine(seed, terms)
         self.hosts[who] = keeper, names
         return keeper.start(self.now)
 
@@ -109,7 +109,7 @@
         try:
             if not drill.line(text):
                 continue
-        except (BadWire, BadTerms) as bad:
+        except (BadWire, SettingsError) as bad:
             print(f"line {number}: {bad}", file=complaints)
             return 2
         drill.out.append({"Next": {}})
--- a/drumgw/simulator/wire.py
+++ b/drumgw/simulator/wire.py
@@ -2,27 +2,53 @@
 
 from __future__ import annotations
 
-from drumgw.model.actions import Action, Add, Cancel, Decline, Probe, Say, Submit, Void, Wake
-from drumgw.model.events import Answer, Begun, Due, End, Entry, Event, Health, Left, Probed, Total, Txn
-from drumgw.model.settings_reader import LOADS, Names, Obj
+from drumgw.model.actions import (
+    Action,
+    AddToCounter,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    ForwardRequest,
+    LogMessage,
+    RejectRequest,
+    SetTimer,
+)
+from drumgw.model.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    CounterReplied,
+    EndpointInfo,
+    EndpointStatus,
+    Event,
+    HealthCheckEnded,
+    Outcome,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
+from drumgw.model.settings_reader import LOADS, NameIndex, Obj
 
 ENDS = {
-    "OK": End.SETTLED,
-    "INTERNAL": End.ERROR,
-    "RESOURCE_EXHAUSTED": End.FULL,
-    "DEADLINE_EXCEEDED": End.TIMEOUT,
-    "UNAVAILABLE": End.UNREACHED,
-    "ABORTED": End.BROKEN,
-    "CANCELLED": End.CANCELLED,
-    "TOO_LATE": End.NOT_SENT,
+    "OK": Outcome.SUCCEEDED,
+    "INTERNAL": Outcome.FAILED,
+    "RESOURCE_EXHAUSTED": Outcome.REJECTED,
+    "DEADLINE_EXCEEDED": Outcome.TIMED_OUT,
+    "UNAVAILABLE": Outcome.UNREACHABLE,
+    "ABORTED": Outcome.BROKEN_RESPONSE,
+    "CANCELLED": Outcome.CANCELLED,
+    "TOO_LATE": Outcome.NOT_SENT,
+}
+HEALTH = {
+    "Ready": EndpointStatus.READY,
+    "Terminating": EndpointStatus.DRAINING,
+    "Gone": EndpointStatus.REMOVED,
 }
-HEALTH = {"Ready": Health.READY, "Terminating": Health.DRAINING, "Gone": Health.GONE}
 
 
-def read_entry(names: Names, e: Obj) -> Entry:
-    return Entry(
+def read_entry(names: NameIndex, e: Obj) -> EndpointInfo:
+    return EndpointInfo(
         e["worker"],
-        names.zone(e["az"]),
+        names.zone_index(e["az"]),
         e["cohort"],
         e["type"],
         HEALTH[e["health"]],
@@ -35,23 +61,23 @@
     return {LOADS.get(n, n): float(v) for n, v in (pairs or {}).items()}
 
 
-def read_event(names: Names, name: str, e: Obj) -> Event | None:
+def read_event(names: NameIndex, name: str, e: Obj) -> Event | None:
     """One event in our words; None for a kind that carries nothing the module uses."""
     match name:
         case "Query":
-            return Txn(
+            return RequestReceived(
                 e["rid"],
                 e["graceMs"],
                 names.plans[e["tier"]],
                 e["caller"],
-                names.products[e["category"]],
+                names.request_classes[e["category"]],
                 float(e["costUnits"]),
                 bool(e["repeat"]),
                 int(e["width"]),
                 int(e["fromNo"]),
             )
         case "Reply":
-            return Answer(
+            return AttemptEnded(
                 e["rid"],
                 e["attempt"],
                 e["worker"],
@@ -62,15 +88,17 @@
                 _load(e.get("feedback")),
             )
         case "Left":
-            return Left(e["rid"])
+            return ClientDisconnected(e["rid"])
         case "DeadlineHit":
-            return Due(e["label"])
+            return TimerFired(e["label"])
         case "Tallied":
-            return Total(e["book"], ENDS[e["verdict"]], float(e["value"] or 0), e["timeTakenMs"])
+            return CounterReplied(e["book"], ENDS[e["verdict"]], float(e["value"] or 0), e["timeTakenMs"])
         case "ProbeDone":
-            return Probed(e["worker"], ENDS[e["verdict"]], e["timeTakenMs"], _load(e.get("feedback")))
+            return HealthCheckEnded(
+                e["worker"], ENDS[e["verdict"]], e["timeTakenMs"], _load(e.get("feedback"))
+            )
         case "Begun":
-            return Begun(e["rid"])
+            return ResponseStarted(e["rid"])
         case "Heard":
             return None
     raise KeyError(name)
@@ -78,19 +106,26 @@
 
 def write_action(who: int, a: Action) -> Obj:
     match a:
-        case Submit():
-            return {"Deliver": {"who": who, "rid": a.txn, "worker": a.worker, "stopAtMs": a.stop_at_ms}}
-        case Decline():
-            return {"Decline": {"who": who, "rid": a.txn, "pauseMs": a.retry_after_ms}}
-        case Void():
-            return {"GiveUp": {"who": who, "rid": a.txn}}
-        case Cancel():
-            return {"Cancel": {"who": who, "rid": a.txn, "attempt": a.submission}}
-        case Wake():
-            return {"After": {"who": who, "spanMs": a.after_ms, "label": a.label}}
-        case Add():
-            return {"Count": {"who": who, "amount": a.amount, "book": a.name, "livesMs": a.lives_ms}}
-        case Probe():
-            return {"HealthCheck": {"who": who, "worker": a.worker}}
-        case Say():
+        case ForwardRequest():
+            return {
+                "Deliver": {
+                    "who": who,
+                    "rid": a.request_id,
+                    "worker": a.endpoint_id,
+                    "stopAtMs": a.deadline_ms,
+                }
+            }
+        case RejectRequest():
+            return {"Decline": {"who": who, "rid": a.request_id, "pauseMs": a.retry_after_ms}}
+        case FailRequest():
+            return {"GiveUp": {"who": who, "rid": a.request_id}}
+        case CancelAttempt():
+            return {"Cancel": {"who": who, "rid": a.request_id, "attempt": a.attempt}}
+        case SetTimer():
+            return {"After": {"who": who, "spanMs": a.delay_ms, "label": a.timer_id}}
+        case AddToCounter():
+            return {"Count": {"who": who, "amount": a.amount, "book": a.counter_key, "livesMs": a.ttl_ms}}
+        case CheckHealth():
+            return {"HealthCheck": {"who": who, "worker": a.endpoint_id}}
+        case LogMessage():
             return {"Emit": {"who": who, "reasonText": a.text}}
--- a/drumgw/testbed/clients.py
+++ b/drumgw/testbed/clients.py
@@ -6,18 +6,18 @@
 from collections.abc import Iterator
 from typing import Protocol
 
-from drumgw.config.sections import Product
-from drumgw.testbed.clocks import Handle, LabClock
-from drumgw.testbed.event_log import Record
-from drumgw.testbed.scenario import Day
-from drumgw.testbed.workload import Arrival, Book, Customer
+from drumgw.config.sections import RequestClassSection
+from drumgw.testbed.clocks import Handle, TestbedClock
+from drumgw.testbed.event_log import EventLog
+from drumgw.testbed.scenario import Scenario
+from drumgw.testbed.workload import Arrival, Customer, Workload
 
 STAYS_MS = 500.0  # a client listens so long beyond its time; an answer in that time earns nothing
 TERM_SEEN_MS = 300.0  # until the front sends no more clients to a gatekeeper told to end
 LATE_MS = 20.0  # sent later than intended by more than this: the lab could not keep up
 
 
-class Order:
+class ClientRequest:
     """What a client wants; its tries follow one another."""
 
     __slots__ = ("arrival", "deadline", "tries", "reference")
@@ -27,17 +27,17 @@
         self.reference = f"{arrival.order:x}"
 
 
-class Try:
+class ClientAttempt:
     """One request of a client. Over at its answer, its end, or when the client goes away."""
 
     __slots__ = ("name", "order", "gate", "left_ms", "sent_at", "over", "timers")
 
-    def __init__(self, name: str, order: Order, gate: int, left_ms: float, sent_at: float) -> None:
+    def __init__(self, name: str, order: ClientRequest, gate: int, left_ms: float, sent_at: float) -> None:
         self.name, self.order, self.gate, self.left_ms, self.sent_at = name, order, gate, left_ms, sent_at
         self.over, self.timers = False, list[Handle]()
 
     @property
-    def product(self) -> Product:
+    def product(self) -> RequestClassSection:
         return self.order.arrival.product
 
     @property
@@ -53,24 +53,24 @@
         return self.order.reference
 
 
-class Gates(Protocol):
+class AttemptSender(Protocol):
     """How tries reach gatekeepers; the clients are told by answered, closed or unreached."""
 
-    def send(self, one: Try) -> None: ...
+    def send(self, one: ClientAttempt) -> None: ...
 
-    def leave(self, one: Try) -> None: ...
+    def leave(self, one: ClientAttempt) -> None: ...
 
 
-class Clients:
-    def __init__(self, day: Day, book: Book, clock: LabClock, record: Record) -> None:
+class ClientPopulation:
+    def __init__(self, day: Scenario, book: Workload, clock: TestbedClock, record: EventLog) -> None:
         self.day, self.book, self.clock, self.record = day, book, clock, record
         self.chance: random.Random = book.chance("clients")
-        self.gates: Gates | None = None
+        self.gates: AttemptSender | None = None
         self.start_ms = 0.0
         self.arrivals: Iterator[Arrival] = iter(())
         self.believed = [True] * day.fleet.gatekeepers  # by the front: it takes clients
-        self.open: dict[str, Try] = {}  # emptied as tries end
-        self.works: dict[str, Try] = {}  # known to stand-in workers; emptied a while after
+        self.open: dict[str, ClientAttempt] = {}  # emptied as tries end
+        self.works: dict[str, ClientAttempt] = {}  # known to stand-in workers; emptied a while after
         self.leaving = day.clients.leave
         self.sent = self.late = 0
 
@@ -90,7 +90,7 @@
         if (late := self.clock.now() - intended) > LATE_MS:
             self.late += 1
             self.record.add(self.clock.now(), "lab late", by=round(late, 3))
-        order = Order(arrival, intended)  # its time runs from when it should have been sent
+        order = ClientRequest(arrival, intended)  # its time runs from when it should have been sent
         self.record.add(
             self.clock.now(),
             "wanted",
@@ -104,13 +104,13 @@
 
     # Tries
 
-    def attempt(self, order: Order) -> None:
+    def attempt(self, order: ClientRequest) -> None:
         now, a = self.clock.now(), order.arrival
         left = (order.deadline - now) * self.chance.uniform(self.day.clients.patience, 1.0)
         if left < 5.0:
             return
         gate, order.tries = self.choose(a.customer), order.tries + 1
-        one = Try(f"{self.chance.getrandbits(64):016x}", order, gate, round(left, 3), now)
+        one = ClientAttempt(f"{self.chance.getrandbits(64):016x}", order, gate, round(left, 3), now)
         self.open[one.name] = self.works[one.name] = one
         self.record.add(
             now,
@@ -137,7 +137,7 @@
         gates, weights = zip(*(up or zip(c.gates, c.weights, strict=True)), strict=True)
         return int(self.chance.choices(gates, weights)[0])
 
-    def over(self, one: Try) -> bool:
+    def over(self, one: ClientAttempt) -> bool:
         """True once; from then on nothing more is expected of it."""
         if one.over:
             return False
@@ -148,16 +148,16 @@
         self.clock.at(self.clock.now() + 2 * one.product.expiry_ms, lambda: self.forget(one))
         return True
 
-    def forget(self, one: Try) -> None:
+    def forget(self, one: ClientAttempt) -> None:
         self.works.pop(one.name, None)
 
-    def go(self, one: Try) -> None:
+    def go(self, one: ClientAttempt) -> None:
         if self.over(one):
             self.record.add(self.clock.now(), "left", txn=one.name)
             assert self.gates is not None
             self.gates.leave(one)
 
-    def weary(self, one: Try) -> None:
+    def weary(self, one: ClientAttempt) -> None:
         """Never answered; the judge says whose fault that is."""
         if self.over(one):
             self.record.add(self.clock.now(), "weary", txn=one.name)
@@ -167,7 +167,7 @@
 
     # What comes back
 
-    def answered(self, one: Try, status: int, mark: str, retry_after_ms: float) -> None:
+    def answered(self, one: ClientAttempt, status: int, mark: str, retry_after_ms: float) -> None:
         """mark: the txn that the answer was made for, as its body says."""
         if one.over:
             self.record.add(self.clock.now(), "answered", txn=one.name, status=status, mark=mark, more=True)
@@ -187,19 +187,19 @@
                 one, declined or one.product.repeat == "inquiry-like", retry_after_ms if declined else 0.0
             )
 
-    def closed(self, one: Try) -> None:
+    def closed(self, one: ClientAttempt) -> None:
         """Its connection ended with no whole answer."""
         if self.over(one):
             self.record.add(self.clock.now(), "closed", txn=one.name)
             self.again(one, one.product.repeat == "inquiry-like", 0.0)
 
-    def unreached(self, one: Try) -> None:
+    def unreached(self, one: ClientAttempt) -> None:
         """No connection came up: the gatekeeper never had it."""
         if self.over(one):
             self.record.add(self.clock.now(), "unreached", txn=one.name)
             self.again(one, True, 0.0)
 
-    def again(self, one: Try, harmless: bool, wait_ms: float) -> None:
+    def again(self, one: ClientAttempt, harmless: bool, wait_ms: float) -> None:
         kind = self.day.clients
         if not harmless or one.order.tries > kind.retries:
             return
--- a/drumgw/testbed/clocks.py
+++ b/drumgw/testbed/clocks.py
@@ -15,7 +15,7 @@
     def cancel(self) -> None: ...
 
 
-class LabClock(Protocol):
+class TestbedClock(Protocol):
     """Milliseconds of Unix time."""
 
     def now(self) -> float: ...
--- a/drumgw/testbed/counter.py
+++ b/drumgw/testbed/counter.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import Literal
 
-from drumgw.testbed.clocks import LabClock
-from drumgw.testbed.scenario import CounterKind
+from drumgw.testbed.clocks import TestbedClock
+from drumgw.testbed.scenario import CounterSection
 
 MOST_LIVES_MS = 60000.0
 Says = Literal["added", "turned away"]
@@ -14,8 +14,8 @@
 Tell = Callable[[Says, float], None]
 
 
-class Counter:
-    def __init__(self, kind: CounterKind, clock: LabClock) -> None:
+class EmulatedCounter:
+    def __init__(self, kind: CounterSection, clock: TestbedClock) -> None:
         self.kind, self.clock = kind, clock
         self.stores: list[Store] = [{}]  # two while it is split
         self.free_at = [0.0]  # of each: when its turn is over
--- a/drumgw/testbed/endpoint.py
+++ b/drumgw/testbed/endpoint.py
@@ -11,32 +11,32 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Literal
 
-from drumgw.config.sections import Rules
-from drumgw.testbed.clocks import Handle, LabClock
-from drumgw.testbed.event_log import Record
-from drumgw.testbed.scenario import WorkerKind
+from drumgw.config.sections import RulesSection
+from drumgw.testbed.clocks import Handle, TestbedClock
+from drumgw.testbed.event_log import EventLog
+from drumgw.testbed.scenario import EndpointSection
 
 if TYPE_CHECKING:
-    from drumgw.testbed.clients import Try
+    from drumgw.testbed.clients import ClientAttempt
 
 Says = Literal["settled", "error", "full", "reset", "spoilt"]
-Tell = Callable[["Ticket", Says], None]
+Tell = Callable[["ReceivedAttempt", Says], None]
 
 
-class Ticket:
+class ReceivedAttempt:
     """One submission that came whole to a worker. Told once, unless it was given up or its answer is lost."""
 
     __slots__ = ("number", "name", "asked", "gate", "tell", "worker", "state", "timer")
 
-    def __init__(self, number: int, name: str, asked: Try | None, gate: int, tell: Tell) -> None:
+    def __init__(self, number: int, name: str, asked: ClientAttempt | None, gate: int, tell: Tell) -> None:
         self.number, self.name, self.asked, self.gate, self.tell = number, name, asked, gate, tell
-        self.worker: Worker | None = None
+        self.worker: EmulatedEndpoint | None = None
         self.state: Literal["queued", "running", "over"] = "queued"
         self.timer: Handle | None = None
 
 
 @dataclass
-class Ills:
+class ActiveFaults:
     """What is wrong with a worker now; troubles change it and put it back."""
 
     slow: float = 1.0
@@ -49,10 +49,10 @@
     connections: int | None = None
 
 
-class Memory:
+class DeduplicationStore:
     """Referenced txns that groups of workers remember; emptied by time."""
 
-    def __init__(self, clock: LabClock) -> None:
+    def __init__(self, clock: TestbedClock) -> None:
         self.clock, self.seen = clock, dict[tuple[str, object], float]()
 
     def repeats(self, name: str, group: object, for_ms: float) -> bool:
@@ -69,7 +69,7 @@
 def nothing() -> None: ...
 
 
-class Worker:
+class EmulatedEndpoint:
     def __init__(
         self,
         name: str,
@@ -77,20 +77,20 @@
         zone: str,
         cell: int,
         born_ms: float | None,
-        kind: WorkerKind,
-        rules: Rules,
-        clock: LabClock,
-        record: Record,
-        memory: Memory,
+        kind: EndpointSection,
+        rules: RulesSection,
+        clock: TestbedClock,
+        record: EventLog,
+        memory: DeduplicationStore,
         chance: random.Random,
     ) -> None:
         self.name, self.number, self.zone, self.cell, self.born = name, number, zone, cell, born_ms
         self.kind, self.rules, self.clock, self.record, self.memory = kind, rules, clock, record, memory
-        self.chance, self.ills = chance, Ills()
+        self.chance, self.ills = chance, ActiveFaults()
         self.speed = kind.speed * chance.uniform(1 - kind.speed_spread, 1 + kind.speed_spread)
         self.up, self.draining = True, False
-        self.running: dict[int, Ticket] = {}  # emptied as they end
-        self.queue: deque[Ticket] = deque()  # bounded by the kind's queue
+        self.running: dict[int, ReceivedAttempt] = {}  # emptied as they end
+        self.queue: deque[ReceivedAttempt] = deque()  # bounded by the kind's queue
         self.lines: dict[int, int] = {}  # connections by gatekeeper; emptied as they close
         self.lately: deque[tuple[float, float]] = deque()  # work that came within the falling time
         self.service_ms = 0.0
@@ -131,7 +131,7 @@
         age = (self.clock.now() - self.born) / max(1.0, self.rules.cold_ms)
         return min(1.0, self.rules.cold_from + (1 - self.rules.cold_from) * age)
 
-    def come(self, ticket: Ticket, first_ms: float | None = None) -> None:
+    def come(self, ticket: ReceivedAttempt, first_ms: float | None = None) -> None:
         """Its last byte is here. The work of what is turned away presses a cold worker too."""
         now, asked = self.clock.now(), ticket.asked
         ticket.worker = self
@@ -152,7 +152,7 @@
             return None
         return self.begin(ticket)
 
-    def sight(self, ticket: Ticket, first_ms: float, work: float = 0.0) -> None:
+    def sight(self, ticket: ReceivedAttempt, first_ms: float, work: float = 0.0) -> None:
         """It came whole, whatever becomes of it."""
         self.record.add(
             self.clock.now(),
@@ -180,7 +180,7 @@
         self.down(self.kind.down_ms)
         return True
 
-    def begin(self, ticket: Ticket, ends: Says | None = None) -> None:
+    def begin(self, ticket: ReceivedAttempt, ends: Says | None = None) -> None:
         asked = ticket.asked
         assert asked is not None
         ticket.state = "running"
@@ -200,12 +200,12 @@
             self.clock.now() + took, lambda: self.done(ticket, ends or self.says(asked))
         )
 
-    def says(self, asked: Try) -> Says:
+    def says(self, asked: ClientAttempt) -> Says:
         if asked.product.name in self.ills.failing or None in self.ills.failing:
             return "error"
         return "spoilt" if self.chance.random() < self.ills.spoilt else "settled"
 
-    def done(self, ticket: Ticket, says: Says) -> None:
+    def done(self, ticket: ReceivedAttempt, says: Says) -> None:
         self.running.pop(ticket.number, None)
         if self.ills.lost and self.chance.random() < self.ills.lost:
             self.record.add(self.clock.now(), "lost answer", txn=ticket.name, ticket=ticket.number)
@@ -219,14 +219,14 @@
         while self.queue and len(self.running) < self.kind.cores and self.up:
             self.begin(self.queue.popleft())
 
-    def end(self, ticket: Ticket, says: Says, ran: bool) -> None:
+    def end(self, ticket: ReceivedAttempt, says: Says, ran: bool) -> None:
         if ticket.state == "over":
             return
         ticket.state = "over"
         self.record.add(self.clock.now(), "ended", txn=ticket.name, ticket=ticket.number, how=says, ran=ran)
         ticket.tell(ticket, says)
 
-    def give_up(self, ticket: Ticket) -> None:
+    def give_up(self, ticket: ReceivedAttempt) -> None:
         """Its connection was closed by the gatekeeper. What runs goes on; what waits is dropped."""
         if ticket.state == "over":
             return
--- a/drumgw/testbed/endpoint_registry.py
+++ b/drumgw/testbed/endpoint_registry.py
@@ -9,16 +9,21 @@
 from collections.abc import Callable
 from typing import Any
 
-from drumgw.testbed.clocks import LabClock
-from drumgw.testbed.event_log import Record
-from drumgw.testbed.scenario import Discovery
+from drumgw.testbed.clocks import TestbedClock
+from drumgw.testbed.event_log import EventLog
+from drumgw.testbed.scenario import DiscoverySection
 
 KEPT = 200  # changes that are remembered; who is further behind gets the whole list
 
 
-class Registry:
+class EmulatedDiscovery:
     def __init__(
-        self, kind: Discovery, gatekeepers: int, clock: LabClock, record: Record, chance: random.Random
+        self,
+        kind: DiscoverySection,
+        gatekeepers: int,
+        clock: TestbedClock,
+        record: EventLog,
+        chance: random.Random,
     ) -> None:
         self.kind, self.clock, self.record, self.chance = kind, clock, record, chance
         self.generation = 1
--- a/drumgw/testbed/environment.py
+++ b/drumgw/testbed/environment.py
@@ -6,21 +6,21 @@
 from typing import Any, Protocol
 
 from drumgw.config.sections import settings
-from drumgw.testbed.clients import Clients, Gates
-from drumgw.testbed.clocks import LabClock
-from drumgw.testbed.counter import Counter
-from drumgw.testbed.endpoint import Memory, Worker
-from drumgw.testbed.endpoint_registry import Registry
-from drumgw.testbed.event_log import Record
-from drumgw.testbed.scenario import Day, Trouble
-from drumgw.testbed.workload import Book
+from drumgw.testbed.clients import AttemptSender, ClientPopulation
+from drumgw.testbed.clocks import TestbedClock
+from drumgw.testbed.counter import EmulatedCounter
+from drumgw.testbed.endpoint import DeduplicationStore, EmulatedEndpoint
+from drumgw.testbed.endpoint_registry import EmulatedDiscovery
+from drumgw.testbed.event_log import EventLog
+from drumgw.testbed.scenario import Fault, Scenario
+from drumgw.testbed.workload import Workload
 
 CELL = 4  # workers to a cell
 AFTER_MS = 1000.0  # a day runs on so long after the last expiry
 Undo = Callable[[], None]
 
 
-class Keepers(Gates, Protocol):
+class GatewayControls(AttemptSender, Protocol):
     """The gatekeepers of a day, as far as troubles reach them."""
 
     def restart(self, gate: int) -> None: ...
@@ -32,30 +32,32 @@
     def moves(self) -> None: ...
 
 
-class World:
-    def __init__(self, day: Day, seed: int, clock: LabClock, record: Record) -> None:
+class Environment:
+    def __init__(self, day: Scenario, seed: int, clock: TestbedClock, record: EventLog) -> None:
         self.day, self.seed, self.clock, self.record = day, seed, clock, record
-        self.book = Book(day, seed)
-        self.clients = Clients(day, self.book, clock, record)
-        self.counter = Counter(day.counter, clock) if day.counter else None
-        self.registry = Registry(
+        self.book = Workload(day, seed)
+        self.clients = ClientPopulation(day, self.book, clock, record)
+        self.counter = EmulatedCounter(day.counter, clock) if day.counter else None
+        self.registry = EmulatedDiscovery(
             day.discovery, day.fleet.gatekeepers, clock, record, self.book.chance("registry")
         )
-        self.memory = Memory(clock)
+        self.memory = DeduplicationStore(clock)
         self.chance = self.book.chance("troubles")
-        self.workers: dict[str, Worker] = {}  # all that ever were; a day replaces each a few times at most
+        self.workers: dict[
+            str, EmulatedEndpoint
+        ] = {}  # all that ever were; a day replaces each a few times at most
         self.places: list[str] = []  # by number: the worker that stands there now
         self.cut: set[str] = set()  # zones cut off from the others
         self.tickets = 0
-        self.keepers: Keepers | None = None
+        self.keepers: GatewayControls | None = None
         for number in range(day.fleet.workers):
             self.places.append(self.add_worker(number, 0, None).name)
 
-    def add_worker(self, number: int, turn: int, born: float | None) -> Worker:
+    def add_worker(self, number: int, turn: int, born: float | None) -> EmulatedEndpoint:
         zone = self.day.fleet.zones[number % len(self.day.fleet.zones)]
         name = f"w{number}" + (f".{turn}" if turn else "")
         cell = number % len(self.day.fleet.zones) + len(self.day.fleet.zones) * (number // CELL)
-        worker = Worker(
+        worker = EmulatedEndpoint(
             name,
             number,
             zone,
@@ -75,7 +77,7 @@
     def zone_of(self, gate: int) -> str:
         return self.day.fleet.zones[gate % len(self.day.fleet.zones)]
 
-    def one_way(self, gate: int, worker: Worker) -> float:
+    def one_way(self, gate: int, worker: EmulatedEndpoint) -> float:
         fleet = self.day.fleet
         return fleet.same_zone_ms if self.zone_of(gate) == worker.zone else fleet.cross_zone_ms
 
@@ -123,8 +125,8 @@
         longest = max(p.expiry_ms for p in self.day.product)
         return self.clients.start_ms + self.day.seconds * 1000.0 + longest + AFTER_MS
 
-    def strike(self, t: Trouble, number: int) -> None:
-        undo = TROUBLES[t.kind](self, t)
+    def strike(self, t: Fault, number: int) -> None:
+        undo = FAULTS[t.kind](self, t)
         aims = {
             k: v for k in ("size", "part", "zone", "worker", "product") if (v := getattr(t, k)) is not None
         }
@@ -138,7 +140,7 @@
 
             self.clock.at(self.clock.now() + t.for_s * 1000.0, over)
 
-    def aimed(self, t: Trouble) -> list[Worker]:
+    def aimed(self, t: Fault) -> list[EmulatedEndpoint]:
         """The workers that it strikes, among those that stand now; none where they have gone."""
         standing = [self.workers[name] for name in self.places]
         if t.worker is not None:
@@ -150,14 +152,14 @@
             key=lambda w: w.number,
         )
 
-    def some_gates(self, t: Trouble) -> list[int]:
+    def some_gates(self, t: Fault) -> list[int]:
         number = self.day.fleet.gatekeepers
         return sorted(self.chance.sample(range(number), max(1, round((t.part or 0.0) * number))))
 
-    def ill(self, t: Trouble, **ills: Any) -> Undo:
+    def ill(self, t: Fault, **ills: Any) -> Undo:
         return put([w.ills for w in self.aimed(t)], **ills)
 
-    def fail(self, t: Trouble) -> Undo:
+    def fail(self, t: Fault) -> Undo:
         struck = self.aimed(t)
         for w in struck:
             w.ills.failing.add(t.product)
@@ -168,12 +170,12 @@
 
         return undo
 
-    def crash(self, t: Trouble) -> Undo:
+    def crash(self, t: Fault) -> Undo:
         """Their processes die; the list lacks them later, and has them again when they are back, cold."""
         struck = [w for w in self.aimed(t) if w.up]
         return self.lose(struck)
 
-    def lose(self, struck: list[Worker]) -> Undo:
+    def lose(self, struck: list[EmulatedEndpoint]) -> Undo:
         now = self.clock.now()
         for w in struck:
             w.down(None)
@@ -187,33 +189,33 @@
 
         return undo
 
-    def miss(self, w: Worker) -> None:
+    def miss(self, w: EmulatedEndpoint) -> None:
         if not w.up:
             self.registry.state(w.name, "removed")
 
-    def replace(self, t: Trouble) -> None:
+    def replace(self, t: Fault) -> None:
         """Drained in turn; a new one, cold and under a new name, stands in its place."""
         for w in self.aimed(t):
             self.drain_one(w)
             turn = int(w.name.partition(".")[2] or 0) + 1
             self.places[w.number] = self.add_worker(w.number, turn, self.clock.now()).name
 
-    def begin_drain(self, w: Worker) -> None:
+    def begin_drain(self, w: EmulatedEndpoint) -> None:
         w.draining = True
         self.record.add(self.clock.now(), "worker", worker=w.name, state="drains")
         self.registry.state(w.name, "draining")
 
-    def drain_one(self, w: Worker) -> None:
+    def drain_one(self, w: EmulatedEndpoint) -> None:
         self.begin_drain(w)
         gone = self.day.discovery.delay_ms + self.day.discovery.spread_ms + 3000.0
         self.clock.at(self.clock.now() + gone, lambda: self.retire(w))
 
-    def retire(self, w: Worker) -> None:
+    def retire(self, w: EmulatedEndpoint) -> None:
         if w.draining:
             w.down(None)
             self.registry.state(w.name, "removed")
 
-    def drain(self, t: Trouble) -> Undo | None:
+    def drain(self, t: Fault) -> Undo | None:
         struck = self.aimed(t)
         for w in struck:
             self.begin_drain(w)
@@ -226,33 +228,33 @@
 
         return undo
 
-    def zone_lost(self, t: Trouble) -> Undo:
+    def zone_lost(self, t: Fault) -> Undo:
         return self.lose([w for w in self.workers.values() if w.zone == t.zone and w.up])
 
-    def zone_cut(self, t: Trouble) -> Undo:
+    def zone_cut(self, t: Fault) -> Undo:
         assert t.zone is not None
         self.cut.add(t.zone)
         return lambda: self.cut.discard(t.zone or "")
 
-    def split(self, _t: Trouble) -> Undo:
+    def split(self, _t: Fault) -> Undo:
         assert self.counter is not None
         self.counter.split()
         return self.counter.heal
 
-    def empty(self, _t: Trouble) -> None:
+    def empty(self, _t: Fault) -> None:
         assert self.counter is not None
         self.counter.empty()
 
-    def older(self, t: Trouble) -> None:
+    def older(self, t: Fault) -> None:
         assert self.counter is not None
         self.counter.older(t.size or 0.0)
 
-    def gates(self, t: Trouble, act: Callable[[Keepers, int], None]) -> None:
+    def gates(self, t: Fault, act: Callable[[GatewayControls, int], None]) -> None:
         assert self.keepers is not None
         for gate in self.some_gates(t):
             act(self.keepers, gate)
 
-    def moves(self, _t: Trouble) -> None:
+    def moves(self, _t: Fault) -> None:
         assert self.keepers is not None
         self.keepers.moves()
 
@@ -275,29 +277,29 @@
     return undo
 
 
-TROUBLES: dict[str, Callable[[World, Trouble], Undo | None]] = {
+FAULTS: dict[str, Callable[[Environment, Fault], Undo | None]] = {
     "slow": lambda w, t: w.ill(t, slow=t.size),
-    "failing": World.fail,
+    "failing": Environment.fail,
     "silent": lambda w, t: w.ill(t, silent=True),
     "resets": lambda w, t: w.ill(t, resets=t.size),
     "answers lost": lambda w, t: w.ill(t, lost=t.size),
     "answers late": lambda w, t: w.ill(t, late_ms=t.size),
     "answers spoilt": lambda w, t: w.ill(t, spoilt=t.size),
     "few connections": lambda w, t: w.ill(t, connections=int(t.size or 0)),
-    "crash": World.crash,
-    "replace": World.replace,
-    "drain": World.drain,
-    "zone lost": World.zone_lost,
-    "zone cut": World.zone_cut,
+    "crash": Environment.crash,
+    "replace": Environment.replace,
+    "drain": Environment.drain,
+    "zone lost": Environment.zone_lost,
+    "zone cut": Environment.zone_cut,
     "counter slow": lambda w, t: put([w.counter], slow=t.size),
     "counter silent": lambda w, t: put([w.counter], silent=True),
     "counter refuses": lambda w, t: put([w.counter], refuses=True),
-    "counter empty": World.empty,
-    "counter older": World.older,
-    "counter split": World.split,
+    "counter empty": Environment.empty,
+    "counter older": Environment.older,
+    "counter split": Environment.split,
     "list late": lambda w, t: put([w.registry], late_ms=t.size),
     "list lost": lambda w, t: put([w.registry], lost=True),
-    "list moves": World.moves,
+    "list moves": Environment.moves,
     "restart": lambda w, t: w.gates(t, lambda keepers, gate: keepers.restart(gate)),
     "kill": lambda w, t: w.gates(t, lambda keepers, gate: keepers.kill(gate)),
     "pause": lambda w, t: w.gates(t, lambda keepers, gate: keepers.pause(gate, t.for_s * 1000.0)),
--- a/drumgw/testbed/event_log.py
+++ b/drumgw/testbed/event_log.py
@@ -9,7 +9,7 @@
 FORM = 1
 
 
-class Record:
+class EventLog:
     """Sightings in the order of their times; in memory, as a day is bounded, and in a file if told."""
 
     def __init__(self, head: dict[str, Any], file: TextIO | None = None) -> None:
@@ -34,20 +34,22 @@
     return json.dumps(row, separators=(",", ":"), sort_keys=True) + "\n"
 
 
-class BadRecord(ValueError):
+class EventLogError(ValueError):
     """A file that is no record, or one of another form."""
 
 
-def read_record(path: str) -> Record:
+def read_event_log(path: str) -> EventLog:
     try:
         with open(path, encoding="utf-8") as file:
             head = json.loads(file.readline())
             if head.pop("form", None) != FORM:
-                raise BadRecord(f"{path}: not a record of form {FORM}")
-            record = Record(head)
+                raise EventLogError(f"{path}: not a record of form {FORM}")
+            record = EventLog(head)
             record.rows = [json.loads(row) for row in file]
     except OSError as bad:
-        raise BadRecord(f"{path}: {bad.strerror}") from bad
+        raise EventLogError(f"{path}: {bad.strerror}") from bad
     except (ValueError, AttributeError) as bad:
-        raise bad if isinstance(bad, BadRecord) else BadRecord(f"{path}: not a record: {bad}") from bad
+        raise (
+            bad if isinstance(bad, EventLogError) else EventLogError(f"{path}: not a record: {bad}")
+        ) from bad
     return record
--- a/drumgw/testbed/metrics.py
+++ b/drumgw/testbed/metrics.py
@@ -8,9 +8,9 @@
 from hdrh.histogram import HdrHistogram
 
 from drumgw.config.quota_bounds import bound
-from drumgw.testbed.event_log import Record
-from drumgw.testbed.oracle import judge
-from drumgw.testbed.scenario import Day
+from drumgw.testbed.event_log import EventLog
+from drumgw.testbed.oracle import find_violations
+from drumgw.testbed.scenario import Scenario
 
 LONGEST_MS, DIGITS = 600_000, 3
 WINDOWS = 12  # that a day is told in, each a whole second at least
@@ -52,10 +52,10 @@
         }
 
 
-class Orders:
+class RequestOutcomes:
     """Each order's tries, value and end. Latencies run from when it should have been sent."""
 
-    def __init__(self, record: Record, day: Day) -> None:
+    def __init__(self, record: EventLog, day: Scenario) -> None:
         self.day = day
         self.products = {p.name: p for p in day.product}
         self.plans = {p.name: p for p in day.plan}
@@ -101,9 +101,9 @@
         return (last["what"] if last["what"] in ("left", "unreached") else "lost"), 0.0, None
 
 
-def figures(record: Record, day: Day) -> dict[str, Any]:
+def figures(record: EventLog, day: Scenario) -> dict[str, Any]:
     """All that a report says of one run; for programs as it is."""
-    orders = Orders(record, day)
+    orders = RequestOutcomes(record, day)
     whole, parts = (
         Tally(),
         {name: defaultdict[str, Tally](Tally) for name in ("product", "plan", "zone", "time")},
@@ -122,7 +122,7 @@
         ):
             tally.add(end, value, earned, took)
     ends = next((row for row in reversed(record.rows) if row["what"] == "ends"), None)
-    breaches = judge(record, day)
+    breaches = find_violations(record, day)
     late, sent = (ends["late"], ends["sent"]) if ends else (0, len(orders.wanted))
     invalid = None
     if ends is None:
@@ -144,11 +144,11 @@
     }
 
 
-def window_s(day: Day) -> int:
+def window_s(day: Scenario) -> int:
     return max(1, round(day.seconds / WINDOWS))
 
 
-def load(record: Record) -> dict[str, Any]:
+def load(record: EventLog) -> dict[str, Any]:
     """Submissions by worker and gatekeeper, what workers did, calls to the counter."""
     workers, gates, hows = Counter[str](), Counter[int](), Counter[str]()
     tries = calls = faults = 0
@@ -176,7 +176,7 @@
     }
 
 
-def beyond(record: Record, day: Day) -> dict[str, Any]:
+def beyond(record: EventLog, day: Scenario) -> dict[str, Any]:
     """Units sent on beyond the customers' quotas, by plan; each store as all gatekeepers drew on it."""
     plans, asked = {p.name: p for p in day.plan}, dict[str, Row]()
     stores: dict[int, tuple[float, float]] = {}
@@ -202,7 +202,7 @@
     }
 
 
-def sent_while_lost(record: Record, day: Day) -> list[Row]:
+def sent_while_lost(record: EventLog, day: Scenario) -> list[Row]:
     """For each customer and trouble of the counter: units sent on, quota, declared bound."""
     plans, asked = {p.name: p for p in day.plan}, dict[str, Row]()
     spans, begun = list[tuple[str, float, float]](), dict[int, tuple[str, float]]()
@@ -244,7 +244,7 @@
     return found
 
 
-def lost_shares(record: Record, day: Day) -> dict[str, Any]:
+def lost_shares(record: EventLog, day: Scenario) -> dict[str, Any]:
     """By trouble and plan: customers seen, and the largest share of bound and quota that one of them sent."""
     found: dict[str, Any] = {}
     for row in sent_while_lost(record, day):
--- a/drumgw/testbed/oracle.py
+++ b/drumgw/testbed/oracle.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterator
 from typing import Any, NamedTuple
 
-from drumgw.testbed.event_log import Record
-from drumgw.testbed.scenario import Day
+from drumgw.testbed.event_log import EventLog
+from drumgw.testbed.scenario import Scenario
 
 Row = dict[str, Any]
 SLACK_MS = 50.0  # by which each time limit grows on sockets (the protocol's figure)
@@ -20,7 +20,7 @@
 CHANCE_PARTS = 3  # a cold worker's budget allows so many of the last txn's work more, for chance
 
 
-class Breach(NamedTuple):
+class Violation(NamedTuple):
     rule: str
     t: float
     txn: str
@@ -32,7 +32,7 @@
         return f"{self.rule} at {self.t:.0f} ms, txn {self.txn or '-'}, gatekeepers {gates}: {self.what}"
 
 
-class Case:
+class AttemptHistory:
     """All that was seen of one try."""
 
     def __init__(self, asked: Row) -> None:
@@ -43,16 +43,16 @@
         self.over: dict[int, Row] = {}  # ticket: ended or given up
 
 
-class Bench:
+class Observations:
     """The sightings, sorted by what they are about."""
 
-    def __init__(self, record: Record, day: Day, sockets: bool) -> None:
+    def __init__(self, record: EventLog, day: Scenario, sockets: bool) -> None:
         self.rows, self.day = record.rows, day
         self.slack = SLACK_MS if sockets else 0.0
         self.ceiling_ms = CEILING_MS if sockets else 0.0
         self.products = {p.name: p for p in day.product}
         self.plans = {p.name: p for p in day.plan}
-        self.cases: dict[str, Case] = {}
+        self.cases: dict[str, AttemptHistory] = {}
         self.strays: list[Row] = []
         self.zones: dict[str, tuple[str, int]] = {}
         self.gates: dict[int, list[Row]] = defaultdict(list)
@@ -62,7 +62,7 @@
     def sort(self, row: Row) -> None:
         what = row["what"]
         if what == "asked":
-            self.cases[row["txn"]] = Case(row)
+            self.cases[row["txn"]] = AttemptHistory(row)
         elif what == "worker" and row["state"] == "starts":
             self.zones[row["worker"]] = row["zone"], row["cell"]
         elif what == "gate":
@@ -87,28 +87,28 @@
         dead = bool(rows) and rows[-1]["state"] == "killed"
         return dead or any(row["state"] == "killed" and since <= row["t"] for row in rows)
 
-    def may_have_run(self, case: Case, came: Row, at: float) -> bool:
+    def may_have_run(self, case: AttemptHistory, came: Row, at: float) -> bool:
         """Unless its worker had said by then that it never began."""
         over = case.over.get(came["ticket"])
         return not (over is not None and over["what"] == "ended" and not over["ran"] and over["t"] <= at)
 
 
-def lost(bench: Bench) -> Iterator[Breach]:
+def lost(bench: Observations) -> Iterator[Violation]:
     """Each txn taken has one final answer in time, made for it by a worker."""
     for name, case in bench.cases.items():
         asked = case.asked
         gate, due = asked["gate"], asked["t"] + asked["left"] + bench.day.rules.answer_slack_ms + bench.slack
         touched = (gate,)
         if len(case.answers) > 1:
-            yield Breach("lost", case.answers[1]["t"], name, touched, "answered twice")
+            yield Violation("lost", case.answers[1]["t"], name, touched, "answered twice")
         for answer in case.answers[:1]:
             if answer["t"] > due:
-                yield Breach(
+                yield Violation(
                     "lost", answer["t"], name, touched, f"answered {answer['t'] - due:.0f} ms too late"
                 )
             ran = {ticket for ticket, over in case.over.items() if over.get("how") == "settled"}
             if answer["status"] == 200 and (answer["mark"] != name or not ran):
-                yield Breach(
+                yield Violation(
                     "lost",
                     answer["t"],
                     name,
@@ -122,7 +122,7 @@
         if bench.gate_died(gate, asked["t"], ended):
             continue
         what = {"closed": "its connection was closed with no answer", "weary": "never answered"}
-        yield Breach(
+        yield Violation(
             "lost",
             end["t"] if end else due,
             name,
@@ -131,10 +131,10 @@
         )
 
 
-def doubled(bench: Bench) -> Iterator[Breach]:
+def doubled(bench: Observations) -> Iterator[Violation]:
     """No effect happens twice: what may have run goes no further than its product allows."""
     for row in bench.strays:
-        yield Breach("doubled", row["t"], row["txn"], (row["gate"],), "a submission of no client's txn")
+        yield Violation("doubled", row["t"], row["txn"], (row["gate"],), "a submission of no client's txn")
     for name, case in bench.cases.items():
         product, touched = bench.products[case.asked["product"]], (case.asked["gate"],)
         for n, came in enumerate(case.came):
@@ -143,21 +143,21 @@
                 if not bench.day.allowed.second_copies and (
                     over is None or over["t"] > came["t"] + bench.slack
                 ):
-                    yield Breach("doubled", came["t"], name, touched, "a second copy while one was out")
+                    yield Violation("doubled", came["t"], name, touched, "a second copy while one was out")
                 if bench.may_have_run(case, earlier, came["t"] + bench.slack) and (
                     why := beyond(bench, product, earlier, came)
                 ):
-                    yield Breach("doubled", came["t"], name, touched, why)
+                    yield Violation("doubled", came["t"], name, touched, why)
         for answer in case.answers[:1]:
             ran = [c for c in case.came if bench.may_have_run(case, c, answer["t"])]
             harmless = (
                 product.repeat == "inquiry-like" or product.repeat == "referenced" and product.group == "all"
             )
             if answer["status"] in DECLINES and ran and not harmless:
-                yield Breach("doubled", answer["t"], name, touched, "declined though it may have run")
+                yield Violation("doubled", answer["t"], name, touched, "declined though it may have run")
 
 
-def beyond(bench: Bench, product: Any, earlier: Row, came: Row) -> str | None:
+def beyond(bench: Observations, product: Any, earlier: Row, came: Row) -> str | None:
     """Why a repeat of what may have run is not allowed; none where it is."""
     if product.repeat == "once-only":
         return "a once-only txn was sent again though it may have run"
@@ -175,7 +175,7 @@
     return None
 
 
-def drains(bench: Bench) -> Iterator[Breach]:
+def drains(bench: Observations) -> Iterator[Violation]:
     """Nothing new to a worker once the grace is over, after it was told that the worker drains or is gone."""
     grace = bench.day.rules.drain_grace_ms + bench.slack
     told: dict[tuple[int, str], tuple[str, float]] = {}
@@ -188,7 +188,7 @@
         elif row["what"] == "came":
             state, at = told.get((row["gate"], row["worker"]), ("up", 0.0))
             if state != "up" and row["first"] > at + grace:
-                yield Breach(
+                yield Violation(
                     "drains",
                     row["t"],
                     row["txn"],
@@ -197,7 +197,7 @@
                 )
 
 
-def pushed(bench: Bench) -> Iterator[Breach]:
+def pushed(bench: Observations) -> Iterator[Violation]:
     """A cold worker is not sent more than a multiple of what it can do, by those told that it is cold."""
     rules = bench.day.rules
     cold: dict[str, tuple[float, float]] = {}  # worker: started, work it can do in a ms when warm
@@ -220,7 +220,7 @@
 
 def press(
     row: Row, start: tuple[float, float], came: deque[Row], known: set[int], rules: Any
-) -> Breach | None:
+) -> Violation | None:
     at, full = start
     warmth = min(1.0, rules.cold_from + (1 - rules.cold_from) * (row["t"] - at) / max(1.0, rules.cold_ms))
     if warmth >= 1.0:
@@ -235,12 +235,12 @@
     if knew < 2 * work / 3:
         return None  # most came from those who could not know
     gates = tuple(sorted({r["gate"] for r in came}))
-    return Breach(
+    return Violation(
         "pushed", row["t"], row["txn"], gates, f"{row['worker']} was sent {work:.0f} ms of work while cold"
     )
 
 
-def ceilings(bench: Bench) -> Iterator[Breach]:
+def ceilings(bench: Observations) -> Iterator[Violation]:
     """What all gatekeepers send on for a customer never passes its plan's ceiling by more than the slack."""
     stores: dict[int, tuple[float, float]] = {}  # customer: units it holds, at
     seen: set[str] = set()
@@ -257,7 +257,7 @@
         holds = min(plan.ceiling_burst, holds + rate * (row["t"] - at)) - asked["units"]
         stores[asked["customer"]] = holds, row["t"]
         if holds < -plan.ceiling_slack - rate * bench.ceiling_ms - 1e-6:
-            yield Breach(
+            yield Violation(
                 "ceilings",
                 row["t"],
                 row["txn"],
@@ -266,15 +266,15 @@
             )
 
 
-def lives(bench: Bench) -> Iterator[Breach]:
+def lives(bench: Observations) -> Iterator[Violation]:
     """No gatekeeper ends by itself, or never takes clients."""
     for gate, rows in bench.gates.items():
         for row in rows:
             if row["state"] in ("crashed", "never ready"):
-                yield Breach("lives", row["t"], "", (gate,), f"the gatekeeper {row['state']}")
+                yield Violation("lives", row["t"], "", (gate,), f"the gatekeeper {row['state']}")
 
 
-RULES: dict[str, Callable[[Bench], Iterator[Breach]]] = {
+RULES: dict[str, Callable[[Observations], Iterator[Violation]]] = {
     "lost": lost,
     "doubled": doubled,
     "drains": drains,
@@ -284,6 +284,6 @@
 }
 
 
-def judge(record: Record, day: Day) -> list[Breach]:
-    bench = Bench(record, day, sockets=record.head.get("clock") == "sockets")
+def find_violations(record: EventLog, day: Scenario) -> list[Violation]:
+    bench = Observations(record, day, sockets=record.head.get("clock") == "sockets")
     return sorted((b for rule in RULES.values() for b in rule(bench)), key=lambda b: (b.t, b.rule, b.txn))
--- a/drumgw/testbed/report.py
+++ b/drumgw/testbed/report.py
@@ -7,10 +7,10 @@
 import pathlib
 from typing import Any
 
-from drumgw.testbed.event_log import read_record
+from drumgw.testbed.event_log import read_event_log
 from drumgw.testbed.metrics import figures
-from drumgw.testbed.oracle import Breach
-from drumgw.testbed.scenario import read_day
+from drumgw.testbed.oracle import Violation
+from drumgw.testbed.scenario import read_scenario
 
 Figures = dict[str, Any]
 COLUMNS = (
@@ -30,8 +30,8 @@
 def read_run(folder: str) -> Figures:
     """A run's folder holds its day and its record."""
     place = pathlib.Path(folder)
-    day = read_day(str(place / "day.toml"))
-    return figures(read_record(str(place / "record.jsonl")), day)
+    day = read_scenario(str(place / "day.toml"))
+    return figures(read_event_log(str(place / "record.jsonl")), day)
 
 
 def spread(values: list[float]) -> str:
@@ -93,7 +93,7 @@
     lines = []
     for run in runs:
         for b in run["breaches"][:20]:
-            lines.append(f"BROKEN (seed {run['seed']}): {Breach(**b)}")
+            lines.append(f"BROKEN (seed {run['seed']}): {Violation(**b)}")
         if len(run["breaches"]) > 20:
             lines.append(f"BROKEN (seed {run['seed']}): and {len(run['breaches']) - 20} more")
     return lines or ["rules kept"]
--- a/drumgw/testbed/scenario.py
+++ b/drumgw/testbed/scenario.py
@@ -9,14 +9,14 @@
 
 from drumgw.config.file_reader import read
 from drumgw.config.sections import (
-    Allowed,
+    AllowedSection,
     Amount,
     Count,
     Name,
-    Part,
-    Plan,
-    Product,
-    Rules,
+    PlanSection,
+    RequestClassSection,
+    RulesSection,
+    Section,
     Share,
     Some,
     twice,
@@ -97,7 +97,7 @@
         raise ValueError("; ".join(mistakes))
 
 
-class Trouble(Part):
+class Fault(Section):
     """What goes wrong, from `at_s` for `for_s`, how much of it, and to whom."""
 
     kind: Kind
@@ -110,7 +110,7 @@
     product: Name | None = None
 
     @model_validator(mode="after")
-    def fits(self) -> Trouble:
+    def fits(self) -> Fault:
         refuse([f"{self.kind!r} {mistake}" for mistake in self.mistakes()])
         return self
 
@@ -133,7 +133,7 @@
             yield f"is aimed at nobody, found {' and '.join(aims)}"
 
 
-class Fleet(Part):
+class FleetSection(Section):
     gatekeepers: Annotated[int, Field(ge=1, le=1000)] = 3
     workers: Annotated[int, Field(ge=1, le=1000)] = 8
     zones: Annotated[list[Name], Field(min_length=1)] = ["a"]
@@ -144,7 +144,7 @@
     restart_ms: Amount = 1000.0  # from the end of a gatekeeper until it takes clients again
 
 
-class WorkerKind(Part):
+class EndpointSection(Section):
     cores: Annotated[int, Field(ge=1, le=256)] = 2
     speed: Some = 1.0
     speed_spread: Share = 0.1
@@ -155,19 +155,19 @@
     dead_noticed_ms: Amount = 3000.0  # until the list lacks one that vanished
 
 
-class CounterKind(Part):
+class CounterSection(Section):
     one_way_ms: Amount = 0.5
     call_ms: Amount = 0.5
     calls_per_s: Some = 2000.0
     line: Count = 500  # calls that wait their turn; beyond it they are turned away
 
 
-class Discovery(Part):
+class DiscoverySection(Section):
     delay_ms: Amount = 300.0
     spread_ms: Amount = 200.0
 
 
-class Customers(Part):
+class CustomersSection(Section):
     """The customers of one plan: how many, through how many gatekeepers, what part of the quota they ask."""
 
     plan: Name
@@ -178,12 +178,12 @@
     heavy_x: Annotated[float, Field(ge=1, le=100)] = 3.0
 
 
-class Step(Part):
+class LoadStepSection(Section):
     at_s: Amount
     factor: Amount
 
 
-class Clients(Part):
+class ClientsSection(Section):
     retries: Annotated[int, Field(ge=0, le=10)] = 2
     backoff_ms: Amount = 100.0
     observe: Share = 0.8  # that share of retries keeps to Retry-After
@@ -191,7 +191,7 @@
     leave: Share = 0.0  # that share of tries is left early
 
 
-class Work(Part):
+class WorkSection(Section):
     """What a txn of a product costs a worker of speed 1, and its share of the txns."""
 
     product: Name
@@ -200,27 +200,27 @@
     spread: Annotated[float, Field(ge=0, le=3)] = 0.7
 
 
-class Day(Part):
+class Scenario(Section):
     version: Literal[1]
     name: Name
     seconds: Annotated[float, Field(gt=0, le=3600)]
-    fleet: Fleet = Fleet()
-    worker: WorkerKind = WorkerKind()
-    counter: CounterKind | None = CounterKind()
-    discovery: Discovery = Discovery()
-    rules: Rules = Rules()
-    allowed: Allowed = Allowed()
-    clients: Clients = Clients()
+    fleet: FleetSection = FleetSection()
+    worker: EndpointSection = EndpointSection()
+    counter: CounterSection | None = CounterSection()
+    discovery: DiscoverySection = DiscoverySection()
+    rules: RulesSection = RulesSection()
+    allowed: AllowedSection = AllowedSection()
+    clients: ClientsSection = ClientsSection()
     units_spread: Share = 0.4  # true units around those guessed
-    product: Annotated[list[Product], Field(min_length=1)]
-    plan: Annotated[list[Plan], Field(min_length=1)]
-    work: Annotated[list[Work], Field(min_length=1)]
-    customers: Annotated[list[Customers], Field(min_length=1)]
-    load: list[Step] = []
-    trouble: list[Trouble] = []
+    product: Annotated[list[RequestClassSection], Field(min_length=1)]
+    plan: Annotated[list[PlanSection], Field(min_length=1)]
+    work: Annotated[list[WorkSection], Field(min_length=1)]
+    customers: Annotated[list[CustomersSection], Field(min_length=1)]
+    load: list[LoadStepSection] = []
+    trouble: list[Fault] = []
 
     @model_validator(mode="after")
-    def fits(self) -> Day:
+    def fits(self) -> Scenario:
         twice([p.name for p in self.product], "product")
         twice([p.name for p in self.plan], "plan")
         twice(self.fleet.zones, "fleet.zones")
@@ -268,5 +268,5 @@
         return units / self.mean_units() * self.seconds * max([1.0, *(s.factor for s in self.load)])
 
 
-def read_day(path: str) -> Day:
-    return read(path, Day, VERSION)
+def read_scenario(path: str) -> Scenario:
+    return read(path, Scenario, VERSION)
--- a/drumgw/testbed/socket_runner.py
+++ b/drumgw/testbed/socket_runner.py
@@ -16,13 +16,13 @@
 from functools import partial
 from typing import Any
 
-from drumgw.testbed.clients import TERM_SEEN_MS, Try
+from drumgw.testbed.clients import TERM_SEEN_MS, ClientAttempt
 from drumgw.testbed.clocks import LoopClock
-from drumgw.testbed.endpoint import Worker
-from drumgw.testbed.environment import World
-from drumgw.testbed.event_log import Record
+from drumgw.testbed.endpoint import EmulatedEndpoint
+from drumgw.testbed.environment import Environment
+from drumgw.testbed.event_log import EventLog
 from drumgw.testbed.http_wire import Asker, headers
-from drumgw.testbed.scenario import Day
+from drumgw.testbed.scenario import Scenario
 from drumgw.testbed.socket_servers import CounterLine, RegistryLine, WorkerLine
 
 HOST = "127.0.0.1"
@@ -36,10 +36,10 @@
     """The lab could not play the day; this says nothing of the gatekeepers."""
 
 
-class Keeper:
+class GatewaySubprocess:
     """A gatekeeper's process, its addresses and its log."""
 
-    def __init__(self, lab: Sockets, number: int) -> None:
+    def __init__(self, lab: SocketRunner, number: int) -> None:
         self.lab, self.number = lab, number
         self.process: asyncio.subprocess.Process | None = None
         self.port = free_port()
@@ -153,13 +153,15 @@
         return int(probe.getsockname()[1])
 
 
-class Sockets:
-    def __init__(self, day: Day, seed: int, folder: pathlib.Path, record: Record | None = None) -> None:
+class SocketRunner:
+    def __init__(
+        self, day: Scenario, seed: int, folder: pathlib.Path, record: EventLog | None = None
+    ) -> None:
         self.day, self.folder = day, folder
         self.clock = LoopClock()
         self.loop = self.clock.loop
-        self.record = record or Record({"day": day.name, "seed": seed, "clock": "sockets"})
-        self.world = World(day, seed, self.clock, self.record)
+        self.record = record or EventLog({"day": day.name, "seed": seed, "clock": "sockets"})
+        self.world = Environment(day, seed, self.clock, self.record)
         self.world.keepers = self.world.clients.gates = self
         self.chance = self.world.book.chance("gatekeepers")
         self.longest_ms = max(p.expiry_ms for p in day.product)
@@ -169,14 +171,14 @@
         self.worker_lines: set[WorkerLine] = set()  # open ones; emptied as they close
         self.tasks: set[asyncio.Task[Any]] = set()  # emptied as they end
         self.known: dict[str, Any] = {}
-        self.keepers = [Keeper(self, n) for n in range(day.fleet.gatekeepers)]
+        self.keepers = [GatewaySubprocess(self, n) for n in range(day.fleet.gatekeepers)]
 
     def spawn(self, work: Any) -> None:
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def run(self) -> Record:
+    async def run(self) -> EventLog:
         try:
             await self.open()
             self.world.begin()
@@ -200,7 +202,7 @@
                 f"a gatekeeper was not ready in time; its log and its configuration are in {self.folder}"
             )
 
-    async def settle(self, keeper: Keeper) -> None:
+    async def settle(self, keeper: GatewaySubprocess) -> None:
         """Addresses of discovery and counter, its own."""
         made: list[tuple[str, Any]] = [("discovery", RegistryLine)]
         if self.world.counter is not None:
@@ -210,7 +212,7 @@
             self.servers.append(server)
             setattr(keeper, name, "{}:{}".format(*server.sockets[0].getsockname()))
 
-    async def listen(self, worker: Worker) -> None:
+    async def listen(self, worker: EmulatedEndpoint) -> None:
         """At the addresses it had, if it had any."""
         made = []
         for gate in range(self.day.fleet.gatekeepers):
@@ -225,7 +227,7 @@
             made.append(server)
         self.listening[worker.name] = made
 
-    def mind(self, worker: Worker) -> None:
+    def mind(self, worker: EmulatedEndpoint) -> None:
         """Its machine refuses connections while its process is down."""
 
         def goes_down() -> None:
@@ -252,7 +254,7 @@
             self.mind(worker)
         return f"{HOST}:{self.ports[gate, name]}"
 
-    async def adopt(self, worker: Worker, gate: int, listening: socket.socket) -> None:
+    async def adopt(self, worker: EmulatedEndpoint, gate: int, listening: socket.socket) -> None:
         server = await self.loop.create_server(partial(WorkerLine, self, worker, gate), sock=listening)
         self.listening.setdefault(worker.name, []).append(server)
 
@@ -272,7 +274,7 @@
 
     # The clients' port
 
-    def send(self, one: Try, again: bool = False) -> None:
+    def send(self, one: ClientAttempt, again: bool = False) -> None:
         keeper = self.keepers[one.gate]
         while keeper.idle and not again:
             asker = keeper.idle.pop()
@@ -281,7 +283,7 @@
                 return
         self.spawn(self.connect(keeper, one))
 
-    async def connect(self, keeper: Keeper, one: Try) -> None:
+    async def connect(self, keeper: GatewaySubprocess, one: ClientAttempt) -> None:
         try:
             _, asker = await self.loop.create_connection(lambda: Asker(self.clock.now), HOST, keeper.port)
         except OSError:
@@ -292,7 +294,7 @@
             return
         self.ask(keeper, one, asker, fresh=True)
 
-    def ask(self, keeper: Keeper, one: Try, asker: Asker, fresh: bool) -> None:
+    def ask(self, keeper: GatewaySubprocess, one: ClientAttempt, asker: Asker, fresh: bool) -> None:
         keeper.busy[one.name] = asker
 
         def heard(head: bytes, body: bytes) -> None:
@@ -316,7 +318,7 @@
 
         asker.ask(request(one), heard, lost)
 
-    def leave(self, one: Try) -> None:
+    def leave(self, one: ClientAttempt) -> None:
         asker = self.keepers[one.gate].busy.pop(one.name, None)
         if asker is not None:
             asker.leave()
@@ -352,7 +354,7 @@
         self.spawn(move())
 
 
-def request(one: Try) -> bytes:
+def request(one: ClientAttempt) -> bytes:
     a = one.order.arrival
     method = "GET" if a.product.repeat == "inquiry-like" else "POST"
     lines = [
--- a/drumgw/testbed/socket_servers.py
+++ b/drumgw/testbed/socket_servers.py
@@ -8,11 +8,11 @@
 from typing import TYPE_CHECKING, Any
 from urllib.parse import parse_qs, urlsplit
 
-from drumgw.testbed.endpoint import Says, Ticket, Worker
+from drumgw.testbed.endpoint import EmulatedEndpoint, ReceivedAttempt, Says
 from drumgw.testbed.http_wire import Messages, Turns, answer, headers
 
 if TYPE_CHECKING:
-    from drumgw.testbed.socket_runner import Sockets
+    from drumgw.testbed.socket_runner import SocketRunner
 
 NOISE = b"\x00\x01spoilt\xff\r\n\r\n"
 
@@ -20,7 +20,7 @@
 class Line(Messages):
     """A gatekeeper's connection to a stand-in."""
 
-    def __init__(self, lab: Sockets, gate: int) -> None:
+    def __init__(self, lab: SocketRunner, gate: int) -> None:
         super().__init__()
         self.lab, self.gate = lab, gate
 
@@ -31,10 +31,10 @@
 class WorkerLine(Line):
     """A connection to a worker; one submission at a time."""
 
-    def __init__(self, lab: Sockets, worker: Worker, gate: int) -> None:
+    def __init__(self, lab: SocketRunner, worker: EmulatedEndpoint, gate: int) -> None:
         super().__init__(lab, gate)
         self.worker = worker
-        self.ticket: Ticket | None = None
+        self.ticket: ReceivedAttempt | None = None
         self.held = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -54,7 +54,7 @@
         if world.parted(self.gate, self.worker.zone):
             return
         asked = world.clients.works.get(name)
-        self.ticket = Ticket(world.ticket(), name, asked, self.gate, self.told)
+        self.ticket = ReceivedAttempt(world.ticket(), name, asked, self.gate, self.told)
         if asked is None:
             self.worker.sight(self.ticket, first_at)
             self.write(answer(400 if name else 404))
@@ -64,7 +64,7 @@
         else:
             self.worker.come(self.ticket, first_at)
 
-    def told(self, ticket: Ticket, says: Says) -> None:
+    def told(self, ticket: ReceivedAttempt, says: Says) -> None:
         if self.lab.world.parted(self.gate, self.worker.zone):
             return
         if says == "settled":
@@ -90,7 +90,7 @@
 class CounterLine(Line):
     """Calls may be written one behind another; answers come in their order."""
 
-    def __init__(self, lab: Sockets, gate: int) -> None:
+    def __init__(self, lab: SocketRunner, gate: int) -> None:
         super().__init__(lab, gate)
         self.turns = Turns(self.write)
 
--- a/drumgw/testbed/virtual_runner.py
+++ b/drumgw/testbed/virtual_runner.py
@@ -14,57 +14,66 @@
 from drumgw.gateway.discovery import PACE_MOST_MS
 from drumgw.gateway.membership import STATES, worker_id
 from drumgw.gateway.process import LINGER_MS
-from drumgw.gateway.request_lifecycle import Alarm, Core, Effect, Fault, Keeper, Reply, Send, Stop
-from drumgw.model.actions import Add, Say, Wake
-from drumgw.model.events import End, Entry, Health, Listed, Txn
-from drumgw.model.settings import Terms
-from drumgw.model.settings_reader import read_terms
-from drumgw.policy.engine import Gatekeeper
-from drumgw.testbed.clients import TERM_SEEN_MS, Try
+from drumgw.gateway.request_lifecycle import (
+    AbortAttempt,
+    Command,
+    PolicyEngineProtocol,
+    ReportFault,
+    RequestLifecycle,
+    ScheduleDeadline,
+    SendResponse,
+    StartAttempt,
+)
+from drumgw.model.actions import AddToCounter, LogMessage, SetTimer
+from drumgw.model.events import EndpointInfo, EndpointStatus, EndpointsUpdated, Outcome, RequestReceived
+from drumgw.model.settings import GatewaySettings
+from drumgw.model.settings_reader import read_settings
+from drumgw.policy.engine import PolicyEngine
+from drumgw.testbed.clients import TERM_SEEN_MS, ClientAttempt
 from drumgw.testbed.clocks import Handle, VirtualClock
-from drumgw.testbed.endpoint import Says, Ticket, Worker
-from drumgw.testbed.environment import World
-from drumgw.testbed.event_log import Record
-from drumgw.testbed.scenario import Day
+from drumgw.testbed.endpoint import EmulatedEndpoint, ReceivedAttempt, Says
+from drumgw.testbed.environment import Environment
+from drumgw.testbed.event_log import EventLog
+from drumgw.testbed.scenario import Scenario
 
 START_MS = 1_700_000_000_000.0  # of Unix time; any will do, but each run the same
 READY_MS = 300.0  # from its start until it takes clients
 ENDS = {
-    "settled": End.SETTLED,
-    "error": End.ERROR,
-    "full": End.FULL,
-    "reset": End.BROKEN,
-    "spoilt": End.BROKEN,
+    "settled": Outcome.SUCCEEDED,
+    "error": Outcome.FAILED,
+    "full": Outcome.REJECTED,
+    "reset": Outcome.BROKEN_RESPONSE,
+    "spoilt": Outcome.BROKEN_RESPONSE,
 }
-MakeKeeper = Callable[[int, Terms], Keeper]
+MakePolicyEngine = Callable[[int, GatewaySettings], PolicyEngineProtocol]
 
 
-class Sent:
+class ForwardedAttempt:
     """A submission on its way, out, or coming back."""
 
     __slots__ = ("worker", "ticket", "written", "over")
 
-    def __init__(self, worker: Worker) -> None:
+    def __init__(self, worker: EmulatedEndpoint) -> None:
         self.worker, self.written, self.over = worker, False, False
-        self.ticket: Ticket | None = None
+        self.ticket: ReceivedAttempt | None = None
 
 
-class Gate:
+class VirtualGateway:
     """One gatekeeper: a core, and its adapters as far as they decide nothing."""
 
-    def __init__(self, runner: Virtual, number: int, seed: int) -> None:
+    def __init__(self, runner: VirtualRunner, number: int, seed: int) -> None:
         self.runner, self.world, self.clock, self.number = runner, runner.world, runner.clock, number
-        terms, self.names = read_terms(self.world.settings(number))
-        self.core = Core(runner.make(seed, terms), terms)
-        self.listed: dict[int, Worker] = {}  # by the module's number; emptied by the list
+        terms, self.names = read_settings(self.world.settings(number))
+        self.core = RequestLifecycle(runner.make(seed, terms), terms)
+        self.listed: dict[int, EmulatedEndpoint] = {}  # by the module's number; emptied by the list
         self.closed: set[int] = set()  # of them, those that drain
         self.idle: dict[str, list[float]] = {}  # kept connections: since when idle; emptied as they age
-        self.sent: dict[tuple[int, int], Sent] = {}  # emptied by ends and stops
-        self.tries: dict[int, Try] = {}  # txns in hand; emptied by replies
+        self.sent: dict[tuple[int, int], ForwardedAttempt] = {}  # emptied by ends and stops
+        self.tries: dict[int, ClientAttempt] = {}  # txns in hand; emptied by replies
         self.txns: dict[str, int] = {}  # the same, by name
         self.alive, self.closing, self.paused_until = True, False, 0.0
         self.generation: int | None = None  # none: its agent was not heard yet
-        self.carry(self.core.start(self.clock.now(), Listed(True, ())))
+        self.carry(self.core.start(self.clock.now(), EndpointsUpdated(True, ())))
 
     # Time: what reaches a gatekeeper that stands waits until it runs again
 
@@ -86,15 +95,15 @@
 
     # The list
 
-    def heed(self, told: dict[str, Any]) -> Listed:
+    def heed(self, told: dict[str, Any]) -> EndpointsUpdated:
         entries, named = [], set[int]()
         for row in told["instances"]:
             number, health = worker_id(row["instanceId"]), STATES[row["lifecycle"]]
             named.add(number)
             entries.append(
-                Entry(
+                EndpointInfo(
                     number,
-                    self.names.zone(row["zone"]),
+                    self.names.zone_index(row["zone"]),
                     row["cell"],
                     row["machineType"],
                     health,
@@ -102,15 +111,15 @@
                     row["weight"],
                 )
             )
-            if health is Health.READY:
+            if health is EndpointStatus.READY:
                 self.listed[number] = self.world.workers[row["instanceId"]]
                 self.closed.discard(number)
             elif number in self.listed:
-                self.drain(number, health is Health.GONE)
+                self.drain(number, health is EndpointStatus.REMOVED)
         for number in set(self.listed) - named if told["reset"] else ():
             self.drain(number, gone=True)
         self.generation = told["generation"]
-        return Listed(told["reset"], tuple(entries))
+        return EndpointsUpdated(told["reset"], tuple(entries))
 
     def drain(self, number: int, gone: bool) -> None:
         worker = self.listed[number]
@@ -118,7 +127,7 @@
         self.idle.pop(worker.name, None)
         for key in [k for k, s in self.sent.items() if s.worker is worker and not s.written]:
             self.give_up(key)
-            self.after(0.0, partial(self.ended, key, End.NOT_SENT))
+            self.after(0.0, partial(self.ended, key, Outcome.NOT_SENT))
         if gone:
             del self.listed[number]
 
@@ -142,45 +151,45 @@
 
     # Effects
 
-    def carry(self, effects: list[Effect]) -> None:
+    def carry(self, effects: list[Command]) -> None:
         for effect in effects:
             match effect:
-                case Send():
+                case StartAttempt():
                     self.send(effect)
-                case Stop():
-                    self.give_up((effect.txn, effect.submission))
-                case Reply():
+                case AbortAttempt():
+                    self.give_up((effect.request_id, effect.attempt))
+                case SendResponse():
                     self.reply(effect)
-                case Alarm():
+                case ScheduleDeadline():
                     self.at(effect.at_ms, partial(self.ring, effect))
-                case Wake():
-                    self.after(effect.after_ms, partial(self.due, effect.label))
-                case Add():
+                case SetTimer():
+                    self.after(effect.delay_ms, partial(self.due, effect.timer_id))
+                case AddToCounter():
                     self.add(effect)
-                case Fault():
+                case ReportFault():
                     self.world.record.add(
                         self.clock.now(), "fault", gate=self.number, error=repr(effect.error)
                     )
-                case Say():
+                case LogMessage():
                     self.world.record.add(self.clock.now(), "says", gate=self.number, text=effect.text)
 
-    def ring(self, alarm: Alarm) -> None:
-        self.carry(self.core.alarm(self.clock.now(), alarm.txn, alarm.submission))
+    def ring(self, alarm: ScheduleDeadline) -> None:
+        self.carry(self.core.alarm(self.clock.now(), alarm.request_id, alarm.attempt))
 
     def due(self, label: int) -> None:
         self.carry(self.core.due(self.clock.now(), label))
 
     # Clients
 
-    def take(self, one: Try) -> None:
+    def take(self, one: ClientAttempt) -> None:
         a, now = one.order.arrival, self.clock.now()
         waited = now - one.sent_at if now - one.sent_at > LATE_MS else 0.0  # read late, after a stall
-        asked = Txn(
+        asked = RequestReceived(
             0,
             one.left_ms,
             self.names.plans[a.customer.plan.name],
             a.customer.number,
-            self.names.products[a.product.name],
+            self.names.request_classes[a.product.name],
             float(a.units),
             False,
             len(a.customer.gates),
@@ -191,38 +200,38 @@
         _, effects = self.core.arrive(now, asked, waited)
         self.carry(effects)
 
-    def left(self, one: Try) -> None:
+    def left(self, one: ClientAttempt) -> None:
         txn = self.txns.pop(one.name, None)
         if txn is not None:
             self.tries.pop(txn, None)
             self.carry(self.core.left(self.clock.now(), txn))
 
-    def reply(self, reply: Reply) -> None:
-        one = self.tries.pop(reply.txn, None)
+    def reply(self, reply: SendResponse) -> None:
+        one = self.tries.pop(reply.request_id, None)
         if one is not None:
             self.txns.pop(one.name, None)
             self.clock.at(
                 self.clock.now() + self.world.day.fleet.client_ms,
                 partial(
-                    self.world.clients.answered, one, reply.status, reply.answer or "", reply.retry_after_ms
+                    self.world.clients.answered, one, reply.status, reply.response or "", reply.retry_after_ms
                 ),
             )
 
     # Workers
 
-    def send(self, order: Send) -> None:
-        key, worker = (order.txn, order.submission), self.listed.get(order.worker)
-        if worker is None or order.worker in self.closed:
-            self.after(0.0, partial(self.ended, key, End.NOT_SENT))
+    def send(self, order: StartAttempt) -> None:
+        key, worker = (order.request_id, order.attempt), self.listed.get(order.endpoint_id)
+        if worker is None or order.endpoint_id in self.closed:
+            self.after(0.0, partial(self.ended, key, Outcome.NOT_SENT))
             return
-        sent = self.sent[key] = Sent(worker)
+        sent = self.sent[key] = ForwardedAttempt(worker)
         way = self.world.one_way(self.number, worker)
         if self.kept(worker):
             self.write(key, sent, way)
         else:
             self.connect(key, sent, way)
 
-    def kept(self, worker: Worker) -> bool:
+    def kept(self, worker: EmulatedEndpoint) -> bool:
         """A connection that is idle, not for longer than half of its worker's limit."""
         idle = self.idle.get(worker.name, [])
         oldest = self.clock.now() - self.world.day.allowed.idle_ms / 2
@@ -232,15 +241,15 @@
         self.idle[worker.name] = fresh[:-1]
         return bool(fresh)
 
-    def connect(self, key: tuple[int, int], sent: Sent, way: float) -> None:
+    def connect(self, key: tuple[int, int], sent: ForwardedAttempt, way: float) -> None:
         day, worker = self.world.day, sent.worker
         if self.world.parted(self.number, worker.zone):
-            self.after(day.allowed.connect_ms, partial(self.ended, key, End.UNREACHED))
+            self.after(day.allowed.connect_ms, partial(self.ended, key, Outcome.UNREACHABLE))
             return
 
         def arrives() -> None:
             if not worker.takes(self.number):
-                self.after(way, partial(self.ended, key, End.UNREACHED))
+                self.after(way, partial(self.ended, key, Outcome.UNREACHABLE))
                 return
             self.clock.at(self.clock.now() + day.worker.handshake_ms + way, up)
 
@@ -252,7 +261,7 @@
 
         self.clock.at(self.clock.now() + way, arrives)
 
-    def write(self, key: tuple[int, int], sent: Sent, way: float) -> None:
+    def write(self, key: tuple[int, int], sent: ForwardedAttempt, way: float) -> None:
         self.look()
         if self.sent.get(key) is not sent:
             sent.worker.closed(self.number)
@@ -260,17 +269,19 @@
         one = self.tries.get(key[0])
         name = one.name if one is not None else ""
         first, sent.written = self.clock.now(), True
-        ticket = sent.ticket = Ticket(
+        ticket = sent.ticket = ReceivedAttempt(
             self.world.ticket(), name, one, self.number, partial(self.told, key, sent, way)
         )
         if not self.world.parted(self.number, sent.worker.zone):
             self.clock.at(first + way, lambda: self.come(ticket, sent, first))
 
-    def come(self, ticket: Ticket, sent: Sent, first: float) -> None:
+    def come(self, ticket: ReceivedAttempt, sent: ForwardedAttempt, first: float) -> None:
         if not sent.over:
             sent.worker.come(ticket, first)
 
-    def told(self, key: tuple[int, int], sent: Sent, way: float, ticket: Ticket, says: Says) -> None:
+    def told(
+        self, key: tuple[int, int], sent: ForwardedAttempt, way: float, ticket: ReceivedAttempt, says: Says
+    ) -> None:
         if self.world.parted(self.number, sent.worker.zone):
             return
         units = float(ticket.asked.order.arrival.true_units) if ticket.asked and says == "settled" else 0.0
@@ -279,7 +290,7 @@
             partial(self.when_running, partial(self.back, key, sent, says, units, ticket.name)),
         )
 
-    def back(self, key: tuple[int, int], sent: Sent, says: Says, units: float, mark: str) -> None:
+    def back(self, key: tuple[int, int], sent: ForwardedAttempt, says: Says, units: float, mark: str) -> None:
         if self.sent.get(key) is not sent:
             return
         if says in ("reset", "spoilt"):
@@ -288,7 +299,7 @@
             self.idle.setdefault(sent.worker.name, []).append(self.clock.now())
         self.ended(key, ENDS[says], units, mark)
 
-    def ended(self, key: tuple[int, int], end: End, units: float = 0.0, mark: str = "") -> None:
+    def ended(self, key: tuple[int, int], end: Outcome, units: float = 0.0, mark: str = "") -> None:
         self.sent.pop(key, None)
         self.carry(self.core.ended(self.clock.now(), *key, end, units, {}, mark))
 
@@ -305,32 +316,33 @@
 
     # The counter
 
-    def add(self, order: Add) -> None:
+    def add(self, order: AddToCounter) -> None:
         counter, kind = self.world.counter, self.world.day.counter
         assert counter is not None and kind is not None
         way = kind.one_way_ms
         asked, done = self.clock.now(), [False]
 
-        def finish(end: End, total: float) -> None:
+        def finish(end: Outcome, total: float) -> None:
             if not done[0]:
                 done[0] = True
                 self.carry(
-                    self.core.total(self.clock.now(), order.name, end, total, self.clock.now() - asked)
+                    self.core.total(self.clock.now(), order.counter_key, end, total, self.clock.now() - asked)
                 )
 
         def answer(says: str, total: float) -> None:
             self.clock.at(
                 self.clock.now() + way,
                 partial(
-                    self.when_running, partial(finish, End.SETTLED if says == "added" else End.FULL, total)
+                    self.when_running,
+                    partial(finish, Outcome.SUCCEEDED if says == "added" else Outcome.REJECTED, total),
                 ),
             )
 
         self.clock.at(
             asked + way,
-            lambda: counter.call(self.number, str(order.name), order.amount, order.lives_ms, answer),
+            lambda: counter.call(self.number, str(order.counter_key), order.amount, order.ttl_ms, answer),
         )
-        self.after(self.world.day.allowed.counter_wait_ms, partial(finish, End.TIMEOUT, 0.0))
+        self.after(self.world.day.allowed.counter_wait_ms, partial(finish, Outcome.TIMED_OUT, 0.0))
 
     # Its end
 
@@ -348,24 +360,24 @@
             )
 
 
-class Virtual:
+class VirtualRunner:
     """All gatekeepers of the day, and how tries reach them."""
 
-    gate_kind: type[Gate] = Gate  # tests put broken ones in its place
+    gate_kind: type[VirtualGateway] = VirtualGateway  # tests put broken ones in its place
 
     def __init__(
-        self, day: Day, seed: int, make: MakeKeeper = Gatekeeper, record: Record | None = None
+        self, day: Scenario, seed: int, make: MakePolicyEngine = PolicyEngine, record: EventLog | None = None
     ) -> None:
         self.day, self.make = day, make
         self.clock = VirtualClock(START_MS)
-        self.record = record or Record({"day": day.name, "seed": seed, "clock": "virtual"})
-        self.world = World(day, seed, self.clock, self.record)
+        self.record = record or EventLog({"day": day.name, "seed": seed, "clock": "virtual"})
+        self.world = Environment(day, seed, self.clock, self.record)
         self.world.keepers = self.world.clients.gates = self
         self.chance = self.world.book.chance("gatekeepers")
         self.world.registry.first()
         self.gates = [self.new(number) for number in range(day.fleet.gatekeepers)]
 
-    def run(self) -> Record:
+    def run(self) -> EventLog:
         for gate in self.gates:
             gate.hear()
         self.clock.run(START_MS + READY_MS)
@@ -374,17 +386,17 @@
         self.world.end()
         return self.record
 
-    def new(self, number: int) -> Gate:
+    def new(self, number: int) -> VirtualGateway:
         self.record.add(self.clock.now(), "gate", gate=number, state="starts")
         self.world.registry.starts(number)
         return self.gate_kind(self, number, self.chance.getrandbits(63))
 
     # The clients' port
 
-    def send(self, one: Try) -> None:
+    def send(self, one: ClientAttempt) -> None:
         self.clock.at(self.clock.now() + self.day.fleet.client_ms, partial(self.reach, one))
 
-    def reach(self, one: Try) -> None:
+    def reach(self, one: ClientAttempt) -> None:
         gate = self.gates[one.gate]
         if one.over:
             return
@@ -395,7 +407,7 @@
                 self.clock.now() + self.day.fleet.client_ms, partial(self.world.clients.unreached, one)
             )
 
-    def leave(self, one: Try) -> None:
+    def leave(self, one: ClientAttempt) -> None:
         gate = self.gates[one.gate]
         self.clock.at(
             self.clock.now() + self.day.fleet.client_ms, partial(gate.when_running, partial(gate.left, one))
@@ -413,7 +425,7 @@
         self.clock.at(self.clock.now() + TERM_SEEN_MS, lambda: self.world.clients.front(number, False))
         self.clock.at(self.clock.now() + LINGER_MS, partial(self.finish, gate))
 
-    def finish(self, gate: Gate) -> None:
+    def finish(self, gate: VirtualGateway) -> None:
         if gate.alive and gate.tries:
             self.clock.at(self.clock.now() + 10.0, partial(self.finish, gate))
         elif gate.alive:
@@ -441,7 +453,7 @@
         gate.hear()
         self.clock.at(self.clock.now() + READY_MS, lambda: self.let_in(gate))
 
-    def let_in(self, gate: Gate) -> None:
+    def let_in(self, gate: VirtualGateway) -> None:
         """Nobody before its agent has spoken."""
         if gate.generation is None and gate.alive:
             self.clock.at(self.clock.now() + PACE_MOST_MS, lambda: self.let_in(gate))
--- a/drumgw/testbed/workload.py
+++ b/drumgw/testbed/workload.py
@@ -7,13 +7,13 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from drumgw.config.sections import Plan, Product
-from drumgw.testbed.scenario import Customers, Day
+from drumgw.config.sections import PlanSection, RequestClassSection
+from drumgw.testbed.scenario import CustomersSection, Scenario
 
 
 class Customer(NamedTuple):
     number: int
-    plan: Plan
+    plan: PlanSection
     gates: tuple[int, ...]  # its set, in a row
     weights: tuple[float, ...]  # how its txns are dealt among them
     txns_per_s: float
@@ -23,14 +23,14 @@
     at_ms: float  # from the day's start
     order: int
     customer: Customer
-    product: Product
+    product: RequestClassSection
     units: int
     true_units: int
     work_ms: float
 
 
-class Book:
-    def __init__(self, day: Day, seed: int) -> None:
+class Workload:
+    def __init__(self, day: Scenario, seed: int) -> None:
         self.day, self.seed = day, seed
         self.products = {p.name: p for p in day.product}
         self.plans = {p.name: p for p in day.plan}
@@ -40,7 +40,7 @@
         """A stream of its own for each use, so that one more draw in one changes no other."""
         return random.Random("/".join(map(str, (self.seed, *what))))
 
-    def group(self, group: Customers) -> Iterator[Customer]:
+    def group(self, group: CustomersSection) -> Iterator[Customer]:
         plan, gatekeepers = self.plans[group.plan], self.day.fleet.gatekeepers
         for k in range(group.number):
             chance = self.chance("customer", group.plan, k)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -13,18 +13,38 @@
 
 from loguru import logger
 
-from drumgw.model.actions import Action, Add, Cancel, Decline, Say, Submit, Void
-from drumgw.model.events import Answer, Due, End, Entry, Event, Health, Listed, Total, Txn
-from drumgw.model.settings import Group, Plan, Product, Repeat, Terms
-from drumgw.policy.engine import COUNT_MS, Gatekeeper
+from drumgw.model.actions import (
+    Action,
+    AddToCounter,
+    CancelAttempt,
+    FailRequest,
+    ForwardRequest,
+    LogMessage,
+    RejectRequest,
+)
+from drumgw.model.events import (
+    AttemptEnded,
+    CounterReplied,
+    EndpointInfo,
+    EndpointStatus,
+    EndpointsUpdated,
+    Event,
+    Outcome,
+    RequestReceived,
+    TimerFired,
+)
+from drumgw.model.settings import DeduplicationScope, GatewaySettings, Idempotency, Plan, RequestClass
+from drumgw.policy.engine import COUNT_MS, PolicyEngine
 from drumgw.stable_hash import stable_hash
 
 logger.remove()  # the log is for on-call staff, not for those who read the tests
 TRACES = pathlib.Path(__file__).parent / "traces"
 START = 3 * COUNT_MS - stable_hash(1) % int(COUNT_MS)  # the first customer's count has a new name then
-INQUIRY = Product(1.0, 2000.0, 8000.0, Repeat.INQUIRY, Group.ALL, 5000.0, 0.2)
-ONCE = Product(3.0, 800.0, 2500.0, Repeat.ONCE, Group.ALL, 5000.0, 0.2)
-BY_ZONE = Product(5.0, 2500.0, 8000.0, Repeat.REFERENCED, Group.ZONE, 3000.0, 0.0)
+INQUIRY = RequestClass(1.0, 2000.0, 8000.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 5000.0, 0.2)
+ONCE = RequestClass(3.0, 800.0, 2500.0, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 5000.0, 0.2)
+BY_ZONE = RequestClass(
+    5.0, 2500.0, 8000.0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, 3000.0, 0.0
+)
 HARD = Plan(2.0, 20.0, 0, 1.0, 0.0, 0.8, 0.0, 0.0)
 SOFT = Plan(2.0, 20.0, 0, 1.0, 0.2, 0.0, 0.0, 0.0)
 CEILED = Plan(10.0, 20.0, 0, 1.0, 0.0, 0.5, 20.0, 40.0)
@@ -32,56 +52,56 @@
 
 
 def terms(
-    products: tuple[Product, ...] = (ONCE, INQUIRY), plans: tuple[Plan, ...] = (HARD,), **other: Any
-) -> Terms:
-    plain = Terms(
+    products: tuple[RequestClass, ...] = (ONCE, INQUIRY), plans: tuple[Plan, ...] = (HARD,), **other: Any
+) -> GatewaySettings:
+    plain = GatewaySettings(
         ordinal=0,
-        gatekeepers=2,
+        gateways=2,
         zone=0,
-        products=products,
+        request_classes=products,
         plans=plans,
-        top_units=6.0,
-        counter=True,
-        counter_wait_ms=50.0,
-        probes=False,
-        cancel=True,
-        second_copies=False,
-        retry_after_ms=500.0,
-        submissions=3,
-        cold_from=0.2,
-        cold_ms=10000.0,
-        fall_multiple=3.0,
-        fall_ms=2000.0,
-        zone_fee=0.0,
-        load_names=(),
+        max_request_units=6.0,
+        has_counter=True,
+        counter_timeout_ms=50.0,
+        health_checks_allowed=False,
+        cancellation_allowed=True,
+        hedging_allowed=False,
+        max_retry_after_ms=500.0,
+        max_attempts=3,
+        warm_up_initial_fraction=0.2,
+        warm_up_ms=10000.0,
+        warm_up_overload_multiple=3.0,
+        warm_up_overload_window_ms=2000.0,
+        cross_zone_fee=0.0,
+        load_report_fields=(),
     )
     return dataclasses.replace(plain, **other)
 
 
-class Stage:
+class PolicyHarness:
     """One gatekeeper, its clock and the trace of what it does. The counter answers at once, unless held."""
 
     def __init__(self, workers: int = 4, born: float | None = None, held: bool = False, **other: Any) -> None:
-        self.keeper, self.now, self.trace, self.ids = Gatekeeper(7, terms(**other)), START, list[str](), 0
+        self.keeper, self.now, self.trace, self.ids = PolicyEngine(7, terms(**other)), START, list[str](), 0
         self.out: dict[int, list[int]] = {}  # txn: workers it was sent to
-        self.adds: list[Add] = []  # calls not answered yet
+        self.adds: list[AddToCounter] = []  # calls not answered yet
         self.counts: dict[int, float] = {}
         self.counter_held = held
         self.keeper.start(self.now)
-        rows = tuple(self.row(w, Health.READY, born) for w in range(workers))
-        self.play(Listed(True, rows))
+        rows = tuple(self.row(w, EndpointStatus.READY, born) for w in range(workers))
+        self.play(EndpointsUpdated(True, rows))
         self.tick()
 
     @staticmethod
-    def row(worker: int, health: Health, born: float | None = None) -> Entry:
-        return Entry(worker, worker % 2, worker % 2, "std", health, born, 1.0)
+    def row(worker: int, health: EndpointStatus, born: float | None = None) -> EndpointInfo:
+        return EndpointInfo(worker, worker % 2, worker % 2, "std", health, born, 1.0)
 
     def play(self, event: Event) -> list[Action]:
         actions = self.keeper.handle(self.now, event)
         for a in actions:
-            if isinstance(a, Submit):
-                self.out.setdefault(a.txn, []).append(a.worker)
-            if isinstance(a, Add):
+            if isinstance(a, ForwardRequest):
+                self.out.setdefault(a.request_id, []).append(a.endpoint_id)
+            if isinstance(a, AddToCounter):
                 self.adds.append(a)
             self.note(a)
         while self.adds and not self.counter_held:
@@ -93,44 +113,46 @@
         match a:
             case str():
                 self.trace.append(at + "-- " + a)
-            case Submit():
-                self.trace.append(at + f"submit txn {a.txn} to worker {a.worker}")
-            case Decline():
-                self.trace.append(at + f"decline txn {a.txn}, back in {a.retry_after_ms:.0f} ms")
-            case Void():
-                self.trace.append(at + f"void txn {a.txn}")
-            case Cancel():
-                self.trace.append(at + f"call off txn {a.txn}, submission {a.submission}")
-            case Add():
+            case ForwardRequest():
+                self.trace.append(at + f"submit txn {a.request_id} to worker {a.endpoint_id}")
+            case RejectRequest():
+                self.trace.append(at + f"decline txn {a.request_id}, back in {a.retry_after_ms:.0f} ms")
+            case FailRequest():
+                self.trace.append(at + f"void txn {a.request_id}")
+            case CancelAttempt():
+                self.trace.append(at + f"call off txn {a.request_id}, submission {a.attempt}")
+            case AddToCounter():
                 self.trace.append(at + (f"add {a.amount:g}" if a.amount else "read"))
-            case Say():
+            case LogMessage():
                 self.trace.append(at + "log: " + a.text)
 
     def txn(
         self, product: int = 1, units: float = 1.0, customer: int = 1, left: float = 5000.0, gates: int = 2
     ) -> int:
         self.ids += 1
-        self.play(Txn(self.ids, left, 0, customer, product, units, False, gates, 0))
+        self.play(RequestReceived(self.ids, left, 0, customer, product, units, False, gates, 0))
         return self.ids
 
     def answer(
         self,
         txn: int,
-        end: End = End.SETTLED,
+        end: Outcome = Outcome.SUCCEEDED,
         took: float = 50.0,
         final: bool | None = None,
         units: float = 0.0,
     ) -> None:
         sent = self.out[txn]
-        done = end is End.SETTLED if final is None else final
-        self.play(Answer(txn, len(sent) - 1, sent[-1], end, took, done, units, {}))
+        done = end is Outcome.SUCCEEDED if final is None else final
+        self.play(AttemptEnded(txn, len(sent) - 1, sent[-1], end, took, done, units, {}))
 
-    def total(self, total: float | None = None, end: End = End.SETTLED, took: float = 2.0) -> None:
+    def total(self, total: float | None = None, end: Outcome = Outcome.SUCCEEDED, took: float = 2.0) -> None:
         """Answers the oldest call: with the counter's own sum, or with what the test says."""
         call = self.adds.pop(0)
-        if end is End.SETTLED:
-            self.counts[call.name] = self.counts.get(call.name, 0.0) + call.amount if total is None else total
-        self.play(Total(call.name, end, self.counts.get(call.name, 0.0), took))
+        if end is Outcome.SUCCEEDED:
+            self.counts[call.counter_key] = (
+                self.counts.get(call.counter_key, 0.0) + call.amount if total is None else total
+            )
+        self.play(CounterReplied(call.counter_key, end, self.counts.get(call.counter_key, 0.0), took))
 
     def name(self) -> int:
         """The name of the first customer's count."""
@@ -139,11 +161,11 @@
     def tick(self, ms: float = 100.0) -> None:
         for _ in range(round(ms / 100)):
             self.now += 100
-            self.play(Due(0))
+            self.play(TimerFired(0))
 
 
 class TraceCase(unittest.TestCase):
-    def same(self, stage: Stage, name: str) -> None:
+    def same(self, stage: PolicyHarness, name: str) -> None:
         """The trace must be the one kept in traces/; a person reads the difference."""
         kept = (TRACES / f"{name}.txt").read_text().splitlines()
         change = list(difflib.unified_diff(kept, stage.trace, "kept", "now", lineterm="", n=2))
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -5,14 +5,14 @@
 import tempfile
 from typing import Any
 
-from drumgw.gateway.request_lifecycle import Reply
-from drumgw.model.actions import Decline
-from drumgw.model.events import End, Listed
-from drumgw.policy.engine import OUT, TXN_TABLE, Gatekeeper, Held, Table, Worker
-from drumgw.testbed.event_log import Record
-from drumgw.testbed.oracle import Breach, judge
-from drumgw.testbed.scenario import Day, read_day
-from drumgw.testbed.virtual_runner import Gate, Virtual
+from drumgw.gateway.request_lifecycle import SendResponse
+from drumgw.model.actions import RejectRequest
+from drumgw.model.events import EndpointsUpdated, Outcome
+from drumgw.policy.engine import OUT, TXN_TABLE, Endpoint, PendingRequest, PolicyEngine, Table
+from drumgw.testbed.event_log import EventLog
+from drumgw.testbed.oracle import Violation, find_violations
+from drumgw.testbed.scenario import Scenario, read_scenario
+from drumgw.testbed.virtual_runner import VirtualGateway, VirtualRunner
 
 HEAD = """
 version = 1
@@ -99,7 +99,7 @@
 }
 
 
-def day(*troubles: str, **figures: Any) -> Day:
+def day(*troubles: str, **figures: Any) -> Scenario:
     """Each trouble: its keys as TOML, in one line."""
     text = HEAD.format(**{**PLAIN, **figures})
     for trouble in troubles:
@@ -107,23 +107,23 @@
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(text)
         file.flush()
-        return read_day(file.name)
+        return read_scenario(file.name)
 
 
 def play(
-    of: Day, seed: int = 1, keeper: Any = Gatekeeper, gate: type[Gate] = Gate
-) -> tuple[Record, list[Breach]]:
-    class Broken(Virtual):
+    of: Scenario, seed: int = 1, keeper: Any = PolicyEngine, gate: type[VirtualGateway] = VirtualGateway
+) -> tuple[EventLog, list[Violation]]:
+    class Broken(VirtualRunner):
         gate_kind = gate
 
     record = Broken(of, seed, keeper).run()
-    return record, judge(record, of)
+    return record, find_violations(record, of)
 
 
 # Gatekeepers that break one rule each
 
 
-class Swapped(Gatekeeper):
+class Swapped(PolicyEngine):
     """Its table of a txn has other effects in some places."""
 
     effects: dict[tuple[str, str], Any] = {}
@@ -140,30 +140,30 @@
 class Doubler(Swapped):
     """Sends again whatever failed."""
 
-    effects = {(OUT, "unsettled"): Gatekeeper.submit}
+    effects = {(OUT, "unsettled"): PolicyEngine.submit}
 
 
-class Pusher(Gatekeeper):
+class Pusher(PolicyEngine):
     """Sends all to the worker that started last, however cold."""
 
-    def pick(self, h: Held) -> Worker | None:
+    def pick(self, h: PendingRequest) -> Endpoint | None:
         rest = [w for w in self.around if w not in h.tried]
         return max(rest, key=born) if rest else None
 
 
-def born(w: Worker) -> float:
+def born(w: Endpoint) -> float:
     return w.born or 0.0
 
 
-class Passer(Gatekeeper):
+class Passer(PolicyEngine):
     """Lets all pass."""
 
-    def lacks(self, h: Held) -> float:
+    def lacks(self, h: PendingRequest) -> float:
         return 0.0
 
 
-def decline(keeper: Gatekeeper, h: Held) -> None:
-    keeper.acts.append(Decline(h.txn, 10.0))
+def decline(keeper: PolicyEngine, h: PendingRequest) -> None:
+    keeper.acts.append(RejectRequest(h.txn, 10.0))
     keeper.forget(h)
 
 
@@ -173,18 +173,18 @@
     effects = {(OUT, "no worker"): decline}
 
 
-class Deaf(Gate):
+class Deaf(VirtualGateway):
     """Takes draining workers for ready ones."""
 
-    def heed(self, told: dict[str, Any]) -> Listed:
+    def heed(self, told: dict[str, Any]) -> EndpointsUpdated:
         rows = [{**row, "lifecycle": "up"} for row in told["instances"]]
         return super().heed({**told, "instances": rows, "reset": False})
 
 
-class Eager(Gate):
+class Eager(VirtualGateway):
     """Goes by the list of the day's beginning for its first second, as a start without its agent's word."""
 
-    def __init__(self, runner: Virtual, number: int, seed: int) -> None:
+    def __init__(self, runner: VirtualRunner, number: int, seed: int) -> None:
         super().__init__(runner, number, seed)
         self.eager_until = self.clock.now() + 1000.0
         first = [row for row in self.world.registry.rows.values() if not row["startedAtMs"]]
@@ -197,21 +197,21 @@
             super().look()
 
 
-class Loser(Gate):
+class Loser(VirtualGateway):
     """Forgets to answer now and then."""
 
-    def reply(self, reply: Reply) -> None:
-        if reply.txn % 20:
+    def reply(self, reply: SendResponse) -> None:
+        if reply.request_id % 20:
             super().reply(reply)
         else:
-            self.txns.pop(self.tries.pop(reply.txn).name)
+            self.txns.pop(self.tries.pop(reply.request_id).name)
 
 
-class Mixer(Gate):
+class Mixer(VirtualGateway):
     """Serves a client with the answer made for another."""
 
     last = ""
 
-    def ended(self, key: tuple[int, int], end: End, units: float = 0.0, mark: str = "") -> None:
-        mark, self.last = (self.last or mark, mark) if end is End.SETTLED else (mark, self.last)
+    def ended(self, key: tuple[int, int], end: Outcome, units: float = 0.0, mark: str = "") -> None:
+        mark, self.last = (self.last or mark, mark) if end is Outcome.SUCCEEDED else (mark, self.last)
         super().ended(key, end, units, mark)
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -19,12 +19,12 @@
 from click.testing import CliRunner, Result
 
 from drumgw.cli.__main__ import main
-from drumgw.config.gateway_file import configuration, read_office
-from drumgw.gateway.process_config import charter_of
-from drumgw.testbed.event_log import read_record
-from drumgw.testbed.oracle import judge
-from drumgw.testbed.scenario import read_day
-from drumgw.testbed.socket_runner import Sockets
+from drumgw.config.gateway_file import configuration, read_gateway_file
+from drumgw.gateway.process_config import parse_config
+from drumgw.testbed.event_log import read_event_log
+from drumgw.testbed.oracle import find_violations
+from drumgw.testbed.scenario import read_scenario
+from drumgw.testbed.socket_runner import SocketRunner
 from tests.scenarios import HEAD, PLAIN, day
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
@@ -57,9 +57,9 @@
         )
         bounds = self.drumgw("check", str(EXAMPLES / "drumgw.toml"), "--lost", "30").output
         self.assertIn("lost for 30 s: through 1 gatekeeper(s) a customer sends 36 units at most", bounds)
-        charter = charter_of(configuration(read_office(str(EXAMPLES / "drumgw.toml"))), {})
-        self.assertEqual([p.sla_ms for p in charter.terms.products], [3000.0, 800.0])
-        self.assertEqual((charter.terms.plans[0].burst, charter.counter), (6.0, ("127.0.0.1", 6400)))
+        charter = parse_config(configuration(read_gateway_file(str(EXAMPLES / "drumgw.toml"))), {})
+        self.assertEqual([p.latency_objective_ms for p in charter.terms.request_classes], [3000.0, 800.0])
+        self.assertEqual((charter.terms.plans[0].burst_units, charter.counter), (6.0, ("127.0.0.1", 6400)))
         shown = json.loads(self.drumgw("check", "--show", str(EXAMPLES / "drumgw.toml")).output)
         self.assertEqual(shown["settings"]["classes"][1]["idempotency"], "once")
 
@@ -223,13 +223,13 @@
         )
 
         async def run() -> Any:
-            lab = Sockets(of, 3, self.folder)
+            lab = SocketRunner(of, 3, self.folder)
             return await lab.run(), [k.process for k in lab.keepers]
 
         record, processes = asyncio.run(run())
         self.assertTrue(all(p is not None and p.returncode is not None for p in processes))
-        kinds = {b.rule for b in judge(record, of)}
-        self.assertLessEqual(kinds, {"lost"}, [str(b) for b in judge(record, of)])
+        kinds = {b.rule for b in find_violations(record, of)}
+        self.assertLessEqual(kinds, {"lost"}, [str(b) for b in find_violations(record, of)])
         answered = {row["txn"] for row in record.rows if row["what"] == "answered" and row["status"] == 200}
         asked = {row["txn"] for row in record.rows if row["what"] == "asked"}
         ended = {
@@ -261,14 +261,14 @@
             host, _, port = json.loads((out / f"n{n}.json").read_text())["listen"].partition(":")
             with socket.socket() as probe, self.assertRaises(ConnectionRefusedError):
                 probe.connect((host, int(port)))
-        self.assertTrue(read_record(str(out / "record.jsonl")).rows)  # what was seen until then is there
+        self.assertTrue(read_event_log(str(out / "record.jsonl")).rows)  # what was seen until then is there
 
     def test_a_gatekeeper_that_never_gets_ready_ends_the_run(self) -> None:
         """It says nothing of the gatekeepers' worth: exit code 3, and where to look."""
         path, out = self.file(HEAD.format(**PLAIN)), self.folder / "out"
         story = (
-            "import sys; from drumgw.testbed import sockets;"
-            "sockets.RUN = (sys.executable, '-c', 'raise SystemExit(2)');"
+            "import sys; from drumgw.testbed import socket_runner;"
+            "socket_runner.RUN = (sys.executable, '-c', 'raise SystemExit(2)');"
             "from drumgw.cli.__main__ import main; main()"
         )
         found = subprocess.run(
@@ -283,5 +283,5 @@
             self.assertIn('"crashed"', (out / "record.jsonl").read_text())
 
     def test_the_day_files_of_the_examples_can_be_read(self) -> None:
-        names = {read_day(str(path)).name for path in (EXAMPLES / "days").glob("*.toml")}
+        names = {read_scenario(str(path)).name for path in (EXAMPLES / "days").glob("*.toml")}
         self.assertEqual(names, {"calm", "herd-200", "lost-200", "replaced-200", "swapped", "troubled"})
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,8 +21,8 @@
 
 import uvloop
 
-from drumgw.gateway.http_server import Client, Stage, Whole
-from drumgw.gateway.process import Gateway
+from drumgw.gateway.http_server import ClientConnection, CompleteResponse, ConnectionState
+from drumgw.gateway.process import GatewayProcess
 from tests.harness import StandIn, http
 from tests.test_gateway import POSTED, GateCase, charter, instance, request, settings, told
 from tests.test_simulator import PRODUCT
@@ -127,7 +127,7 @@
 
     async def begin_keyed(
         self, *addresses: str, window_ms: float = 150.0, group: str = "all", **more: Any
-    ) -> Gateway:
+    ) -> GatewayProcess:
         keyed = {
             **PRODUCT,
             "name": "k",
@@ -349,12 +349,14 @@
 class WatchingCase(CrossingCase):
     """A scripted agent, which falls silent and comes back when its test says so."""
 
-    async def begin_watching(self, grace_ms: float) -> tuple[Peer, Gateway, list[str]]:
+    async def begin_watching(self, grace_ms: float) -> tuple[Peer, GatewayProcess, list[str]]:
         agent, self.deaf, asked = self.peer(), False, list[str]()
         contract = {**settings()["contract"], "stopSendingWithinMs": grace_ms}
         self.generation, self.lifecycle = 1, "up"
         self.rows = [instance("s-0", "127.0.0.1:1")]
-        gateway = Gateway(charter(told(agent.address, self.rows, settings=settings(contract=contract))))
+        gateway = GatewayProcess(
+            charter(told(agent.address, self.rows, settings=settings(contract=contract)))
+        )
         self.gateway = gateway
         self.tasks = [asyncio.create_task(self.accept(agent, asked))]
         self.addCleanup(lambda: [task.cancel() for task in self.tasks])
@@ -408,7 +410,7 @@
             self.lifecycle = "up" if self.lifecycle == "draining" else "draining"
             self.deaf, before = False, len(asked)
             wanted = {"draining": "draining", "up": "ready"}[self.lifecycle]
-            await until(lambda: gateway.discovery.membership.rows["s-0"].entry.health.value == wanted)  # noqa: B023
+            await until(lambda: gateway.discovery.membership.rows["s-0"].entry.status.value == wanted)  # noqa: B023
             self.assertEqual(len(asked) - before, 1, outage_ms)  # the first call after the return
             self.assertLessEqual(gateway.discovery.scout_at - gateway.discovery.heard_at, 1000.0 / 2)
 
@@ -507,7 +509,7 @@
         line = self.client()
         line.write(request())
         await line.read(b"ok")
-        await until(lambda: self.gateway.front.stages[Stage.IDLE])
+        await until(lambda: self.gateway.front.stages[ConnectionState.IDLE])
         return worker, line
 
     async def test_a_request_that_lies_unread_as_the_idle_are_closed_is_served(self) -> None:
@@ -526,7 +528,7 @@
             line.write(request(Request_Id="9b20"))
             self.assertEqual(await line.rest(), b"")
             await asyncio.sleep(0.02)
-            (client,) = self.gateway.front.stages[Stage.LAST]
+            (client,) = self.gateway.front.stages[ConnectionState.LAST]
             self.assertTrue(client.seen(select.POLLIN))  # it lies where it came
             line.close()
             await until(lambda: not self.gateway.front.crowd())
@@ -543,15 +545,15 @@
         line.sock.connect(self.place)
         line.sock.setblocking(False)
         self.gateway.front.withdraw()
-        prepare = Whole.prepare
+        prepare = CompleteResponse.prepare
 
-        async def crossed(answer: Whole, asked: Any) -> None:
+        async def crossed(answer: CompleteResponse, asked: Any) -> None:
             sock = asked.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             await prepare(answer, asked)
             line.write(b"GET /a?acc")
 
-        with mock.patch.object(Whole, "prepare", crossed):
+        with mock.patch.object(CompleteResponse, "prepare", crossed):
             line.write(request())
             whole = await line.read(b"\r\n\r\n")
             await asyncio.sleep(0.02)
@@ -610,7 +612,7 @@
     async def test_clients_that_never_end_their_side_do_not_hold_up_the_end(self) -> None:
         _, line = await self.rested()
         silent = self.client()
-        await until(lambda: self.gateway.front.stages[Stage.NEW])
+        await until(lambda: self.gateway.front.stages[ConnectionState.NEW])
         with mock.patch("drumgw.gateway.process.LINGER_MS", 0.0):
             async with asyncio.timeout(BOUND_S):
                 await self.gateway.close()
@@ -696,7 +698,7 @@
         line.write(b"".join(request(Request_Id=f"{n:x}", Request_Timeout="60000m") for n in range(1000)))
         await until(lambda: worker.came)
         (client,) = self.gateway.front.server.connections
-        assert isinstance(client, Client)
+        assert isinstance(client, ClientConnection)
         await until(lambda: client._buffer_paused)
         line.sock.shutdown(socket.SHUT_WR)  # an end of both would be told by the first answer's reset
         answer.set_result(http(b"ok"))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,11 +12,11 @@
 from typing import Any
 from unittest import mock
 
-from drumgw.gateway.discovery import PAUSES, Outcome
-from drumgw.gateway.membership import RENUMBERED_MS, UNREADABLE, Change, Membership
-from drumgw.gateway.process import Gateway
+from drumgw.gateway.discovery import PAUSES, CallOutcome
+from drumgw.gateway.membership import RENUMBERED_MS, UNREADABLE, Membership, MembershipChange
+from drumgw.gateway.process import GatewayProcess
 from drumgw.gateway.process_config import MOST_BODY
-from drumgw.model.events import Health
+from drumgw.model.events import EndpointStatus
 from tests.harness import TRACES, StandIn, http
 from tests.test_gateway import POSTED, GateCase, charter, instance, settings, told
 
@@ -46,8 +46,8 @@
                 await self.news.wait()
         return None if self.now is None else http(json.dumps(self.now).encode())
 
-    async def start(self, known: list[Obj], **more: Any) -> Gateway:
-        self.gateway = Gateway(charter(told(self.discovery.address, known, **more)))
+    async def start(self, known: list[Obj], **more: Any) -> GatewayProcess:
+        self.gateway = GatewayProcess(charter(told(self.discovery.address, known, **more)))
         self.opening = asyncio.create_task(self.gateway.open())
         self.addAsyncCleanup(self.end)
         return self.gateway
@@ -61,7 +61,7 @@
             await asyncio.sleep(0.001)
 
     def health(self) -> dict[str, str]:
-        return {name: row.entry.health.value for name, row in self.gateway.discovery.membership.rows.items()}
+        return {name: row.entry.status.value for name, row in self.gateway.discovery.membership.rows.items()}
 
     async def workers(self) -> tuple[StandIn, StandIn, list[Obj]]:
         one, other = await self.stand_in(http(b"one")), await self.stand_in(http(b"other"))
@@ -335,7 +335,7 @@
         drained = {"instanceId": "s-0", "lifecycle": "draining"}
         await self.agent()
         self.now = {"generation": 8, "reset": False, "instances": [drained]}
-        gateway = Gateway(
+        gateway = GatewayProcess(
             charter(
                 {
                     **told(self.discovery.address, known, settings=self.ASKED),
@@ -376,10 +376,10 @@
             ],
         )
 
-    async def pauses(self, seed: str, *outcomes: Outcome) -> list[float]:
+    async def pauses(self, seed: str, *outcomes: CallOutcome) -> list[float]:
         """Between calls that end so."""
         await self.agent()
-        discovery = Gateway(
+        discovery = GatewayProcess(
             charter(told(self.discovery.address, [], settings=self.ASKED, seed=seed))
         ).discovery
         slept = list[float]()
@@ -397,7 +397,7 @@
 
     async def test_who_is_turned_away_waits_longer_each_time_and_not_as_others_do(self) -> None:
         """Guards the service against a fleet that comes again in step."""
-        away, failed, told = Outcome.TURNED_AWAY, Outcome.FAILED, Outcome.ANSWERED
+        away, failed, told = CallOutcome.TURNED_AWAY, CallOutcome.FAILED, CallOutcome.ANSWERED
         outcomes = told, away, away, away, away, away, told, away, told, failed, failed
         one, other = await self.pauses("8c1f", *outcomes), await self.pauses("8c20", *outcomes)
         middles = 4000.0, 8000.0, 16000.0, 16000.0, 16000.0, 4000.0, 250.0, 500.0
@@ -425,7 +425,7 @@
 
         service = await self.stand_in(serve)
         fleet = [
-            Gateway(charter(told(service.address, [], settings=self.ASKED, seed=f"{n + 1:x}")))
+            GatewayProcess(charter(told(service.address, [], settings=self.ASKED, seed=f"{n + 1:x}")))
             for n in range(gateways)
         ]
         pauses = {outcome: (least / 8, most / 8) for outcome, (least, most) in PAUSES.items()}
@@ -467,9 +467,9 @@
             return
         self.note(f"asked {asked}, {'whole ' if whole else ''}list {generation}", change)
 
-    def note(self, what: str, change: Change) -> None:
+    def note(self, what: str, change: MembershipChange) -> None:
         moves = "; ".join(f"{health.value}: {', '.join(names)}" for health, names in change.told.items())
-        rows = ", ".join(f"{name} {row.entry.health.value}" for name, row in self.membership.rows.items())
+        rows = ", ".join(f"{name} {row.entry.status.value}" for name, row in self.membership.rows.items())
         unread = f", {change.unread} unread" if change.unread else ""
         self.trace.append(f"{self.now:6.0f}  {what}{unread} -> {moves or 'nothing'}")
         self.trace.append(f"        {self.membership.state}: {rows}")
@@ -553,4 +553,4 @@
             self.take(generation, self.row("s-a", "draining"))
         self.take(2, "no row", {}, whole=True)  # no list
         self.same("membership-generations")
-        self.assertEqual(self.membership.rows["s-a"].entry.health, Health.DRAINING)
+        self.assertEqual(self.membership.rows["s-a"].entry.status, EndpointStatus.DRAINING)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,10 +10,19 @@
 from bisect import bisect_left
 from unittest import mock
 
-from drumgw.model.actions import Submit, Wake
-from drumgw.model.events import Answer, Due, End, Entry, Event, Health, Listed, Txn
+from drumgw.model.actions import ForwardRequest, SetTimer
+from drumgw.model.events import (
+    AttemptEnded,
+    EndpointInfo,
+    EndpointStatus,
+    EndpointsUpdated,
+    Event,
+    Outcome,
+    RequestReceived,
+    TimerFired,
+)
 from drumgw.model.settings import Plan
-from drumgw.policy.engine import Gatekeeper
+from drumgw.policy.engine import PolicyEngine
 from tests.harness import INQUIRY, ONCE, terms
 
 PLENTY = Plan(1000.0, 1000.0, 0, 1.0, 0.0, 0.8, 0.0, 0.0)
@@ -29,7 +38,7 @@
         self.chance = random.Random(7)
         self.workers, self.requests_per_s = workers, requests_per_s
         self.modules = [
-            Gatekeeper(
+            PolicyEngine(
                 number,
                 terms(
                     products=(ONCE, INQUIRY),
@@ -53,11 +62,14 @@
     def at(self, time_ms: float, gateway: int, event: Event) -> None:
         heapq.heappush(self.events, (time_ms, next(self.order), gateway, event))
 
-    def listed(self, joined_ms: float | None) -> Listed:
+    def listed(self, joined_ms: float | None) -> EndpointsUpdated:
         numbers = range(COLD if joined_ms else COLD + 1, self.workers + 1)
-        return Listed(
+        return EndpointsUpdated(
             True,
-            tuple(Entry(n, 0, 0, "", Health.READY, joined_ms if n == COLD else None, 1.0) for n in numbers),
+            tuple(
+                EndpointInfo(n, 0, 0, "", EndpointStatus.READY, joined_ms if n == COLD else None, 1.0)
+                for n in numbers
+            ),
         )
 
     def play(self, start_ms: float, quiet_load: float, burst_load: float) -> float:
@@ -66,7 +78,7 @@
         for number, module in enumerate(self.modules):
             module.start(start_ms)
             self.at(start_ms, number, self.listed(None))
-            self.at(start_ms + 100.0 * self.chance.random(), number, Due(0))
+            self.at(start_ms + 100.0 * self.chance.random(), number, TimerFired(0))
             self.at(joined_ms + 100.0 * self.chance.random(), number, self.listed(joined_ms))
         time_ms, end_ms = start_ms, joined_ms + PLAY_MS
         for request in itertools.count(1):
@@ -79,7 +91,7 @@
             self.at(
                 time_ms,
                 gateway,
-                Txn(request, 8000.0, 0, customer, 1, 1.0, False, len(self.modules), 0),
+                RequestReceived(request, 8000.0, 0, customer, 1, 1.0, False, len(self.modules), 0),
             )
         while self.events and self.events[0][0] < end_ms:
             self.step(*heapq.heappop(self.events))
@@ -87,13 +99,15 @@
 
     def step(self, time_ms: float, _order: int, gateway: int, event: Event) -> None:
         for action in self.modules[gateway].handle(time_ms, event):
-            if isinstance(action, Wake):
-                self.at(time_ms + action.after_ms, gateway, Due(action.label))
-            elif isinstance(action, Submit):
-                if action.worker == COLD:
+            if isinstance(action, SetTimer):
+                self.at(time_ms + action.delay_ms, gateway, TimerFired(action.timer_id))
+            elif isinstance(action, ForwardRequest):
+                if action.endpoint_id == COLD:
                     self.cold_sends.append(time_ms)
                 took_ms = 2000.0 / self.requests_per_s * self.chance.uniform(0.5, 1.5)
-                answer = Answer(action.txn, 0, action.worker, End.SETTLED, took_ms, True, 0.0, {})
+                answer = AttemptEnded(
+                    action.request_id, 0, action.endpoint_id, Outcome.SUCCEEDED, took_ms, True, 0.0, {}
+                )
                 self.at(time_ms + took_ms, gateway, answer)
 
 
@@ -129,7 +143,7 @@
 
     def test_the_count_finds_a_fleet_that_pays_no_heed(self) -> None:
         """The judge itself: gateways that take a cold worker for a warm one pass the budget."""
-        with mock.patch.object(Gatekeeper, "warmth", lambda *_: 1.0):
+        with mock.patch.object(PolicyEngine, "warmth", lambda *_: 1.0):
             self.assertGreater(self.most_of_limit(30, 4, 40.0, False), 1.0)
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,13 +18,13 @@
 from unittest import mock
 
 from drumgw import __main__ as program
-from drumgw.gateway.clock import Clock, Pulse
-from drumgw.gateway.http_server import Stage
+from drumgw.gateway.clock import MonotonicClock, StallAwareClock
+from drumgw.gateway.http_server import ConnectionState
 from drumgw.gateway.invariants import invariant
-from drumgw.gateway.process import Gateway
-from drumgw.gateway.process_config import BadCharter, Charter, read_charter
-from drumgw.model.actions import Add
-from drumgw.model.events import End, Health
+from drumgw.gateway.process import GatewayProcess
+from drumgw.gateway.process_config import ConfigError, GatewayConfig, read_config
+from drumgw.model.actions import AddToCounter
+from drumgw.model.events import EndpointStatus, Outcome
 from tests.harness import Half, StandIn, http, read_message
 from tests.test_simulator import OPTIONS, PLAN, PRODUCT
 
@@ -76,11 +76,11 @@
     }
 
 
-def charter(told: dict[str, Any]) -> Charter:
+def charter(told: dict[str, Any]) -> GatewayConfig:
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         json.dump(told, file)
         file.flush()
-        return read_charter({"GW_CONFIG": file.name})
+        return read_config({"GW_CONFIG": file.name})
 
 
 def told(discovery: str, instances: list[dict[str, Any]], **more: Any) -> dict[str, Any]:
@@ -109,7 +109,7 @@
         self.addCleanup(server.server.close)
         return server
 
-    async def begin(self, *addresses: str, watch: Any = None, **more: Any) -> Gateway:
+    async def begin(self, *addresses: str, watch: Any = None, **more: Any) -> GatewayProcess:
         instances = [instance(f"s-{n}", address) for n, address in enumerate(addresses)]
         listed = http(json.dumps({"generation": 1, "reset": True, "instances": instances}).encode())
 
@@ -119,7 +119,7 @@
 
         discovery = await self.stand_in(discover)
         self.told = told(discovery.address, instances, **more)
-        self.gateway = Gateway(charter(self.told))
+        self.gateway = GatewayProcess(charter(self.told))
         self.place = await self.gateway.open()
         self.addAsyncCleanup(self.end)
         return self.gateway
@@ -465,7 +465,7 @@
                 self.assertEqual((await self.ask())[0], 200)
         self.assertEqual(self.gateway.front.asked(), 4)  # the rest of what clients may hold is free
         async with asyncio.timeout(20):  # the others got an end, and have a moment to read what was theirs
-            while self.gateway.front.stages[Stage.LAST]:
+            while self.gateway.front.stages[ConnectionState.LAST]:
                 await asyncio.sleep(0.001)
         self.assertEqual(self.gateway.front.crowd(), 4)
 
@@ -587,7 +587,7 @@
             {"limits": {"sockets": 20}},
             {"seed": "?"},
         ):
-            with self.assertRaises(BadCharter):
+            with self.assertRaises(ConfigError):
                 charter({**told("127.0.0.1:1", []), **bad})
 
     def place_taken(self) -> str:
@@ -608,8 +608,8 @@
         gateway = await self.begin("127.0.0.1:1", "127.0.0.1:2", watch=watch)
         listed = gateway.discovery.membership.rows
 
-        def states() -> dict[str, Health]:
-            return {name: row.entry.health for name, row in listed.items()}
+        def states() -> dict[str, EndpointStatus]:
+            return {name: row.entry.status for name, row in listed.items()}
 
         rows = [
             instance("s-0", "127.0.0.1:1", "draining"),
@@ -622,13 +622,13 @@
         news.put_nowait({"generation": 2, "reset": False, "instances": rows})
         while len(asked) < 2:
             await asyncio.sleep(0.001)
-        self.assertEqual(states(), {"s-0": Health.DRAINING, "s-2": Health.READY})
+        self.assertEqual(states(), {"s-0": EndpointStatus.DRAINING, "s-2": EndpointStatus.READY})
         self.assertEqual([w.open for w in gateway.workers.actors.values()], [False, True])
         self.assertLessEqual(int(asked[0].split(b"timeout_ms=")[1]), 1000)  # a lost watch is asked again soon
         news.put_nowait({"generation": 3, "reset": True, "instances": rows[5:]})
         while len(asked) < 3:
             await asyncio.sleep(0.001)
-        self.assertEqual(states(), {"s-2": Health.READY})
+        self.assertEqual(states(), {"s-2": EndpointStatus.READY})
         self.assertEqual(
             [target.split(b"&")[0].split(b"?")[1] for target in asked], [b"since=1", b"since=2", b"since=3"]
         )
@@ -681,13 +681,13 @@
 
     async def test_a_connect_time_that_ran_out_in_our_own_stall_is_no_fault_of_the_worker(self) -> None:
         gateway = await self.begin("127.0.0.1:1")
-        told, stalls = list[End](), [0.0, 300.0]
+        told, stalls = list[Outcome](), [0.0, 300.0]
 
         async def connect(*args: Any) -> Any:
             gateway.pulse.stood_ms += stalls.pop(0)
             raise TimeoutError
 
-        def ended(now: float, txn: int, submission: int, end: End, *rest: Any) -> list[Any]:
+        def ended(now: float, txn: int, submission: int, end: Outcome, *rest: Any) -> list[Any]:
             told.append(end)
             return []
 
@@ -698,7 +698,7 @@
         ):
             for _ in range(2):
                 await self.ask(Request_Timeout="50m")
-        self.assertEqual(told, [End.UNREACHED, End.NOT_SENT])
+        self.assertEqual(told, [Outcome.UNREACHABLE, Outcome.NOT_SENT])
 
 
 class Counts(GateCase):
@@ -707,9 +707,9 @@
         counter = await self.stand_in(answer)
         family = {"counter": True, "countWaitMs": 60000.0}
         gateway = await self.begin(settings=settings(familyInfo=family), counter=counter.address)
-        self.heard: list[tuple[int, End, float]] = []
+        self.heard: list[tuple[int, Outcome, float]] = []
 
-        def total(now: float, name: int, end: End, total: float, took: float) -> list[Any]:
+        def total(now: float, name: int, end: Outcome, total: float, took: float) -> list[Any]:
             self.heard.append((name, end, total))
             return []
 
@@ -720,7 +720,7 @@
         self.call = gateway.counter.call
         return counter
 
-    async def until_heard(self, count: int) -> list[tuple[int, End, float]]:
+    async def until_heard(self, count: int) -> list[tuple[int, Outcome, float]]:
         while len(self.heard) < count:
             await asyncio.sleep(0.001)
         return self.heard
@@ -732,7 +732,7 @@
         counter = await self.begin_counting(lambda head, body: answers.pop(0))
         counter.pipelined = True
         for n in range(5):
-            self.call(Add(5, -2.5 + n, 4000.0))
+            self.call(AddToCounter(5, -2.5 + n, 4000.0))
         while len(counter.came) < 5:
             await asyncio.sleep(0.001)
         self.assertEqual((self.heard, len(counter.lines)), ([], 1))
@@ -740,11 +740,11 @@
         self.assertEqual(
             await self.until_heard(5),
             [
-                (5, End.SETTLED, -1.5),
-                (5, End.SETTLED, 2.0),
-                (5, End.FULL, 0.0),
-                (5, End.TIMEOUT, 0.0),
-                (5, End.TIMEOUT, 0.0),
+                (5, Outcome.SUCCEEDED, -1.5),
+                (5, Outcome.SUCCEEDED, 2.0),
+                (5, Outcome.REJECTED, 0.0),
+                (5, Outcome.TIMED_OUT, 0.0),
+                (5, Outcome.TIMED_OUT, 0.0),
             ],
         )
         self.assertEqual(counter.came[0][0].split()[1], b"/counters/5?by=-2.5&expire_ms=4000")
@@ -758,8 +758,8 @@
         answers = [first, http(b"7.5"), http(b"8")]
         counter = await self.begin_counting(lambda head, body: answers.pop(0))
         counter.pipelined = True
-        self.call(Add(5, 1.0, 4000.0))
-        self.call(Add(5, 1.0, 4000.0))
+        self.call(AddToCounter(5, 1.0, 4000.0))
+        self.call(AddToCounter(5, 1.0, 4000.0))
         while len(counter.came) < 2:
             await asyncio.sleep(0.001)
         gateway = self.gateway.counter
@@ -767,27 +767,28 @@
         ((late, _), lane) = gateway.names[5]
         assert lane
         gateway.overdue(late, lane)
-        self.call(Add(5, 1.0, 4000.0))  # on another lane; answered first, told in its turn
+        self.call(AddToCounter(5, 1.0, 4000.0))  # on another lane; answered first, told in its turn
         while len(counter.came) < 3 or len(counter.lines) < 2:
             await asyncio.sleep(0.001)
-        self.assertEqual(self.heard, [(5, End.TIMEOUT, 0.0)])
+        self.assertEqual(self.heard, [(5, Outcome.TIMED_OUT, 0.0)])
         first.set_result(http(b"99"))
         self.assertEqual(
-            await self.until_heard(3), [(5, End.TIMEOUT, 0.0), (5, End.SETTLED, 7.5), (5, End.SETTLED, 8.0)]
+            await self.until_heard(3),
+            [(5, Outcome.TIMED_OUT, 0.0), (5, Outcome.SUCCEEDED, 7.5), (5, Outcome.SUCCEEDED, 8.0)],
         )
 
     async def test_the_counter_moves_and_calls_out_end_where_they_were_asked(self) -> None:
         """SIGHUP: the old address still answers what it has; nothing new goes there."""
         first: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         old, new = await self.begin_counting(lambda *came: first), await self.stand_in(http(b"8"))
-        self.call(Add(5, 1.0, 4000.0))
+        self.call(AddToCounter(5, 1.0, 4000.0))
         while not old.came:
             await asyncio.sleep(0.001)
         self.reload(counter=new.address)
-        self.call(Add(6, 1.0, 4000.0))
-        self.assertEqual(await self.until_heard(1), [(6, End.SETTLED, 8.0)])
+        self.call(AddToCounter(6, 1.0, 4000.0))
+        self.assertEqual(await self.until_heard(1), [(6, Outcome.SUCCEEDED, 8.0)])
         first.set_result(http(b"7"))
-        self.assertEqual((await self.until_heard(2))[1], (5, End.SETTLED, 7.0))
+        self.assertEqual((await self.until_heard(2))[1], (5, Outcome.SUCCEEDED, 7.0))
         await asyncio.wait_for(old.left.wait(), 10)
         self.assertEqual((len(old.came), len(new.came)), (1, 1))
 
@@ -797,8 +798,8 @@
             answers = [spoilt, http(b"2"), http(b"3")]
             counter = await self.begin_counting(lambda head, body: answers.pop(0))  # noqa: B023
             for name in (5, 5, 5):
-                self.call(Add(name, 1.0, 4000.0))
-            self.assertEqual(await self.until_heard(3), [(5, End.TIMEOUT, 0.0)] * 3)
+                self.call(AddToCounter(name, 1.0, 4000.0))
+            self.assertEqual(await self.until_heard(3), [(5, Outcome.TIMED_OUT, 0.0)] * 3)
             await asyncio.wait_for(counter.left.wait(), 10)
             await self.end()
 
@@ -806,22 +807,22 @@
         """Guards the books: calls written on it would be unsure. The stand-in itself keeps it open."""
         counter = await self.begin_counting(http(b"1", Connection="close"))
         for heard in (1, 2):
-            self.call(Add(5, 1.0, 4000.0))
-            self.assertEqual((await self.until_heard(heard))[-1], (5, End.SETTLED, 1.0))
+            self.call(AddToCounter(5, 1.0, 4000.0))
+            self.assertEqual((await self.until_heard(heard))[-1], (5, Outcome.SUCCEEDED, 1.0))
         self.assertEqual(len(counter.lines), 2)
 
     async def test_a_refused_connection_adds_nothing(self) -> None:
         counter = await self.begin_counting(http(b"1"))
         counter.server.close()
         await counter.server.wait_closed()
-        self.call(Add(5, 1.0, 4000.0))
-        self.assertEqual(await self.until_heard(1), [(5, End.UNREACHED, 0.0)])
+        self.call(AddToCounter(5, 1.0, 4000.0))
+        self.assertEqual(await self.until_heard(1), [(5, Outcome.UNREACHABLE, 0.0)])
 
 
 class SmallParts(unittest.TestCase):
     def test_module_time_is_unix_time_and_never_steps_back(self) -> None:
         with mock.patch("time.time", return_value=1000.0), mock.patch("time.monotonic", return_value=5.0):
-            clock = Clock()
+            clock = MonotonicClock()
         with mock.patch("time.time", return_value=1.0), mock.patch("time.monotonic", return_value=7.0):
             self.assertEqual((clock.now(), clock.loop_time(1002000.0)), (1002000.0, 7.0))
 
@@ -829,7 +830,7 @@
         """Guards workers and counter against being judged by answers that lay unread while we stood."""
         at, loop, rang = [1000.0], mock.Mock(), list[float]()
         with mock.patch("time.time", lambda: 1.0), mock.patch("time.monotonic", lambda: at[0]):
-            pulse = Pulse(Clock(), loop)
+            pulse = StallAwareClock(MonotonicClock(), loop)
             timer = pulse.at(pulse.now() + 150.0, lambda: rang.append(at[0]))
             at[0] += 0.1
             pulse.beat()
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -17,14 +17,14 @@
 from loguru import logger
 
 from drumgw.cli.__main__ import main
-from drumgw.config.host_file import House
-from drumgw.gateway.process_config import BadCharter
+from drumgw.config.host_file import HostFile
+from drumgw.gateway.process_config import ConfigError
 from drumgw.hosting.admin_api import LIST, MOST_BODY, MOST_CALLS
 from drumgw.hosting.authentication import hash_of
-from drumgw.hosting.host_process import Service
-from drumgw.hosting.http_server import Doorway
+from drumgw.hosting.host_process import HostProcess
+from drumgw.hosting.http_server import ListenerConfig
 from drumgw.hosting.openapi import document, statuses
-from drumgw.hosting.state_file import Store
+from drumgw.hosting.state_file import StateFile
 from tests.harness import StandIn, http, read_message
 from tests.test_gateway import GateCase, instance
 
@@ -65,7 +65,7 @@
         self.addCleanup(folder.cleanup)
         return folder.name
 
-    async def host(self, *tenants: dict[str, Any], state: str | None = "", **more: Any) -> Service:
+    async def host(self, *tenants: dict[str, Any], state: str | None = "", **more: Any) -> HostProcess:
         told = {
             "version": 1,
             "host": {
@@ -81,14 +81,14 @@
             ],
             "tenant": list(tenants),
         }
-        service = Service(House.model_validate_json(json.dumps(told)))
+        service = HostProcess(HostFile.model_validate_json(json.dumps(told)))
         self.service = service
         self.place, self.api = await service.open()
         self.addAsyncCleanup(self.end_host, service)
         await self.ready()
         return service
 
-    async def end_host(self, service: Service) -> None:
+    async def end_host(self, service: HostProcess) -> None:
         with mock.patch("drumgw.hosting.host_process.LINGER_MS", 0.0):
             await service.close()
 
@@ -210,7 +210,7 @@
     async def test_idle_connections_of_one_do_not_push_out_another_s(self) -> None:
         service = await self.host(await self.tenant("t1"), await self.tenant("t2"))
         front = service.front
-        front.charter = Doorway(("127.0.0.1", 0), 10, 8)  # type: ignore[assignment]
+        front.charter = ListenerConfig(("127.0.0.1", 0), 10, 8)  # type: ignore[assignment]
         quiet = await self.connect()
         ask = (
             b"GET " + TARGET.encode() + b" HTTP/1.1\r\nHost: %s.example\r\nRequest-Id: %d\r\nPlan: p\r\n"
@@ -520,7 +520,7 @@
         self.assertEqual(await self.at("t2"), (200, b"t2"))
         path = pathlib.Path(folder) / "tenants.state"
         path.write_bytes(path.read_bytes().replace(b'"drumgw state": 1', b'"drumgw state": 9'))
-        with self.assertRaisesRegex(BadCharter, "newer version"):
+        with self.assertRaisesRegex(ConfigError, "newer version"):
             await self.host(state=folder)
 
     async def test_a_folder_that_cannot_be_written_changes_nothing(self) -> None:
@@ -554,7 +554,7 @@
             go_on.set()
             await closing
             changed = (await asyncio.gather(changing, return_exceptions=True))[0]
-        kept, _ = Store(folder).load()
+        kept, _ = StateFile(folder).load()
         states = [row[3] for row in kept["tenants"]] if kept else ["active"]
         self.assertEqual(states, ["suspended"])
         self.assertEqual(changed[0] if isinstance(changed, tuple) else 200, 200)
@@ -596,7 +596,7 @@
         self.assertEqual((code, "Name taken" in text), (1, True))
         self.assertEqual((await run("replace", "t2", "-", "--part", "limits", told={"submissions": 2}))[0], 0)
         await self.ready()
-        self.assertEqual(service.hosting.seats["t2"].station.charter.terms.submissions, 2)
+        self.assertEqual(service.hosting.seats["t2"].station.charter.terms.max_attempts, 2)
         for words in (("suspend", "t2"), ("resume", "t2"), ("show", "t2", "--use"), ("show", "t2")):
             self.assertEqual((await run(*words))[0], 0, words)
         code, text = await run("remove", "t2", "--wait", "10")
--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -11,10 +11,18 @@
 from typing import Any
 
 from drumgw.hosting.admin_api import LIST
-from drumgw.hosting.authentication import OPERATOR, TENANT, Access, Token, hash_of, may, new_token
-from drumgw.hosting.resource_limits import Shares, Turns
-from drumgw.hosting.routing import Ambiguous, Route, Routes
-from drumgw.hosting.state_file import BadState, Disk, Store
+from drumgw.hosting.authentication import (
+    OPERATOR,
+    TENANT,
+    Authenticator,
+    Token,
+    hash_of,
+    is_allowed,
+    new_token,
+)
+from drumgw.hosting.resource_limits import FairShares, FairTurns
+from drumgw.hosting.routing import AmbiguousRouteError, Route, Routes
+from drumgw.hosting.state_file import Disk, StateFile, StateFileError
 from drumgw.hosting.tenant_registry import (
     ACTIVE,
     DONE,
@@ -24,8 +32,8 @@
     MOST_OPERATIONS,
     RUNNING,
     SUSPENDED,
-    Refused,
-    Registry,
+    ChangeRejected,
+    TenantRegistry,
 )
 
 
@@ -62,13 +70,13 @@
         self.assertIsNone(Routes([("a", Route("", "/x"))]).find(None, "/%78/preview"))
 
     def test_one_route_for_two_tenants_is_refused_with_both(self) -> None:
-        with self.assertRaisesRegex(Ambiguous, "any host/x is routed to a and to b"):
+        with self.assertRaisesRegex(AmbiguousRouteError, "any host/x is routed to a and to b"):
             Routes([("a", Route("", "/x")), ("a", Route("", "/x")), ("b", Route("", "/x"))])
 
 
 class Sharing(unittest.TestCase):
     def test_each_keeps_its_part_and_nobody_borrows_all(self) -> None:
-        shares = Shares(100)
+        shares = FairShares(100)
         for name, weight in (("big", 3.0), ("one", 1.0), ("two", 1.0)):
             shares.put(name, weight)
         self.assertEqual([p.own for p in shares.parts.values()], [30, 10, 10])
@@ -82,7 +90,7 @@
     def test_any_order_of_takes_gives_and_changes_adds_up(self) -> None:
         chance = random.Random(5)
         for _ in range(40):
-            shares, held, names = Shares(chance.randint(2, 60)), dict[str, int](), "abcdef"
+            shares, held, names = FairShares(chance.randint(2, 60)), dict[str, int](), "abcdef"
             for _ in range(400):
                 name, what = chance.choice(names), chance.random()
                 if what < 0.08:
@@ -102,7 +110,7 @@
                 self.assertEqual(shares.lent, sum(max(0, p.open - p.own) for p in shares.parts.values()))
 
     def test_while_the_loop_lags_who_rushes_waits_and_who_does_not_is_served(self) -> None:
-        turns, weights = Turns(), {"rush": 1.0, "calm": 1.0}
+        turns, weights = FairTurns(), {"rush": 1.0, "calm": 1.0}
         calm = sum(turns.take(now, "calm", weights) for now in range(0, 1000, 50))
         self.assertEqual(sum(turns.take(999.0, "rush", weights) for _ in range(400)), 400)  # no lag
         turns.lag_ms = 100.0
@@ -114,14 +122,14 @@
 
 
 class Registering(unittest.TestCase):
-    def refused(self, status: int, call: Any, *args: Any) -> Refused:
-        with self.assertRaises(Refused) as no:
+    def refused(self, status: int, call: Any, *args: Any) -> ChangeRejected:
+        with self.assertRaises(ChangeRejected) as no:
             call(*args)
         self.assertEqual(no.exception.status, status, no.exception)
         return no.exception
 
     def test_versions_keep_two_administrators_apart(self) -> None:
-        r = Registry()
+        r = TenantRegistry()
         tenant, change = r.create("a", spec(("a.example", "")))
         assert change
         self.assertEqual((change.what, tenant.version), ("opened", 1))
@@ -133,7 +141,7 @@
         self.refused(404, r.replace, "b", spec(), '"1"')
 
     def test_a_route_of_another_is_refused_and_nothing_changes(self) -> None:
-        r = Registry()
+        r = TenantRegistry()
         r.create("a", spec(("a.example", "")))
         no = self.refused(409, r.create, "b", spec(("b.example", ""), ("a.example", "")))
         self.assertEqual((no.pointer, list(r.tenants)), ("/route/1", ["a"]))
@@ -143,7 +151,7 @@
         self.assertEqual(r.tenants["b"].version, 2)
 
     def test_states(self) -> None:
-        r = Registry()
+        r = TenantRegistry()
         r.create("a", spec(("a.example", "")))
         for word, state in (
             ("suspend", SUSPENDED),
@@ -163,7 +171,7 @@
         self.refused(412, r.mark, "a", "resume", version)
 
     def test_a_name_is_free_at_once_and_what_was_there_is_not_mixed_up(self) -> None:
-        r = Registry()
+        r = TenantRegistry()
         old, _ = r.create("a", spec(("a.example", "")), "key-1")
         gone, change = r.mark("a", "remove", '"1"')
         self.assertEqual((change.what, r.routes.find("a.example", "/")), ("removed", None))
@@ -175,7 +183,7 @@
         self.assertEqual((r.operation(gone.operation or "").state, r.tenants["a"].state), (DONE, ACTIVE))
 
     def test_repeats_of_a_create_act_once(self) -> None:
-        r = Registry()
+        r = TenantRegistry()
         first, _ = r.create("a", spec(("a.example", "")), "k")
         again, change = r.create("a", spec(("a.example", "")), "k")
         self.assertIs(again, first)
@@ -185,7 +193,7 @@
         self.refused(409, r.create, "a", spec(("a.example", "")))
 
     def test_pages(self) -> None:
-        r = Registry()
+        r = TenantRegistry()
         for n in range(7):
             r.create(f"t{n}", spec((f"h{n}", "")))
         found, after = r.page("", 3)
@@ -195,7 +203,7 @@
         self.assertEqual([t.name for t in r.page("", 9, "t4")[0]], ["t4"])
 
     def test_thousands_come_and_go_and_no_table_grows(self) -> None:
-        r = Registry()
+        r = TenantRegistry()
         for n in range(3000):
             tenant, _ = r.create("t", spec(("h", "")), f"key-{n}")
             r.mark("t", "drain", f'"{tenant.version}"')
@@ -205,14 +213,14 @@
         self.assertEqual((len(r.keys), len(r.operations)), (MOST_KEYS, MOST_OPERATIONS))
 
     def test_what_is_kept_comes_back_and_a_copy_is_apart(self) -> None:
-        r = Registry()
+        r = TenantRegistry()
         r.create("a", spec(("a.example", "")), "k")
         b, _ = r.create("b", spec(("b.example", "")))
         r.mark("b", "drain", f'"{b.version}"')
         copy = r.copy()
         copy.mark("a", "suspend", '"1"')
         self.assertEqual((r.tenants["a"].state, copy.tenants["a"].state), (ACTIVE, SUSPENDED))
-        back = Registry.of(json.loads(json.dumps(r.kept())))
+        back = TenantRegistry.of(json.loads(json.dumps(r.kept())))
         self.assertEqual([(t.name, t.state) for t in back.tenants.values()], [("a", ACTIVE), ("b", DRAINED)])
         self.assertEqual(back.routes.find("b.example", "/p"), ("b", "/p"))
         self.assertEqual(back.create("a", spec(("a.example", "")), "k")[1], None)
@@ -223,7 +231,7 @@
     def test_a_token_is_known_by_its_hash(self) -> None:
         text, digest = new_token()
         one, other = Token("one", OPERATOR, None, digest), Token("two", TENANT, "a", hash_of("x"))
-        access = Access((one, other))
+        access = Authenticator((one, other))
         for header, who in (
             (f"Bearer {text}", one),
             ("bearer x", other),
@@ -242,9 +250,9 @@
         operator, tenant = Token("o", OPERATOR, None, ""), Token("t", TENANT, "a", "")
         for action, _ in LIST:
             with self.subTest(action.name):
-                self.assertTrue(may(operator, action.name, "a"))
-                self.assertEqual(may(tenant, action.name, "a"), action.name in own)
-                self.assertFalse(may(tenant, action.name, "b"))
+                self.assertTrue(is_allowed(operator, action.name, "a"))
+                self.assertEqual(is_allowed(tenant, action.name, "a"), action.name in own)
+                self.assertFalse(is_allowed(tenant, action.name, "b"))
 
 
 class Dying(Disk):
@@ -292,16 +300,16 @@
     def test_killed_at_every_point_of_a_write(self) -> None:
         """Whatever was kept last, or what was being written, is read; never anything else."""
         chance, kept = random.Random(3), 0
-        Store(self.folder).save({"n": 0})
+        StateFile(self.folder).save({"n": 0})
         for n in range(1, 2000):
             at = chance.randrange(7)
             try:
                 told = {"n": n, "text": "x" * chance.randrange(99)}
-                Store(self.folder, Dying(at, chance.random())).save(told)
+                StateFile(self.folder, Dying(at, chance.random())).save(told)
                 kept = n
             except KeyboardInterrupt:
                 pass
-            content, said = Store(self.folder).load()
+            content, said = StateFile(self.folder).load()
             self.assertIsNone(said)
             self.assertIn(content["n"], (kept, n))
             kept = content["n"]
@@ -309,7 +317,7 @@
         self.assertLessEqual(len(os.listdir(self.folder)), 4)
 
     def test_a_damaged_file_gives_way_to_the_last_good_one(self) -> None:
-        store = Store(self.folder)
+        store = StateFile(self.folder)
         self.assertEqual(store.load(), (None, None))
         store.save({"n": 1})
         store.save({"n": 2})
@@ -320,13 +328,13 @@
             self.assertEqual(content, {"n": 1})
             self.assertIn("the last good state stands", said or "")
         store.last.unlink()
-        with self.assertRaisesRegex(BadState, "no state file"):
+        with self.assertRaisesRegex(StateFileError, "no state file"):
             store.load()
 
     def test_a_file_of_a_newer_version_is_refused_in_one_line(self) -> None:
-        store = Store(self.folder)
+        store = StateFile(self.folder)
         store.save({"n": 1})
         store.save({"n": 2})
         store.path.write_bytes(store.path.read_bytes().replace(b'"drumgw state": 1', b'"drumgw state": 2'))
-        with self.assertRaisesRegex(BadState, "newer version, 2$"):
+        with self.assertRaisesRegex(StateFileError, "newer version, 2$"):
             store.load()
--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -8,11 +8,21 @@
 from typing import Any
 
 from drumgw.config.quota_bounds import bound, said
-from drumgw.config.sections import Plan
-from drumgw.model.actions import Add, Decline, Submit
-from drumgw.model.events import Answer, Due, End, Entry, Event, Health, Listed, Total, Txn
-from drumgw.model.settings import Plan as PlanSettings
-from drumgw.policy.engine import COUNT_MS, IDLE_MS, Call, Gatekeeper
+from drumgw.config.sections import PlanSection
+from drumgw.model.actions import AddToCounter, ForwardRequest, RejectRequest
+from drumgw.model.events import (
+    AttemptEnded,
+    CounterReplied,
+    EndpointInfo,
+    EndpointStatus,
+    EndpointsUpdated,
+    Event,
+    Outcome,
+    RequestReceived,
+    TimerFired,
+)
+from drumgw.model.settings import Plan
+from drumgw.policy.engine import COUNT_MS, IDLE_MS, CounterCall, PolicyEngine
 from drumgw.stable_hash import stable_hash
 from drumgw.testbed.metrics import sent_while_lost
 from tests.harness import INQUIRY, ONCE, terms
@@ -24,7 +34,7 @@
 class Fleet:
     """One customer's gatekeepers, and a counter that is lost, split or replaced; all in random order."""
 
-    def __init__(self, plan: Plan, gates: int, seed: int, kind: type[Gatekeeper]) -> None:
+    def __init__(self, plan: PlanSection, gates: int, seed: int, kind: type[PolicyEngine]) -> None:
         self.plan, self.number, self.kind = plan, gates, kind
         self.chance, self.now, self.ids = random.Random(seed), 100_000.0, 0
         self.stores: list[dict[int, float]] = [{}]  # name: total; one for each part of a split counter
@@ -38,13 +48,15 @@
         self.skews = [0.0] * gates  # of their clocks
         self.unsure = self.garbage = self.dies = 0.0  # shares: calls without a total, totals of noise; odds
         self.declined = 0
-        self.calls: list[tuple[int, Add, dict[int, float]]] = []  # not answered yet, and where they went
+        self.calls: list[
+            tuple[int, AddToCounter, dict[int, float]]
+        ] = []  # not answered yet, and where they went
         self.out: list[tuple[int, int, int, bool]] = []  # submissions: gate, txn, worker, first
         self.units: dict[tuple[int, int], float] = {}
         self.gates = [self.new(g) for g in range(gates)]
 
-    def new(self, gate: int) -> Gatekeeper:
-        p = PlanSettings(
+    def new(self, gate: int) -> PolicyEngine:
+        p = Plan(
             self.plan.units_per_s,
             self.plan.burst_units,
             0,
@@ -61,20 +73,20 @@
             ),
         )
         keeper.start(self.now + self.skews[gate])
-        rows = tuple(Entry(w, 0, 0, "std", Health.READY, None, 1.0) for w in range(4))
-        keeper.handle(self.now + self.skews[gate], Listed(True, rows))
+        rows = tuple(EndpointInfo(w, 0, 0, "std", EndpointStatus.READY, None, 1.0) for w in range(4))
+        keeper.handle(self.now + self.skews[gate], EndpointsUpdated(True, rows))
         return keeper
 
     def tell(self, gate: int, event: Event) -> None:
         for a in self.gates[gate].handle(self.now + self.skews[gate], event):
-            if isinstance(a, Add):
+            if isinstance(a, AddToCounter):
                 self.calls.append((gate, a, self.stores[gate % len(self.stores)]))
-            elif isinstance(a, Submit):
-                first = (gate, a.txn) in self.units
+            elif isinstance(a, ForwardRequest):
+                first = (gate, a.request_id) in self.units
                 if first:
-                    self.take(self.units.pop((gate, a.txn)))
-                self.out.append((gate, a.txn, a.worker, first))
-            elif isinstance(a, Decline):
+                    self.take(self.units.pop((gate, a.request_id)))
+                self.out.append((gate, a.request_id, a.endpoint_id, first))
+            elif isinstance(a, RejectRequest):
                 self.declined += 1
 
     def take(self, units: float) -> None:
@@ -94,13 +106,21 @@
             self.ask(gate)
         elif what < 0.70 and self.out:
             of, txn, worker, _ = self.out.pop(self.chance.randrange(len(self.out)))
-            end = self.chance.choice((End.SETTLED, End.SETTLED, End.ERROR, End.FULL, End.BROKEN))
-            self.tell(of, Answer(txn, 0, worker, end, 20.0, end is End.SETTLED, 0.0, {}))
+            end = self.chance.choice(
+                (
+                    Outcome.SUCCEEDED,
+                    Outcome.SUCCEEDED,
+                    Outcome.FAILED,
+                    Outcome.REJECTED,
+                    Outcome.BROKEN_RESPONSE,
+                )
+            )
+            self.tell(of, AttemptEnded(txn, 0, worker, end, 20.0, end is Outcome.SUCCEEDED, 0.0, {}))
         elif what < 0.93 and self.calls:
             self.answer(*self.calls.pop(0))
         elif what < 0.99:
             for each in range(self.number):
-                self.tell(each, Due(0))
+                self.tell(each, TimerFired(0))
         elif self.lost_at is not None or self.chance.random() < self.dies:
             self.restart(gate)
 
@@ -109,22 +129,25 @@
         units = float(self.chance.randint(1, TOP))
         self.units[gate, self.ids] = units
         left = self.chance.choice((400.0, 1200.0, 5000.0))
-        self.tell(gate, Txn(self.ids, left, 0, 1, self.chance.randrange(2), units, False, self.number, 0))
+        self.tell(
+            gate,
+            RequestReceived(self.ids, left, 0, 1, self.chance.randrange(2), units, False, self.number, 0),
+        )
 
-    def answer(self, gate: int, call: Add, store: dict[int, float]) -> None:
+    def answer(self, gate: int, call: AddToCounter, store: dict[int, float]) -> None:
         if self.lost_at is not None:
-            end = self.chance.choice((End.TIMEOUT, End.FULL, End.UNREACHED))
-            self.tell(gate, Total(call.name, end, 0.0, 50.0))
+            end = self.chance.choice((Outcome.TIMED_OUT, Outcome.REJECTED, Outcome.UNREACHABLE))
+            self.tell(gate, CounterReplied(call.counter_key, end, 0.0, 50.0))
             return
         if self.chance.random() < self.unsure:  # added, or never
             if self.chance.random() < 0.5:
-                store[call.name] = store.get(call.name, 0.0) + call.amount
-            self.tell(gate, Total(call.name, End.TIMEOUT, 0.0, 50.0))
+                store[call.counter_key] = store.get(call.counter_key, 0.0) + call.amount
+            self.tell(gate, CounterReplied(call.counter_key, Outcome.TIMED_OUT, 0.0, 50.0))
             return
-        store[call.name] = total = round(store.get(call.name, 0.0) + call.amount, 2)
+        store[call.counter_key] = total = round(store.get(call.counter_key, 0.0) + call.amount, 2)
         if self.chance.random() < self.garbage:
             total = self.chance.choice((1e30, -1e30, 1e9, -1e9, 0.0, 3.7))
-        self.tell(gate, Total(call.name, End.SETTLED, total, 3.0))
+        self.tell(gate, CounterReplied(call.counter_key, Outcome.SUCCEEDED, total, 3.0))
 
     def restart(self, gate: int) -> None:
         self.restarts[gate] += 1
@@ -162,8 +185,8 @@
         return self.sent / b.sent
 
 
-def plan(**figures: Any) -> Plan:
-    return Plan(**{"name": "p", "units_per_s": 2.0, "burst_units": 12.0, **figures})
+def plan(**figures: Any) -> PlanSection:
+    return PlanSection(**{"name": "p", "units_per_s": 2.0, "burst_units": 12.0, **figures})
 
 
 PLANS = (
@@ -175,7 +198,7 @@
 
 
 class Interleaved(unittest.TestCase):
-    def worst(self, kind: type[Gatekeeper] = Gatekeeper) -> float:
+    def worst(self, kind: type[PolicyEngine] = PolicyEngine) -> float:
         worst = 0.0
         for seed in range(48):
             fleet = Fleet(PLANS[seed % len(PLANS)], 1 + seed % 6, seed, kind)
@@ -199,7 +222,7 @@
 class Replaced(unittest.TestCase):
     """The counter answers throughout, and is split, emptied and replaced, again and again."""
 
-    def worst(self, kind: type[Gatekeeper] = Gatekeeper) -> float:
+    def worst(self, kind: type[PolicyEngine] = PolicyEngine) -> float:
         worst = 0.0
         for seed in range(48):
             fleet = Fleet(PLANS[seed % len(PLANS)], 1 + seed % 6, seed, kind)
@@ -228,7 +251,7 @@
         """A quarter of the rate, from random gatekeepers: whatever the counter forgets, splits or adds up."""
         for seed in range(24):
             p = plan(units_per_s=20.0, burst_units=60.0)
-            fleet = Fleet(p, 1 + seed % 6, seed, Gatekeeper)
+            fleet = Fleet(p, 1 + seed % 6, seed, PolicyEngine)
             for _ in range(400):
                 fleet.now += 100.0 * fleet.chance.expovariate(1.0) * TOP
                 fleet.ask(fleet.chance.randrange(fleet.number))
@@ -236,14 +259,14 @@
                     fleet.answer(*fleet.calls.pop(0))
                 while fleet.out:
                     of, txn, _, _ = fleet.out.pop()
-                    fleet.tell(of, Answer(txn, 0, 0, End.SETTLED, 20.0, True, 0.0, {}))
+                    fleet.tell(of, AttemptEnded(txn, 0, 0, Outcome.SUCCEEDED, 20.0, True, 0.0, {}))
                 if fleet.chance.random() < 0.1:
                     fleet.trouble()
             with self.subTest(seed):
                 self.assertLessEqual(fleet.true_level(), 60.0)
                 self.assertEqual((fleet.declined, fleet.swaps > 10), (0, True))
 
-    def put_back(self, kind: type[Gatekeeper], gates: int, seed: int) -> tuple[float, float]:
+    def put_back(self, kind: type[PolicyEngine], gates: int, seed: int) -> tuple[float, float]:
         """The counter's level and the store's, once it came back empty and each gatekeeper met it."""
         fleet = Fleet(plan(units_per_s=2.0, burst_units=600.0), gates, seed, kind)
         for _ in range(200):
@@ -263,17 +286,17 @@
     def test_what_gatekeepers_know_is_put_back_once(self) -> None:
         for gates in (1, 2, 4, 8):
             for seed in range(6):
-                level, true = self.put_back(Gatekeeper, gates, seed)
+                level, true = self.put_back(PolicyEngine, gates, seed)
                 with self.subTest(gates=gates, seed=seed):
                     self.assertGreater(true, 100.0)
                     self.assertTrue(0.4 * true < level < 1.1 * true, (level, true))
                     self.assertLess(self.put_back(Believer, gates, seed)[0], 0.3 * true)
 
 
-class Believer(Gatekeeper):
+class Believer(PolicyEngine):
     """Takes every total for what was sent."""
 
-    def read(self, call: Call, total: float) -> float:
+    def read(self, call: CounterCall, total: float) -> float:
         call.held.account.sure = call.held.account.here = 0.0
         return super().read(call, total)
 
