--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -5,9 +5,24 @@
 import unittest
 from collections.abc import Callable
 
-from drumgw.gateway.request_lifecycle import Core, Effect, Fault, Reply, Send, Stop
-from drumgw.model.actions import Action, Cancel, Decline, Submit, Void, Wake
-from drumgw.model.events import Answer, Due, End, Event, Left, Listed, Txn
+from drumgw.gateway.request_lifecycle import (
+    AbortAttempt,
+    Command,
+    ReportFault,
+    RequestLifecycle,
+    SendResponse,
+    StartAttempt,
+)
+from drumgw.model.actions import Action, CancelAttempt, FailRequest, ForwardRequest, RejectRequest, SetTimer
+from drumgw.model.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointsUpdated,
+    Event,
+    Outcome,
+    RequestReceived,
+    TimerFired,
+)
 from tests.harness import terms
 
 Answers = Callable[[Event], list[Action]]
@@ -20,7 +35,7 @@
         self.answers, self.told = answers, list[Event]()
 
     def start(self, _now: float) -> list[Action]:
-        return [Wake(100.0, 0)]
+        return [SetTimer(100.0, 0)]
 
     def handle(self, now: float, event: Event) -> list[Action]:
         self.told.append(event)
@@ -29,82 +44,92 @@
 
 def submits(event: Event) -> list[Action]:
     """Submits each txn to worker 5 until its expiry, and voids it when that submission ends unsettled."""
-    if isinstance(event, Txn):
-        return [Submit(event.txn, 5, 0.0)]
-    if isinstance(event, Answer) and not event.final:
-        return [Void(event.txn)]
+    if isinstance(event, RequestReceived):
+        return [ForwardRequest(event.request_id, 5, 0.0)]
+    if isinstance(event, AttemptEnded) and not event.is_final:
+        return [FailRequest(event.request_id)]
     return []
 
 
 class CoreCase(unittest.TestCase):
     def begin(self, answers: Answers = submits) -> None:
         self.script = Script(answers)
-        self.core = Core(self.script, terms())
-        self.core.start(0.0, Listed(True, ()))
+        self.core = RequestLifecycle(self.script, terms())
+        self.core.start(0.0, EndpointsUpdated(True, ()))
 
-    def arrive(self) -> list[Effect]:
-        return self.core.arrive(10.0, Txn(0, 500.0, 0, 1, 0, 2.0, False, 2, 0))[1]
+    def arrive(self) -> list[Command]:
+        return self.core.arrive(10.0, RequestReceived(0, 500.0, 0, 1, 0, 2.0, False, 2, 0))[1]
 
-    def ended(self, end: End, at: float = 60.0, submission: int = 0) -> list[Effect]:
-        return self.core.ended(at, 1, submission, end, 3.0, {}, b"ok" if end is End.SETTLED else None)
+    def ended(self, end: Outcome, at: float = 60.0, submission: int = 0) -> list[Command]:
+        return self.core.ended(at, 1, submission, end, 3.0, {}, b"ok" if end is Outcome.SUCCEEDED else None)
 
-    def told(self) -> list[tuple[End, float, bool, float]]:
-        return [(e.end, e.took_ms, e.final, e.units) for e in self.script.told if isinstance(e, Answer)]
+    def told(self) -> list[tuple[Outcome, float, bool, float]]:
+        return [
+            (e.outcome, e.duration_ms, e.is_final, e.billed_units)
+            for e in self.script.told
+            if isinstance(e, AttemptEnded)
+        ]
 
     def test_the_first_settled_submission_ends_its_txn(self) -> None:
         self.begin()
-        self.assertIn(Send(1, 0, 5, 510.0), self.arrive())
-        self.assertEqual(self.ended(End.SETTLED), [Reply(1, 200, 0.0, b"ok")])
-        self.assertEqual(self.told(), [(End.SETTLED, 50.0, True, 3.0)])
-        self.assertEqual((self.ended(End.SETTLED), self.core.hand), ([], {}))
+        self.assertIn(StartAttempt(1, 0, 5, 510.0), self.arrive())
+        self.assertEqual(self.ended(Outcome.SUCCEEDED), [SendResponse(1, 200, 0.0, b"ok")])
+        self.assertEqual(self.told(), [(Outcome.SUCCEEDED, 50.0, True, 3.0)])
+        self.assertEqual((self.ended(Outcome.SUCCEEDED), self.core.hand), ([], {}))
 
     def test_expiry_stops_what_is_out_and_keeps_the_answer(self) -> None:
         """Guards against a lost txn: the answer to the time-out was dropped where the core told twice."""
         self.begin()
         self.arrive()
-        self.assertEqual(self.core.alarm(510.0, 1, -1), [Stop(1, 0), Reply(1, 500, 0.0, None)])
-        self.assertEqual(self.told(), [(End.TIMEOUT, 500.0, False, 0.0)])
+        self.assertEqual(self.core.alarm(510.0, 1, -1), [AbortAttempt(1, 0), SendResponse(1, 500, 0.0, None)])
+        self.assertEqual(self.told(), [(Outcome.TIMED_OUT, 500.0, False, 0.0)])
         self.assertEqual((self.core.alarm(511.0, 1, -1), self.core.hand), ([], {}))
 
     def test_a_txn_the_module_forgot_ends_at_its_expiry(self) -> None:
         self.begin(lambda event: [])
         self.arrive()
-        self.assertEqual(self.core.alarm(510.0, 1, -1), [Reply(1, 503, 0.0, None)])
-        self.assertIsInstance(self.script.told[-1], Left)
+        self.assertEqual(self.core.alarm(510.0, 1, -1), [SendResponse(1, 503, 0.0, None)])
+        self.assertIsInstance(self.script.told[-1], ClientDisconnected)
 
     def test_a_cancelled_submission_is_told_once_and_the_next_may_go(self) -> None:
         def answers(event: Event) -> list[Action]:
-            if isinstance(event, Due):
-                return [Cancel(1, 0)]
-            return [Submit(1, 6, 0.0)] if isinstance(event, Answer) else submits(event)
+            if isinstance(event, TimerFired):
+                return [CancelAttempt(1, 0)]
+            return [ForwardRequest(1, 6, 0.0)] if isinstance(event, AttemptEnded) else submits(event)
 
         self.begin(answers)
         self.arrive()
-        self.assertEqual(self.core.due(100.0, 0), [Stop(1, 0), Send(1, 1, 6, 510.0)])
-        self.assertEqual(self.ended(End.SETTLED, submission=0), [])
-        self.assertEqual(self.told(), [(End.CANCELLED, 90.0, False, 0.0)])
+        self.assertEqual(self.core.due(100.0, 0), [AbortAttempt(1, 0), StartAttempt(1, 1, 6, 510.0)])
+        self.assertEqual(self.ended(Outcome.SUCCEEDED, submission=0), [])
+        self.assertEqual(self.told(), [(Outcome.CANCELLED, 90.0, False, 0.0)])
 
     def test_no_more_submissions_than_allowed_nor_past_the_expiry(self) -> None:
         def answers(event: Event) -> list[Action]:
-            if isinstance(event, Txn) or isinstance(event, Answer) and event.end is End.UNREACHED:
-                return [Submit(event.txn, 5, 0.0)]
-            return [Decline(event.txn, 9.0)] if isinstance(event, Answer) else []
+            if (
+                isinstance(event, RequestReceived)
+                or isinstance(event, AttemptEnded)
+                and event.outcome is Outcome.UNREACHABLE
+            ):
+                return [ForwardRequest(event.request_id, 5, 0.0)]
+            return [RejectRequest(event.request_id, 9.0)] if isinstance(event, AttemptEnded) else []
 
         self.begin(answers)
         self.arrive()
         for n in range(2):
-            self.assertEqual(self.ended(End.UNREACHED, submission=n), [Send(1, n + 1, 5, 510.0)])
-        self.assertEqual(self.ended(End.UNREACHED, submission=2), [Reply(1, 503, 9.0, None)])
-        self.assertEqual(self.told()[-1], (End.NOT_SENT, 0.0, False, 0.0))
+            self.assertEqual(
+                self.ended(Outcome.UNREACHABLE, submission=n), [StartAttempt(1, n + 1, 5, 510.0)]
+            )
+        self.assertEqual(self.ended(Outcome.UNREACHABLE, submission=2), [SendResponse(1, 503, 9.0, None)])
+        self.assertEqual(self.told()[-1], (Outcome.NOT_SENT, 0.0, False, 0.0))
 
     def test_a_client_that_left_is_owed_nothing(self) -> None:
         def answers(event: Event) -> list[Action]:
-            return [Cancel(1, 0)] if isinstance(event, Left) else submits(event)
+            return [CancelAttempt(1, 0)] if isinstance(event, ClientDisconnected) else submits(event)
 
         self.begin(answers)
         self.arrive()
-        self.assertEqual(self.core.left(60.0, 1), [Stop(1, 0)])
-        self.assertEqual((self.told(), self.core.hand), ([(End.CANCELLED, 50.0, True, 0.0)], {}))
+        self.assertEqual(self.core.left(60.0, 1), [AbortAttempt(1, 0)])
+        self.assertEqual((self.told(), self.core.hand), ([(Outcome.CANCELLED, 50.0, True, 0.0)], {}))
 
     def test_a_fault_of_the_module_answers_its_txn_and_keeps_the_tick(self) -> None:
         """503 promises that trying again is harmless: not once a submission may have run."""
@@ -116,34 +141,36 @@
 
         kind: type
         for kind, status, last in (
-            (Txn, 503, None),
-            (Answer, 500, End.ERROR),
-            (Answer, 503, End.FULL),
+            (RequestReceived, 503, None),
+            (AttemptEnded, 500, Outcome.FAILED),
+            (AttemptEnded, 503, Outcome.REJECTED),
         ):
             with self.subTest(kind=kind, status=status):
                 self.begin(fails)
                 effects = self.arrive()
                 if last:
                     effects = self.ended(last)
-                self.assertIn(Reply(1, status, 0.0, None), effects)
+                self.assertIn(SendResponse(1, status, 0.0, None), effects)
                 self.assertEqual(self.core.hand, {})
-        kind = Due
+        kind = TimerFired
         self.begin(fails)
         effects = self.core.due(100.0, 0)
-        self.assertIsInstance(effects[0], Fault)
-        self.assertEqual(effects[1:], [Wake(100.0, 0)])
+        self.assertIsInstance(effects[0], ReportFault)
+        self.assertEqual(effects[1:], [SetTimer(100.0, 0)])
 
     def test_the_time_our_own_loop_stood_is_no_submissions(self) -> None:
         self.begin()
         self.arrive()
         self.core.stood = 30.0
-        self.ended(End.SETTLED)
-        self.assertEqual(self.told(), [(End.SETTLED, 20.0, True, 3.0)])
-        effects = self.core.arrive(600.0, Txn(0, 500.0, 0, 1, 0, 2.0, False, 2, 0), 450.0)[1]
-        self.assertIn(Send(2, 0, 5, 650.0), effects)  # it may have waited unread through all of the stall
+        self.ended(Outcome.SUCCEEDED)
+        self.assertEqual(self.told(), [(Outcome.SUCCEEDED, 20.0, True, 3.0)])
+        effects = self.core.arrive(600.0, RequestReceived(0, 500.0, 0, 1, 0, 2.0, False, 2, 0), 450.0)[1]
+        self.assertIn(
+            StartAttempt(2, 0, 5, 650.0), effects
+        )  # it may have waited unread through all of the stall
 
     def test_an_adapter_that_failed_has_its_txn_answered(self) -> None:
         self.begin()
         self.arrive()
-        self.assertEqual(self.core.abandon(20.0, 1), [Reply(1, 500, 0.0, None), Stop(1, 0)])
-        self.assertEqual(self.told(), [(End.CANCELLED, 10.0, True, 0.0)])
+        self.assertEqual(self.core.abandon(20.0, 1), [SendResponse(1, 500, 0.0, None), AbortAttempt(1, 0)])
+        self.assertEqual(self.told(), [(Outcome.CANCELLED, 10.0, True, 0.0)])
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -9,18 +9,18 @@
 import unittest
 from typing import Any
 
-from drumgw.testbed.clients import Clients, Try
+from drumgw.testbed.clients import ClientAttempt, ClientPopulation
 from drumgw.testbed.clocks import VirtualClock
-from drumgw.testbed.counter import Counter
-from drumgw.testbed.endpoint import Says, Ticket, Worker
-from drumgw.testbed.endpoint_registry import KEPT, Registry
-from drumgw.testbed.environment import TROUBLES, World
-from drumgw.testbed.event_log import Record
+from drumgw.testbed.counter import EmulatedCounter
+from drumgw.testbed.endpoint import EmulatedEndpoint, ReceivedAttempt, Says
+from drumgw.testbed.endpoint_registry import KEPT, EmulatedDiscovery
+from drumgw.testbed.environment import FAULTS, Environment
+from drumgw.testbed.event_log import EventLog
 from drumgw.testbed.metrics import figures
-from drumgw.testbed.oracle import judge
-from drumgw.testbed.scenario import NEEDS, CounterKind, Day, Discovery
-from drumgw.testbed.virtual_runner import Virtual
-from drumgw.testbed.workload import Book
+from drumgw.testbed.oracle import find_violations
+from drumgw.testbed.scenario import NEEDS, CounterSection, DiscoverySection, Scenario
+from drumgw.testbed.virtual_runner import VirtualRunner
+from drumgw.testbed.workload import Workload
 from tests import scenarios
 from tests.scenarios import day, play
 
@@ -63,9 +63,9 @@
 
 class Troubles(unittest.TestCase):
     def test_every_trouble_is_played_and_no_rule_breaks(self) -> None:
-        self.assertEqual(set(STRIKES), set(TROUBLES) & set(NEEDS))
+        self.assertEqual(set(STRIKES), set(FAULTS) & set(NEEDS))
         calm = {s: self.outcome(play(day(seconds=s, use=use))[0]) for s, use in ((3, 0.4), (4, 2.0))}
-        for kind in TROUBLES:
+        for kind in FAULTS:
             seconds, use = (4, 2.0) if kind.startswith("counter") else (3, 0.4)  # missed at the quotas
             with self.subTest(kind):
                 of = day(strike(kind), seconds=seconds, use=use)
@@ -77,7 +77,7 @@
                 if kind not in QUIET:
                     self.assertTrue(self.outcome(record) != calm[seconds], "it changes nothing")
 
-    def outcome(self, record: Record) -> list[Any]:
+    def outcome(self, record: EventLog) -> list[Any]:
         return [
             {**row, "t": 0} for row in record.rows if row["what"] in ("asked", "answered", "ended", "told")
         ]
@@ -116,7 +116,7 @@
 
 
 class Judged(unittest.TestCase):
-    def rules(self, of: Day, **broken: Any) -> set[str]:
+    def rules(self, of: Scenario, **broken: Any) -> set[str]:
         """What the broken one breaks; an honest one keeps the rules on the same day."""
         self.assertEqual(play(of)[1], [])
         _, breaches = play(of, **broken)
@@ -169,10 +169,10 @@
 
     def case(self, *rows: Any) -> list[str]:
         """Breaches of a hand-written record: (time, what, fields)."""
-        record = Record({"clock": "virtual"})
+        record = EventLog({"clock": "virtual"})
         for t, what, fields in rows:
             record.add(t, what, **fields)
-        return [f"{b.rule}: {b.what}" for b in judge(record, day())]
+        return [f"{b.rule}: {b.what}" for b in find_violations(record, day())]
 
     def asked(self, product: str = "sold-copy") -> tuple[float, str, dict[str, Any]]:
         return (
@@ -249,19 +249,25 @@
 
 class StandIns(unittest.TestCase):
     def setUp(self) -> None:
-        self.clock, self.record = VirtualClock(1000.0), Record({})
+        self.clock, self.record = VirtualClock(1000.0), EventLog({})
         self.day = day()
-        self.world = World(self.day, 1, self.clock, self.record)
+        self.world = Environment(self.day, 1, self.clock, self.record)
         self.said: list[tuple[float, int, Says]] = []
 
-    def ticket(self, number: int, worker: Worker, product: int = 0, work: float = 100.0) -> Ticket:
+    def ticket(
+        self, number: int, worker: EmulatedEndpoint, product: int = 0, work: float = 100.0
+    ) -> ReceivedAttempt:
         arrival = next(a for a in self.world.book.arrivals() if a.product is self.day.product[product])
-        from drumgw.testbed.clients import Order
+        from drumgw.testbed.clients import ClientRequest
 
-        one = Try(
-            f"t{number}", Order(arrival._replace(work_ms=work), self.clock.now()), 0, 900.0, self.clock.now()
+        one = ClientAttempt(
+            f"t{number}",
+            ClientRequest(arrival._replace(work_ms=work), self.clock.now()),
+            0,
+            900.0,
+            self.clock.now(),
         )
-        ticket = Ticket(
+        ticket = ReceivedAttempt(
             number,
             one.name,
             one,
@@ -271,7 +277,7 @@
         worker.come(ticket)
         return ticket
 
-    def worker(self, born: float | None = None, **kind: Any) -> Worker:
+    def worker(self, born: float | None = None, **kind: Any) -> EmulatedEndpoint:
         worker = self.world.workers["w0"]
         worker.kind, worker.speed, worker.born = worker.kind.model_copy(update=kind), 1.0, born
         return worker
@@ -325,11 +331,11 @@
         self.clock.run(1500.0)
         self.assertEqual((self.said, w.running, len(w.queue)), ([], {}, 0))
 
-    def count(self, **kind: Any) -> Counter:
+    def count(self, **kind: Any) -> EmulatedCounter:
         self.totals: list[Any] = []
-        return Counter(CounterKind(**kind), self.clock)
+        return EmulatedCounter(CounterSection(**kind), self.clock)
 
-    def call(self, c: Counter, name: str, amount: float, gate: int = 0, lives: float = 9e9) -> Any:
+    def call(self, c: EmulatedCounter, name: str, amount: float, gate: int = 0, lives: float = 9e9) -> Any:
         c.call(gate, name, amount, lives, lambda says, total: self.totals.append((says, total)))
         self.clock.run(self.clock.now() + 50.0)
         return self.totals[-1] if self.totals else None
@@ -368,7 +374,9 @@
         )
 
     def test_the_list_comes_late_by_gatekeeper_and_whole_to_who_is_far_behind(self) -> None:
-        r = Registry(Discovery(delay_ms=100.0, spread_ms=0.0), 2, self.clock, self.record, self.world.chance)
+        r = EmulatedDiscovery(
+            DiscoverySection(delay_ms=100.0, spread_ms=0.0), 2, self.clock, self.record, self.world.chance
+        )
         r.put("w0", "a", 0, None)
         known = r.first()
         self.assertIsNone(r.news(0, known["generation"]))
@@ -392,7 +400,7 @@
 class Asked(unittest.TestCase):
     def test_arrivals_wait_for_no_answer_and_follow_the_load(self) -> None:
         of = day('kind = "rush"; at_s = 1; size = 4; for_s = 1')
-        times = [a.at_ms for a in Book(of, 3).arrivals()]
+        times = [a.at_ms for a in Workload(of, 3).arrivals()]
         self.assertEqual(times, sorted(times))
         thirds = [sum(n * 1000 <= t < n * 1000 + 1000 for t in times) for n in range(3)]
         self.assertGreater(thirds[1], 2 * max(thirds[0], thirds[2]))
@@ -407,12 +415,12 @@
     def test_clients_try_again_only_where_that_is_harmless(self) -> None:
         class Port:
             def __init__(self) -> None:
-                self.sent: list[Try] = []
+                self.sent: list[ClientAttempt] = []
 
-            def send(self, one: Try) -> None:
+            def send(self, one: ClientAttempt) -> None:
                 self.sent.append(one)
 
-            def leave(self, one: Try) -> None: ...
+            def leave(self, one: ClientAttempt) -> None: ...
 
         for product, status, tries in (
             ("preview", 500, 2),
@@ -422,7 +430,7 @@
             ("booking", 500, 1),
         ):
             clock, of = VirtualClock(0.0), day()
-            clients, port = Clients(of, Book(of, 1), clock, Record({})), Port()
+            clients, port = ClientPopulation(of, Workload(of, 1), clock, EventLog({})), Port()
             clients.gates = port
             arrival = next(a for a in clients.book.arrivals() if a.product.name == product)
             clients.arrive(arrival._replace(at_ms=0.0))
@@ -434,7 +442,7 @@
     def test_a_lab_that_falls_behind_says_so(self) -> None:
         """Guards figures: what the lab sent late must not pass for the gatekeepers' loss."""
         of = day()
-        record = Virtual(of, 1).run()
+        record = VirtualRunner(of, 1).run()
         self.assertTrue(figures(record, of)["valid"])
         record.rows[-1]["late"] = record.rows[-1]["sent"] // 10
         found = figures(record, of)
