--- a/drumgw/config/host_file.py
+++ b/drumgw/config/host_file.py
@@ -151,8 +151,12 @@
             spec.counter is not None,
         ),
     }
-    charter = parse_config(told, {}, name)
+    config = parse_config(told, {}, name)
     prefix, said = f"{name}-{serial}-", f"tenant {name}: "
     return dataclasses.replace(
-        charter, lines=max(2, lines), prefix=prefix, said=said, watch_ms=TENANT_WATCH_MS
+        config,
+        max_endpoint_connections=max(2, lines),
+        counter_key_prefix=prefix,
+        log_prefix=said,
+        watch_timeout_ms=TENANT_WATCH_MS,
     )
--- a/drumgw/gateway/connection_pool.py
+++ b/drumgw/gateway/connection_pool.py
@@ -23,7 +23,7 @@
 from yarl import URL
 
 from drumgw.gateway.clock import StallAwareClock, Timer
-from drumgw.gateway.process_config import MOST_BODY, MOST_HEAD
+from drumgw.gateway.process_config import MAX_BODY_BYTES, MAX_HEAD_BYTES
 
 CONNECTION_ERRORS = (aiohttp.ClientError, HttpProcessingError, OSError, TimeoutError)
 HEAD = b"HTTP/1."
@@ -47,15 +47,15 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, lines: ConnectionPool) -> None:
         super().__init__(loop)
-        self.lines, self.owed, self.got = lines, 0, b""  # got: bounded by a head and a body
+        self.pool, self.expected_responses, self.buffer = lines, 0, b""  # got: bounded by a head and a body
         self.message: RawResponseMessage | None = None  # its head was read, its body not yet
         self.length: int | None = 0  # of its body; none: till the end
         self.chunks: HttpResponseParser | None = None
         self.body: aiohttp.StreamReader | None = None  # of chunks
-        self.heard: Callable[[RawResponse], None] | None = None  # set by who uses it; so is lost
-        self.lost: Callable[[BaseException], None] | None = None
+        self.on_response: Callable[[RawResponse], None] | None = None  # set by who uses it; so is lost
+        self.on_error: Callable[[BaseException], None] | None = None
         self.timer: Timer | None = None
-        self.ended = False  # the peer itself ended its sending
+        self.peer_closed = False  # the peer itself ended its sending
         self.heads = HttpResponseParser(
             self, loop, lines.most_body, response_with_body=False, auto_decompress=False
         )
@@ -66,18 +66,18 @@
         # So writing_paused says exactly whether a part is still here; it stays so if that never leaves
         transport.set_write_buffer_limits(0)  # type: ignore[attr-defined]
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
-        self.lines.wires.add(self)
+        self.pool.connections.add(self)
 
     def is_connected(self) -> bool:
         """Asked before a kept connection is used: what lies unread on it must not meet the next txn."""
         return super().is_connected() and not self.should_close and not self.poll.poll(0)
 
-    def ask(self, request: bytes) -> None:
+    def send_request(self, request: bytes) -> None:
         assert self.transport is not None
         self.transport.write(request)
-        self.owed += 1
+        self.expected_responses += 1
 
-    def look(self) -> None:
+    def read_pending(self) -> None:
         """Reads what lies unread, before the loop's turn comes. An end or a failure is the loop's to find."""
         transport = self.transport
         if transport is None or transport.is_closing() or not self.poll.poll(0):
@@ -90,18 +90,18 @@
             self.data_received(data)
 
     def data_received(self, data: bytes) -> None:
-        self.got = self.got + data if self.got else data
+        self.buffer = self.buffer + data if self.buffer else data
         try:
-            while self.got:
-                if not self.owed:
+            while self.buffer:
+                if not self.expected_responses:
                     raise MalformedResponseError("more came than was asked for")
                 if not self.advance():
                     break
         except (aiohttp.ClientError, HttpProcessingError) as error:
             self.spoil(error)
             return
-        if self.got or self.message is not None:
-            self.timer = self.timer or self.lines.limit(self.stalled)
+        if self.buffer or self.message is not None:
+            self.timer = self.timer or self.pool.limit(self.stalled)
         elif self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -109,22 +109,22 @@
     def advance(self) -> bool:
         """One step further in what was got; false where more must come first."""
         if self.message is None:
-            end = self.got.find(b"\r\n\r\n") + 4
+            end = self.buffer.find(b"\r\n\r\n") + 4
             if end < 4:
-                if len(self.got) > MOST_HEAD or not HEAD.startswith(self.got[: len(HEAD)]):
+                if len(self.buffer) > MAX_HEAD_BYTES or not HEAD.startswith(self.buffer[: len(HEAD)]):
                     raise MalformedResponseError("no head of an answer")
                 return False
-            head, self.got = self.got[:end], self.got[end:]
+            head, self.buffer = self.buffer[:end], self.buffer[end:]
             self.begin(head)
         elif self.chunks is not None and self.body is not None:
             if not self.read_chunks(self.chunks, self.body):
                 return False
-        elif self.length is None or len(self.got) < self.length:
-            if len(self.got) > self.lines.most_body:
+        elif self.length is None or len(self.buffer) < self.length:
+            if len(self.buffer) > self.pool.most_body:
                 raise MalformedResponseError("a body without end")
             return False
         else:
-            body, self.got = self.got[: self.length], self.got[self.length :]
+            body, self.buffer = self.buffer[: self.length], self.buffer[self.length :]
             self.done(body)
         return True
 
@@ -143,10 +143,10 @@
             self.length = 0
         elif message.chunked:
             self.chunks = HttpResponseParser(
-                self, self._loop, MOST_CHUNKS * self.lines.most_body, auto_decompress=False
+                self, self._loop, MOST_CHUNKS * self.pool.most_body, auto_decompress=False
             )
             self.body = self.chunks.feed_data(head)[0][0][1]
-        elif self.length is None and not message.should_close or (self.length or 0) > self.lines.most_body:
+        elif self.length is None and not message.should_close or (self.length or 0) > self.pool.most_body:
             raise MalformedResponseError(f"a body of {said} bytes")
         if message.should_close or self.length is None and self.chunks is None:
             self.force_close()
@@ -154,14 +154,14 @@
             self.done(b"")
 
     def read_chunks(self, chunks: HttpResponseParser, body: aiohttp.StreamReader) -> bool:
-        data, self.got = self.got, b""
+        data, self.buffer = self.buffer, b""
         try:
             chunks.feed_data(data)
         except HttpProcessingError:
             if not body.is_eof():
                 raise
             self.force_close()  # noise behind the last chunk
-        if body.total_bytes > self.lines.most_body:
+        if body.total_bytes > self.pool.most_body:
             raise MalformedResponseError("a body without end")
         if not body.is_eof():
             return False
@@ -170,10 +170,10 @@
 
     def done(self, body: bytes) -> None:
         message, self.message, self.chunks, self.body = self.message, None, None, None
-        self.owed -= 1
+        self.expected_responses -= 1
         assert message is not None
-        if self.heard is not None:
-            self.heard((message, body))
+        if self.on_response is not None:
+            self.on_response((message, body))
 
     def stalled(self) -> None:
         """Guards txns against an answer that began and never ends: what is left of it is a packet's time."""
@@ -181,12 +181,12 @@
 
     def spoil(self, error: BaseException) -> None:
         self.force_close()
-        self.got, self.message = b"", None
+        self.buffer, self.message = b"", None
         self.abort()
         self.lose(error)
 
     def lose(self, error: BaseException) -> None:
-        lost, self.lost, self.heard = self.lost, None, None
+        lost, self.on_error, self.on_response = self.on_error, None, None
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -194,16 +194,16 @@
             lost(error)
 
     def eof_received(self) -> None:
-        self.ended = True
+        self.peer_closed = True
         super().eof_received()
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Guards txns against half an answer without a length: only its peer's own end is its end, no reset
         and no close of ours."""
-        self.lines.wires.discard(self)
+        self.pool.connections.discard(self)
         endless = self.message is not None and self.length is None and self.chunks is None
-        if endless and self.ended and exc is None:
-            body, self.got = self.got, b""
+        if endless and self.peer_closed and exc is None:
+            body, self.buffer = self.buffer, b""
             self.done(body)
         super().connection_lost(exc)
         self.lose(exc if isinstance(exc, OSError) else aiohttp.ServerDisconnectedError())
@@ -245,33 +245,33 @@
         most: int,
         idle_ms: float,
         connect_ms: float | None,
-        pulse: StallAwareClock,
-        most_body: int = MOST_BODY,
+        clock: StallAwareClock,
+        most_body: int = MAX_BODY_BYTES,
     ) -> None:
         self.most_body = most_body
         self.before: Callable[[], None] = no_need  # called before a first byte; may give up its trip
         seconds = connect_ms / 1000.0 if connect_ms else None
-        self.loop, self.pulse, self.most, self.packet_ms = pulse.loop, pulse, most, connect_ms
+        self.loop, self.clock, self.max_connections, self.packet_ms = clock.loop, clock, most, connect_ms
         self.patience = aiohttp.ClientTimeout(total=None, connect=seconds, sock_connect=seconds)
         # Settings that name no idle time: none is known to be safe, so none is kept
         kept: dict[str, Any] = {"keepalive_timeout": idle_ms / 1000.0} if idle_ms else {"force_close": True}
         self.connector = aiohttp.TCPConnector(limit=most, use_dns_cache=False, **kept)
         self.connector._factory = partial(PeerConnection, self.loop, self)  # type: ignore[assignment]
-        self.wires: set[PeerConnection] = set()  # those open; emptied as they close
+        self.connections: set[PeerConnection] = set()  # those open; emptied as they close
 
-    def card(self, address: str, owner: str | None = None) -> aiohttp.ClientRequest:
+    def peer(self, address: str, owner: str | None = None) -> aiohttp.ClientRequest:
         """What the connector knows a peer by: kept connections are its own, wherever it stands."""
         return aiohttp.ClientRequest("GET", URL(f"http://{address}"), loop=self.loop, server_hostname=owner)
 
     def limit(self, late: Callable[[], None]) -> Timer | None:
         """The rest of an answer that began comes within the time in which a connection comes up."""
-        return self.pulse.at(self.pulse.now() + self.packet_ms, late) if self.packet_ms else None
+        return self.clock.at(self.clock.now() + self.packet_ms, late) if self.packet_ms else None
 
     async def connect(
         self, card: aiohttp.ClientRequest
     ) -> tuple[aiohttp.connector.Connection, PeerConnection]:
-        if len(self.wires) >= self.most and card.connection_key not in self.connector._conns:
-            self.drop(next(iter(self.connector._conns), None))
+        if len(self.connections) >= self.max_connections and card.connection_key not in self.connector._conns:
+            self.close_idle(next(iter(self.connector._conns), None))
         connection = await self.connector.connect(card, [], self.patience)
         wire = connection.protocol
         if not isinstance(wire, PeerConnection) or wire.transport is None:
@@ -279,12 +279,12 @@
             raise aiohttp.ServerDisconnectedError
         return connection, wire
 
-    def drop(self, key: object) -> None:
+    def close_idle(self, key: object) -> None:
         """Closes the kept connections to a peer: it has gone, or descriptors are short."""
         for wire, _ in self.connector._conns.pop(key, ()):  # type: ignore[call-overload]
             wire.close()
 
-    async def ask(self, card: aiohttp.ClientRequest, request: bytes, trip: Exchange) -> RawResponse:
+    async def exchange(self, card: aiohttp.ClientRequest, request: bytes, trip: Exchange) -> RawResponse:
         """The whole answer. Where it raises or is cancelled, the connection is closed."""
         trip.connection, wire = await self.connect(card)
         self.before()
@@ -295,22 +295,22 @@
         try:
             if wire.transport is None or wire.transport.is_closing():  # what is written on it would vanish
                 raise aiohttp.ServerDisconnectedError
-            if self.pulse.now() >= trip.write_by:
+            if self.clock.now() >= trip.write_by:
                 raise WriteDeadlineError
-            wire.heard, wire.lost = partial(settle, answer), partial(fail, answer)
-            wire.ask(request)
+            wire.on_response, wire.on_error = partial(settle, answer), partial(fail, answer)
+            wire.send_request(request)
             if wire.transport is None or wire.transport.is_closing():  # the system did not take it
                 raise aiohttp.ServerDisconnectedError
             trip.written = True
             if trip.write_by < inf and wire.writing_paused:
-                trip.timer = self.pulse.at(trip.write_by, partial(self.too_late, wire))
+                trip.timer = self.clock.at(trip.write_by, partial(self.too_late, wire))
             found = await answer
         except BaseException:
-            wire.heard = wire.lost = None
+            wire.on_response = wire.on_error = None
             trip.written = trip.written and not wire.writing_paused
             trip.close()
             raise
-        wire.heard = wire.lost = None
+        wire.on_response = wire.on_error = None
         trip.disarm()
         connection, trip.connection = trip.connection, None
         if connection is not None:
--- a/drumgw/gateway/counter_client.py
+++ b/drumgw/gateway/counter_client.py
@@ -14,7 +14,7 @@
     RawResponse,
 )
 from drumgw.gateway.dispatcher import Dispatcher
-from drumgw.gateway.process_config import COUNTER_LINES, GatewayConfig
+from drumgw.gateway.process_config import MAX_COUNTER_CONNECTIONS, GatewayConfig
 from drumgw.gateway.request_parsing import read_number
 from drumgw.model.actions import AddToCounter
 from drumgw.model.events import Outcome
@@ -39,7 +39,7 @@
     """A connection to the counter. Its mailbox holds the calls that were not answered on it."""
 
     def __init__(self, counter: CounterClient) -> None:
-        self.counter, self.trip, self.open, self.used_at = counter, Exchange(), True, counter.pulse.now()
+        self.counter, self.trip, self.open, self.used_at = counter, Exchange(), True, counter.clock.now()
         self.mailbox: deque[CounterCall] = deque()  # emptied by answers, or at once when the lane closes
         self.wire: PeerConnection | None = None  # once it is up
         self.task = counter.loop.create_task(self.run())
@@ -53,7 +53,7 @@
         order = call.order
         name = f"{self.counter.prefix}{order.counter_key}"
         target = f"/counters/{name}?by={order.amount:.12g}&expire_ms={order.ttl_ms:.0f}"
-        wire.ask(
+        wire.send_request(
             (
                 f"POST {target} HTTP/1.1\r\nHost: {self.counter.address}\r\n" "Content-Length: 0\r\n\r\n"
             ).encode()
@@ -63,21 +63,21 @@
     async def run(self) -> None:
         """Connects and writes what has gathered; each answer goes to the oldest call."""
         try:
-            self.trip.connection, self.wire = await self.counter.lines.connect(self.counter.card)
-            self.wire.heard, self.wire.lost = self.answered, lambda _: self.close()
+            self.trip.connection, self.wire = await self.counter.pool.connect(self.counter.peer)
+            self.wire.on_response, self.wire.on_error = self.answered, lambda _: self.close()
             for call in self.mailbox:
                 self.write(self.wire, call)
         except CONNECTION_ERRORS:
             self.close()
         except Exception as error:
-            self.counter.desk.complain(error, "the counter's lane")
+            self.counter.dispatcher.log_fault(error, "the counter's lane")
             self.close()
 
     def answered(self, answer: RawResponse) -> None:
         """Guards the books: after an answer without a number the connection means nothing any more."""
         message, body = answer
         call, total = self.mailbox.popleft(), read_number(body)
-        self.used_at = self.counter.pulse.now()
+        self.used_at = self.counter.clock.now()
         if message.code in TURNED_AWAY:
             self.counter.ended(call, Outcome.REJECTED, 0.0)
         elif message.code == 200 and total is not None:
@@ -99,8 +99,8 @@
     def close(self) -> None:
         self.open = False
         if self.wire is not None:
-            self.wire.heard = self.wire.lost = None
-        self.counter.lanes.discard(self)
+            self.wire.on_response = self.wire.on_error = None
+        self.counter.connections.discard(self)
         rest, self.mailbox = self.mailbox, deque()
         self.trip.close()
         self.task.cancel()
@@ -109,56 +109,56 @@
 
 
 class CounterClient:
-    def __init__(self, charter: GatewayConfig, desk: Dispatcher) -> None:
-        assert charter.counter is not None
-        self.desk, self.loop, self.pulse = desk, desk.loop, desk.pulse
-        self.wait_ms, self.most = charter.terms.counter_timeout_ms, 4 * charter.lines
-        self.lines = ConnectionPool(COUNTER_LINES, IDLE_MS, None, desk.pulse)
-        self.lanes: set[CounterConnection] = set()  # 32 at most; emptied as they close
+    def __init__(self, config: GatewayConfig, dispatcher: Dispatcher) -> None:
+        assert config.counter is not None
+        self.dispatcher, self.loop, self.clock = dispatcher, dispatcher.loop, dispatcher.clock
+        self.wait_ms, self.most = config.settings.counter_timeout_ms, 4 * config.max_endpoint_connections
+        self.pool = ConnectionPool(MAX_COUNTER_CONNECTIONS, IDLE_MS, None, dispatcher.clock)
+        self.connections: set[CounterConnection] = set()  # 32 at most; emptied as they close
         self.names: dict[
             int, tuple[deque[CounterCall], CounterConnection | None]
         ] = {}  # calls out; emptied by their ends
-        self.waiting, self.prefix = 0, charter.prefix
-        self.move(charter.counter)
+        self.waiting, self.prefix = 0, config.counter_key_prefix
+        self.set_address(config.counter)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """New calls go there; those out may still be answered where they were asked."""
         self.address = "{}:{}".format(*address)
-        self.card = self.lines.card(self.address)
-        for lane in list(self.lanes):
+        self.peer = self.pool.peer(self.address)
+        for lane in list(self.connections):
             lane.retire()
 
     async def close(self) -> None:
-        for lane in list(self.lanes):
+        for lane in list(self.connections):
             lane.close()
-        await self.lines.close()
+        await self.pool.close()
 
     def call(self, order: AddToCounter) -> None:
         """Calls of a name go behind each other on one lane, so none waits for another's answer."""
-        now = self.pulse.now()
-        call = CounterCall(order, now - self.pulse.stood_ms)
+        now = self.clock.now()
+        call = CounterCall(order, now - self.clock.stalled_ms)
         queue, last = self.names.get(order.counter_key, (deque(), None))
-        lane = last if last is not None and last.open else self.lane(now)
+        lane = last if last is not None and last.open else self.choose_connection(now)
         queue.append(call)
         self.waiting, self.names[order.counter_key] = self.waiting + 1, (queue, lane)
         if lane is None or self.waiting > self.most:
             self.ended(call, Outcome.UNREACHABLE, 0.0)
             return
-        call.timer = self.pulse.at(now + self.wait_ms, partial(self.overdue, call, lane))
+        call.timer = self.clock.at(now + self.wait_ms, partial(self.overdue, call, lane))
         lane.put(call)
 
-    def lane(self, now: float) -> CounterConnection | None:
+    def choose_connection(self, now: float) -> CounterConnection | None:
         """An idle one, a new one while there may be more, else the one with the fewest calls."""
-        lanes = [lane for lane in self.lanes if lane.open]
+        lanes = [lane for lane in self.connections if lane.open]
         for lane in lanes:
             if lane.mailbox:
                 continue
             if now - lane.used_at < IDLE_MS:
                 return lane
             lane.close()
-        if len(self.lanes) < COUNTER_LINES:
+        if len(self.connections) < MAX_COUNTER_CONNECTIONS:
             lane = CounterConnection(self)
-            self.lanes.add(lane)
+            self.connections.add(lane)
             return lane
         return min(lanes, key=lambda x: len(x.mailbox)) if lanes else None
 
@@ -172,7 +172,7 @@
         if call.end is not None:
             return
         call.end, call.total = end, total
-        call.took_ms = self.pulse.now() - self.pulse.stood_ms - call.asked_at
+        call.took_ms = self.clock.now() - self.clock.stalled_ms - call.asked_at
         if call.timer is not None:
             call.timer.cancel()
         queue, _ = self.names[call.order.counter_key]
@@ -181,6 +181,10 @@
             self.waiting -= 1
             if not queue:
                 del self.names[call.order.counter_key]
-            self.desk.post(
-                self.desk.core.total, first.order.counter_key, first.end, first.total, first.took_ms
+            self.dispatcher.post(
+                self.dispatcher.lifecycle.counter_replied,
+                first.order.counter_key,
+                first.end,
+                first.total,
+                first.took_ms,
             )
--- a/drumgw/gateway/discovery.py
+++ b/drumgw/gateway/discovery.py
@@ -13,11 +13,17 @@
 from drumgw.gateway.connection_pool import ConnectionPool, Exchange, RawResponse
 from drumgw.gateway.dispatcher import Dispatcher
 from drumgw.gateway.endpoint_clients import EndpointClients
-from drumgw.gateway.membership import SILENT_START_MS, UNREADABLE, Membership, MembershipChange, worker_id
+from drumgw.gateway.membership import (
+    SILENT_START_MS,
+    UNREADABLE,
+    Membership,
+    MembershipChange,
+    endpoint_id_of,
+)
 from drumgw.gateway.process_config import ConfigError, GatewayConfig
 from drumgw.model.events import EndpointStatus
 
-GRACE_PART, PACE_MOST_MS = 0.25, 150.0  # of a drain's grace; the most, as lists help service
+GRACE_PART, MAX_POLL_INTERVAL_MS = 0.25, 150.0  # of a drain's grace; the most, as lists help service
 SLOW_MS = 2000.0  # a slow agent is waited for as long (the protocol's, once a wait is over)
 LOST_MS = 1000.0  # of silence, then it is a line in the log
 SLACK_MS = 50.0  # by which each limit grows on sockets (the protocol's figure)
@@ -58,36 +64,36 @@
 
 
 class DiscoveryClient:
-    def __init__(self, charter: GatewayConfig, desk: Dispatcher, workers: EndpointClients) -> None:
-        self.charter, self.desk, self.workers, self.pulse = charter, desk, workers, desk.pulse
-        self.membership = Membership(charter.names)
+    def __init__(self, config: GatewayConfig, dispatcher: Dispatcher, workers: EndpointClients) -> None:
+        self.config, self.dispatcher, self.workers, self.clock = config, dispatcher, workers, dispatcher.clock
+        self.membership = Membership(config.names)
         try:
-            Membership(charter.names).stand_in(charter.known)
+            Membership(config.names).stand_in(config.known_endpoints)
         except UNREADABLE as bad:
             raise ConfigError(f"known cannot be read: {bad!r}") from bad
-        self.lines = ConnectionPool(LINES, IDLE_MS, CONNECT_MS, desk.pulse, MOST_LIST)
+        self.pool = ConnectionPool(LINES, IDLE_MS, CONNECT_MS, dispatcher.clock, MOST_LIST)
         self.calls: set[asyncio.Task[None]] = set()  # those out; emptied as they end
         self.tasks: list[asyncio.Task[None]] = []  # the watch and its scout
         self.round = 0  # a call that began before the last word, or a move, tells nothing any more
         # Guards drains as a silent agent comes back, which may answer no call that was out: however long
         # the outage, the next call begins two paces after the last word, or one after the last call
-        self.pace_ms = min(PACE_MOST_MS, GRACE_PART * (charter.grace_ms + SLACK_MS))
-        if charter.watch_ms:  # one of many in this process, whose loop has to bear them all
-            self.pace_ms = PACE_MOST_MS
-        self.watch_ms = charter.watch_ms or self.pace_ms
-        self.heard, self.unread, self.behind = True, 0, False  # modes that the log told
+        self.pace_ms = min(MAX_POLL_INTERVAL_MS, GRACE_PART * (config.drain_grace_ms + SLACK_MS))
+        if config.watch_timeout_ms:  # one of many in this process, whose loop has to bear them all
+            self.pace_ms = MAX_POLL_INTERVAL_MS
+        self.watch_ms = config.watch_timeout_ms or self.pace_ms
+        self.is_connected, self.unread, self.behind = True, 0, False  # modes that the log told
         self.listed = asyncio.Event()  # the agent spoke, or the known list stands in
-        self.heard_at = self.looked_at = self.scout_at = self.pulse.now()
-        self.chance = random.Random(charter.seed)  # spreads what all gateways do after the same failure
-        if charter.shared_discovery:
-            self.membership.build_on(charter.known)
-        self.move(charter.discovery)
+        self.heard_at = self.looked_at = self.scout_at = self.clock.now()
+        self.chance = random.Random(config.seed)  # spreads what all gateways do after the same failure
+        if config.shared_discovery:
+            self.membership.build_on(config.known_endpoints)
+        self.set_address(config.discovery)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """The watch goes on there at once: the old address may keep its calls for as long as it likes."""
         self.address = "{}:{}".format(*address)
-        self.card = self.lines.card(self.address)
-        self.scout_at = self.pulse.now() + self.pace_ms
+        self.peer = self.pool.peer(self.address)
+        self.scout_at = self.clock.now() + self.pace_ms
         self.drop_calls(None)
 
     def drop_calls(self, answered: asyncio.Task[None] | None) -> None:
@@ -97,11 +103,11 @@
             if call is not answered:
                 call.cancel()
 
-    async def begin(self, patience_s: float | None) -> None:
+    async def start(self, patience_s: float | None) -> None:
         """Returns once there is a list, and after the patience, if any, without one: no worker is known then,
         so the module refuses all that comes, at once and with a time to come back."""
-        self.heard_at, self.scout_at = self.pulse.now(), self.pulse.now() + self.pace_ms
-        asking = (self.subscribe,) if self.charter.shared_discovery else (self.watch, self.scout)
+        self.heard_at, self.scout_at = self.clock.now(), self.clock.now() + self.pace_ms
+        asking = (self.subscribe,) if self.config.shared_discovery else (self.watch, self.scout)
         self.tasks = [asyncio.create_task(task()) for task in (*asking, self.stand_in)]
         try:
             async with asyncio.timeout(patience_s):
@@ -109,7 +115,7 @@
         except TimeoutError:
             logger.warning(
                 "{}discovery was silent for {:.0f} s from the start: {}",
-                self.desk.said,
+                self.dispatcher.log_prefix,
                 patience_s,
                 "all is refused until it speaks",
             )
@@ -119,16 +125,16 @@
         if not self.listed.is_set():
             logger.warning(
                 "{}discovery was silent for {:.0f} s from the start: the known list stands in",
-                self.desk.said,
+                self.dispatcher.log_prefix,
                 SILENT_START_MS / 1000,
             )
-            self.act(self.membership.stand_in(self.charter.known), "list known")
+            self.act(self.membership.stand_in(self.config.known_endpoints), "list known")
             self.listed.set()
 
     async def close(self) -> None:
         for task in (*self.tasks, *self.calls):
             task.cancel()
-        await self.lines.close()
+        await self.pool.close()
 
     # Calls
 
@@ -155,14 +161,14 @@
     async def scout(self) -> None:
         """While the agent is silent: a call that is out as it comes back may hear nothing, a new one does."""
         while True:
-            if (wait := self.scout_at - self.pulse.now()) > 0:
+            if (wait := self.scout_at - self.clock.now()) > 0:
                 await asyncio.sleep(wait / 1000)
             else:
                 await self.call(self.pace_ms / 2, self.pace_ms, self.pace_ms)
 
     async def call(self, wait_ms: float, patience_ms: float, least_ms: float) -> CallOutcome:
         """One call that the agent may let wait; given up when another one is answered or discovery moves."""
-        end = self.pulse.now() + least_ms
+        end = self.clock.now() + least_ms
         call = asyncio.create_task(self.ask(wait_ms, patience_ms))
         self.calls.add(call)
         try:
@@ -174,41 +180,41 @@
             return CallOutcome.DROPPED
         if (error := call.exception()) is not None:
             self.hear(error)
-        await asyncio.sleep(max(0.0, end - self.pulse.now()) / 1000)
+        await asyncio.sleep(max(0.0, end - self.clock.now()) / 1000)
         if error is None:
             return CallOutcome.ANSWERED
         return CallOutcome.TURNED_AWAY if isinstance(error, DiscoveryOverloadedError) else CallOutcome.FAILED
 
     async def ask(self, wait_ms: float, patience_ms: float) -> None:
-        trip, over, end = Exchange(), self.desk.loop.create_future(), self.pulse.now() + patience_ms
+        trip, over, end = Exchange(), self.dispatcher.loop.create_future(), self.clock.now() + patience_ms
         async with asyncio.timeout(patience_ms / 1000):
-            connection, wire = await self.lines.connect(self.card)
+            connection, wire = await self.pool.connect(self.peer)
         trip.connection = connection
         since, task = self.membership.since, asyncio.current_task()
-        wire.heard = partial(self.told, over, task, self.round, since is None, self.pulse.now())
-        wire.lost = partial(fail, over)
+        wire.on_response = partial(self.told, over, task, self.round, since is None, self.clock.now())
+        wire.on_error = partial(fail, over)
         try:
             query = "" if since is None else f"?since={since}&timeout_ms={wait_ms:.0f}"
-            wire.ask(f"GET {PATH}{query} HTTP/1.1\r\nHost: {self.address}\r\n\r\n".encode())
-            await asyncio.wait((over,), timeout=(end - self.pulse.now()) / 1000)
+            wire.send_request(f"GET {PATH}{query} HTTP/1.1\r\nHost: {self.address}\r\n\r\n".encode())
+            await asyncio.wait((over,), timeout=(end - self.clock.now()) / 1000)
             if not over.done():
-                wire.look()  # we may have stood
+                wire.read_pending()  # we may have stood
             if not over.done():
                 raise TimeoutError
             over.result()
             trip.connection = None
             connection.release()
         finally:
-            wire.heard = wire.lost = None
+            wire.on_response = wire.on_error = None
             trip.close()
 
-    def look(self) -> None:
+    def read_pending_updates(self) -> None:
         """Before anything is sent: the agent's word may lie unread, behind a crowd or a stall of ours."""
-        now = self.pulse.now()
+        now = self.clock.now()
         if now - self.looked_at >= LOOK_MS:
             self.looked_at = now
-            for wire in list(self.lines.wires):
-                wire.look()
+            for wire in list(self.pool.connections):
+                wire.read_pending()
 
     # What is told
 
@@ -225,7 +231,7 @@
         if over.done() or begun != self.round:
             return
         message, body = answer
-        now = self.looked_at = self.pulse.now()
+        now = self.looked_at = self.clock.now()
         try:
             if message.code != 200:
                 kind = DiscoveryOverloadedError if message.code in TOO_MANY else ValueError
@@ -248,45 +254,47 @@
 
     def act(self, change: MembershipChange, how: str) -> None:
         """The module first: what the drained workers give back must not go to others of the same list."""
-        for row in change.up:
-            self.workers.place(row.entry.endpoint_id, row.address, row.entry.started_at_ms)
-        if change.listed.endpoints or change.listed.is_complete:
-            self.desk.post(self.desk.core.listed, change.listed)
+        for row in change.ready:
+            self.workers.set_address(row.info.endpoint_id, row.address, row.info.started_at_ms)
+        if change.update.endpoints or change.update.is_complete:
+            self.dispatcher.post(self.dispatcher.lifecycle.endpoints_updated, change.update)
         for health in (EndpointStatus.DRAINING, EndpointStatus.REMOVED):
-            for name in change.told.get(health, ()):
-                self.workers.drain(worker_id(name), gone=health is EndpointStatus.REMOVED)
+            for name in change.changes_by_status.get(health, ()):
+                self.workers.drain(endpoint_id_of(name), gone=health is EndpointStatus.REMOVED)
         self.log(change, how)
 
     # The log
 
     def log(self, change: MembershipChange, how: str) -> None:
-        for health, names in change.told.items():
-            numbered = ", ".join(f"{worker_id(name)} ({name})" for name in names)
-            logger.info("{}{}: {} now {}: {}", self.desk.said, how, len(names), health.value, numbered)
-        if change.unread != self.unread:
-            self.unread = change.unread
+        for health, names in change.changes_by_status.items():
+            numbered = ", ".join(f"{endpoint_id_of(name)} ({name})" for name in names)
+            logger.info(
+                "{}{}: {} now {}: {}", self.dispatcher.log_prefix, how, len(names), health.value, numbered
+            )
+        if change.unreadable_count != self.unread:
+            self.unread = change.unreadable_count
             logger.warning(
                 "{}{} rows of the worker list cannot be read; those workers stay as they were",
-                self.desk.said,
-                change.unread,
+                self.dispatcher.log_prefix,
+                change.unreadable_count,
             )
         if self.membership.behind is not self.behind:
             self.behind = self.membership.behind
             mode = "older than what is known: only who leaves is heeded" if self.behind else "in step again"
-            logger.warning("{}the agent's list is {}", self.desk.said, mode)
+            logger.warning("{}the agent's list is {}", self.dispatcher.log_prefix, mode)
 
     def hear(self, error: BaseException | None) -> None:
         """A line for each change of mode; a silent watch that ends in time is no loss."""
-        quiet = isinstance(error, TimeoutError) and self.pulse.now() - self.heard_at < LOST_MS
-        if self.heard is (error is None) or quiet:
+        quiet = isinstance(error, TimeoutError) and self.clock.now() - self.heard_at < LOST_MS
+        if self.is_connected is (error is None) or quiet:
             return
-        self.heard = error is None
+        self.is_connected = error is None
         if error is None:
-            logger.info("{}discovery heard", self.desk.said)
+            logger.info("{}discovery heard", self.dispatcher.log_prefix)
         else:
             logger.warning(
                 "{}discovery lost: {}; {}",
-                self.desk.said,
+                self.dispatcher.log_prefix,
                 str(error) or type(error).__name__,
                 "the last list stands" if self.listed.is_set() else "nothing is sent yet",
             )
--- a/drumgw/gateway/dispatcher.py
+++ b/drumgw/gateway/dispatcher.py
@@ -29,11 +29,11 @@
 
 
 class AttemptTransport(Protocol):
-    def send(self, order: StartAttempt, passage: ClientRequest) -> None: ...
+    def start_attempt(self, order: StartAttempt, request: ClientRequest) -> None: ...
 
-    def stop(self, order: AbortAttempt) -> None: ...
+    def abort_attempt(self, order: AbortAttempt) -> None: ...
 
-    def give_back(self, txn: int, submission: int) -> None: ...
+    def withdraw_unsent(self, txn: int, submission: int) -> None: ...
 
 
 class CounterTransport(Protocol):
@@ -41,9 +41,11 @@
 
 
 class Dispatcher:
-    def __init__(self, core: RequestLifecycle, pulse: StallAwareClock, most: int, said: str = "") -> None:
-        self.core, self.pulse, self.loop, self.said = core, pulse, pulse.loop, said
-        self.workers: AttemptTransport | None = None  # set before the first txn
+    def __init__(
+        self, lifecycle: RequestLifecycle, clock: StallAwareClock, most: int, said: str = ""
+    ) -> None:
+        self.lifecycle, self.clock, self.loop, self.log_prefix = lifecycle, clock, clock.loop, said
+        self.attempts: AttemptTransport | None = None  # set before the first txn
         self.counter: CounterTransport | None = None
         self.most = most
         self.mailbox: deque[tuple[Callable[..., list[Command]], tuple[Any, ...]]] = (
@@ -81,61 +83,63 @@
             while self.mailbox:
                 call, args = self.mailbox.popleft()
                 try:
-                    self.carry_out(call(self.now(), *args))
+                    self.execute(call(self.now(), *args))
                 except Exception as error:  # the txn it was for ends at its expiry, by its alarm
-                    self.complain(error, "the core")
+                    self.log_fault(error, "the core")
         finally:
             self.draining = False
 
     def now(self) -> float:
-        now = self.pulse.now()
-        self.core.stood = self.pulse.stood_ms
+        now = self.clock.now()
+        self.lifecycle.stalled_ms = self.clock.stalled_ms
         return now
 
-    def carry_out(self, effects: list[Command]) -> None:
-        for effect in effects:
+    def execute(self, commands: list[Command]) -> None:
+        for command in commands:
             try:
-                self.routes[type(effect)](effect)
+                self.routes[type(command)](command)
             except Exception as error:  # an adapter's failure: its txn is answered, the process lives
-                self.complain(error, "an adapter")
-                txn = getattr(effect, "request_id", None)
+                self.log_fault(error, "an adapter")
+                txn = getattr(command, "request_id", None)
                 if txn is not None:
-                    self.mailbox.append((self.core.abandon, (txn,)))
+                    self.mailbox.append((self.lifecycle.abandon_request, (txn,)))
 
     # Txns, from the front
 
-    def take(self, passage: ClientRequest) -> asyncio.Future[SendResponse]:
+    def submit(self, request: ClientRequest) -> asyncio.Future[SendResponse]:
         """Hands a txn to the module; the future is its answer, often there at once."""
         invariant(not self.draining, "the front calls from its own turn")
         reply: asyncio.Future[SendResponse] = self.loop.create_future()
         self.draining = True
         try:
             now = self.now()
-            passage.txn, effects = self.core.arrive(now, passage.asked, self.pulse.lately_ms)
-            self.waiting[passage.txn] = passage, reply
-            self.carry_out(effects)
+            request.request_id, commands = self.lifecycle.request_received(
+                now, request.received, self.clock.recent_stall_ms
+            )
+            self.waiting[request.request_id] = request, reply
+            self.execute(commands)
         finally:
             self.draining = False
         self.drain()
         return reply
 
-    def left(self, txn: int) -> None:
+    def client_disconnected(self, txn: int) -> None:
         self.waiting.pop(txn, None)
-        self.post(self.core.left, txn)
-        if (h := self.core.hand.get(txn)) is not None and self.workers is not None:
+        self.post(self.lifecycle.client_disconnected, txn)
+        if (h := self.lifecycle.in_flight.get(txn)) is not None and self.attempts is not None:
             for submission in list(h.out):  # where nothing may be called off: what was not sent can be
-                self.workers.give_back(txn, submission)
+                self.attempts.withdraw_unsent(txn, submission)
         self.disarm(txn)
 
     # Effects
 
     def on_send(self, order: StartAttempt) -> None:
-        assert self.workers is not None
-        self.workers.send(order, self.waiting[order.request_id][0])
+        assert self.attempts is not None
+        self.attempts.start_attempt(order, self.waiting[order.request_id][0])
 
     def on_stop(self, order: AbortAttempt) -> None:
-        assert self.workers is not None
-        self.workers.stop(order)
+        assert self.attempts is not None
+        self.attempts.abort_attempt(order)
 
     def on_reply(self, reply: SendResponse) -> None:
         _, waiting = self.waiting.pop(reply.request_id, (None, None))
@@ -144,18 +148,18 @@
         self.disarm(reply.request_id)
 
     def disarm(self, txn: int) -> None:
-        if txn not in self.core.hand and (alarm := self.alarms.pop(txn, None)) is not None:
+        if txn not in self.lifecycle.in_flight and (alarm := self.alarms.pop(txn, None)) is not None:
             alarm.cancel()
 
     def on_alarm(self, alarm: ScheduleDeadline) -> None:
-        handle = self.pulse.at(alarm.at_ms, partial(self.ring, alarm))
+        handle = self.clock.at(alarm.at_ms, partial(self.ring, alarm))
         if alarm.attempt < 0:
             self.alarms[alarm.request_id] = handle
 
     def ring(self, alarm: ScheduleDeadline) -> None:
         if alarm.attempt < 0:
             self.alarms.pop(alarm.request_id, None)
-        self.post(self.core.alarm, alarm.request_id, alarm.attempt)
+        self.post(self.lifecycle.deadline_reached, alarm.request_id, alarm.attempt)
 
     def on_add(self, order: AddToCounter) -> None:
         assert self.counter is not None
@@ -163,7 +167,7 @@
 
     def on_wake(self, order: SetTimer) -> None:
         self.wakes[order.timer_id] = self.loop.call_later(
-            order.delay_ms / 1000.0, self.post, self.core.due, order.timer_id
+            order.delay_ms / 1000.0, self.post, self.lifecycle.timer_fired, order.timer_id
         )
 
     def close(self) -> None:
@@ -176,10 +180,10 @@
         self.alarms.clear()
 
     def on_fault(self, fault: ReportFault) -> None:
-        self.complain(fault.error, "the module")
+        self.log_fault(fault.error, "the module")
 
-    def complain(self, error: Exception, where: str) -> None:
-        logger.opt(exception=error).error("{}fault in {}: {!r}", self.said, where, error)
+    def log_fault(self, error: Exception, where: str) -> None:
+        logger.opt(exception=error).error("{}fault in {}: {!r}", self.log_prefix, where, error)
 
     def on_say(self, line: LogMessage) -> None:
-        logger.info("{}{}", self.said, line.text)
+        logger.info("{}{}", self.log_prefix, line.text)
--- a/drumgw/gateway/endpoint_clients.py
+++ b/drumgw/gateway/endpoint_clients.py
@@ -15,7 +15,7 @@
 from drumgw.gateway.request_lifecycle import AbortAttempt, StartAttempt
 from drumgw.gateway.request_parsing import ClientRequest, read_number
 from drumgw.model.events import Outcome
-from drumgw.model.settings_reader import LOADS
+from drumgw.model.settings_reader import LOAD_REPORT_FIELDS
 
 TURNED_AWAY = (503, 504)
 Key = tuple[int, int]
@@ -40,26 +40,31 @@
 
 
 class EndpointClients:
-    def __init__(self, charter: GatewayConfig, desk: Dispatcher) -> None:
-        self.desk, self.loop, self.most = desk, desk.loop, charter.lines
-        self.lines = ConnectionPool(charter.lines, charter.idle_ms, charter.connect_ms, desk.pulse)
-        self.reports = bool(charter.terms.load_report_fields)
-        self.actors: dict[int, EndpointClient] = {}  # workers on the list; emptied by it
+    def __init__(self, config: GatewayConfig, dispatcher: Dispatcher) -> None:
+        self.dispatcher, self.loop, self.most = dispatcher, dispatcher.loop, config.max_endpoint_connections
+        self.pool = ConnectionPool(
+            config.max_endpoint_connections,
+            config.endpoint_idle_ms,
+            config.connect_timeout_ms,
+            dispatcher.clock,
+        )
+        self.reports = bool(config.settings.load_report_fields)
+        self.clients: dict[int, EndpointClient] = {}  # workers on the list; emptied by it
         self.where: dict[Key, EndpointClient] = {}  # submissions out; emptied by ends and stops
 
     async def close(self) -> None:
-        await self.lines.close()
+        await self.pool.close()
 
-    def heed(self, look: Callable[[], None]) -> None:
+    def check_before_sending(self, look: Callable[[], None]) -> None:
         """Guards drains where the loop stood or is crowded: the list is read before a first byte goes."""
-        self.lines.before = look
+        self.pool.before = look
 
     # From the list
 
-    def place(self, number: int, address: str, born: float | None) -> None:
+    def set_address(self, number: int, address: str, born: float | None) -> None:
         """Guards a new worker, or a new start, at a gone one's address: its connections are its own."""
         worker, place = (
-            self.actors.setdefault(number, EndpointClient()),
+            self.clients.setdefault(number, EndpointClient()),
             (address, f"{number}-{born or 0:.0f}"),
         )
         if worker.place != place:
@@ -69,41 +74,41 @@
     def leave(self, worker: EndpointClient) -> None:
         card, worker.made = worker.made, None
         if card is not None:
-            self.lines.drop(card.connection_key)
+            self.pool.close_idle(card.connection_key)
 
     def card(self, worker: EndpointClient) -> aiohttp.ClientRequest:
         """Made at need: of a thousand workers a gateway sends to a few."""
         if worker.made is None:
-            worker.made = self.lines.card(*worker.place)
+            worker.made = self.pool.peer(*worker.place)
         return worker.made
 
     def drain(self, number: int, gone: bool) -> None:
         """Guards the drain: what waits for a connection and was not written yet is not sent any more."""
-        worker = self.actors.pop(number, None) if gone else self.actors.get(number)
+        worker = self.clients.pop(number, None) if gone else self.clients.get(number)
         if worker is None:
             return
         worker.open = False
         self.leave(worker)
         for txn, n in list(worker.mailbox):
-            self.give_back(txn, n)
+            self.withdraw_unsent(txn, n)
 
     # From the desk
 
-    def send(self, order: StartAttempt, passage: ClientRequest) -> None:
-        key, worker = (order.request_id, order.attempt), self.actors.get(order.endpoint_id)
+    def start_attempt(self, order: StartAttempt, request: ClientRequest) -> None:
+        key, worker = (order.request_id, order.attempt), self.clients.get(order.endpoint_id)
         if worker is None or not worker.open or len(self.where) >= self.most:
             self.tell(order.request_id, order.attempt, AttemptResult(Outcome.NOT_SENT))
             return
-        trip = Exchange(order.write_by_ms, partial(self.recheck, passage))
-        worker.mailbox[key] = self.loop.create_task(self.run(order, passage, worker, trip)), trip
+        trip = Exchange(order.write_by_ms, partial(self.recheck, request))
+        worker.mailbox[key] = self.loop.create_task(self.run(order, request, worker, trip)), trip
         self.where[key] = worker
 
-    def recheck(self, passage: ClientRequest) -> None:
+    def recheck(self, request: ClientRequest) -> None:
         """Guards against an attempt that begins after its client's close, which may lie unread."""
-        if passage.client_left():
-            self.desk.left(passage.txn)
+        if request.client_left():
+            self.dispatcher.client_disconnected(request.request_id)
 
-    def stop(self, order: AbortAttempt) -> None:
+    def abort_attempt(self, order: AbortAttempt) -> None:
         """Closes its connection before anything else of its txn is written."""
         worker = self.where.pop((order.request_id, order.attempt), None)
         if worker is not None:
@@ -111,42 +116,44 @@
             trip.close()
             task.cancel()
 
-    def give_back(self, txn: int, submission: int) -> None:
+    def withdraw_unsent(self, txn: int, submission: int) -> None:
         """What waits for a connection, and was not written yet, is not sent any more: no worker's fault."""
         worker = self.where.get((txn, submission))
         if worker is not None and not worker.mailbox[txn, submission][1].written:
-            self.stop(AbortAttempt(txn, submission))
+            self.abort_attempt(AbortAttempt(txn, submission))
             self.tell(txn, submission, AttemptResult(Outcome.NOT_SENT))
 
     def tell(self, txn: int, submission: int, o: AttemptResult) -> None:
-        self.desk.post(self.desk.core.ended, txn, submission, o.end, o.units, o.load, o.answer)
+        self.dispatcher.post(
+            self.dispatcher.lifecycle.attempt_ended, txn, submission, o.end, o.units, o.load, o.answer
+        )
 
     async def run(
-        self, order: StartAttempt, passage: ClientRequest, worker: EndpointClient, trip: Exchange
+        self, order: StartAttempt, request: ClientRequest, worker: EndpointClient, trip: Exchange
     ) -> None:
-        outcome = await self.carry(order, passage, worker, trip)
+        outcome = await self.carry(order, request, worker, trip)
         key = order.request_id, order.attempt
         if self.where.pop(key, None) is not None:
             del worker.mailbox[key]
             self.tell(order.request_id, order.attempt, outcome)
 
     async def carry(
-        self, order: StartAttempt, passage: ClientRequest, worker: EndpointClient, trip: Exchange
+        self, order: StartAttempt, request: ClientRequest, worker: EndpointClient, trip: Exchange
     ) -> AttemptResult:
-        left = max(1, round(order.deadline_ms - self.desk.pulse.now()))
-        request = b"%bRequest-Timeout: %dm\r\n\r\n%b" % (passage.head, left, passage.body)
-        stood = self.desk.pulse.stood_ms
+        left = max(1, round(order.deadline_ms - self.dispatcher.clock.now()))
+        message_bytes = b"%bRequest-Timeout: %dm\r\n\r\n%b" % (request.head, left, request.body)
+        stood = self.dispatcher.clock.stalled_ms
         try:
-            message, body = await self.lines.ask(self.card(worker), request, trip)
+            message, body = await self.pool.exchange(self.card(worker), message_bytes, trip)
         except CONNECTION_ERRORS as error:  # before its last byte was written it cannot have run
-            self.desk.pulse.now()
-            ours = isinstance(error, TimeoutError) and stood < self.desk.pulse.stood_ms
+            self.dispatcher.clock.now()
+            ours = isinstance(error, TimeoutError) and stood < self.dispatcher.clock.stalled_ms
             ours = ours or isinstance(error, WriteDeadlineError)
             return AttemptResult(
                 Outcome.BROKEN_RESPONSE if trip.written else Outcome.NOT_SENT if ours else Outcome.UNREACHABLE
             )
         except Exception as error:
-            self.desk.complain(error, "a worker's line")
+            self.dispatcher.log_fault(error, "a worker's line")
             return AttemptResult(Outcome.BROKEN_RESPONSE if trip.written else Outcome.UNREACHABLE)
         headers = message.headers
         load = read_load(headers.get("Server-Load")) if self.reports else None
@@ -168,5 +175,5 @@
     for part in (text or "").removeprefix("TEXT").split(","):
         name, _, value = part.partition("=")
         if (number := read_number(value)) is not None:
-            load[LOADS.get(name.strip(), name.strip())] = number
+            load[LOAD_REPORT_FIELDS.get(name.strip(), name.strip())] = number
     return load
--- a/drumgw/gateway/membership.py
+++ b/drumgw/gateway/membership.py
@@ -28,14 +28,18 @@
 SILENT_START_MS = 20000.0  # longer than any outage that the operators' pages know of
 RENUMBERED_MS = 6000.0  # what discovery has to tell counts as told by then (the protocol's figure)
 MOST_NAME = 256  # characters of an id
-STATES = {"up": EndpointStatus.READY, "draining": EndpointStatus.DRAINING, "removed": EndpointStatus.REMOVED}
+STATUS_BY_LIFECYCLE = {
+    "up": EndpointStatus.READY,
+    "draining": EndpointStatus.DRAINING,
+    "removed": EndpointStatus.REMOVED,
+}
 ADDRESS = re.compile(r"[0-9A-Za-z._:\[\]-]{1,256}:[0-9]{1,5}")
 UNREADABLE = (KeyError, TypeError, ValueError, ArithmeticError)
 
 WAITING, IN_STEP, BEHIND = "waiting for the agent", "in step", "the agent is behind"
 
 
-def worker_id(instance: str) -> int:
+def endpoint_id_of(instance: str) -> int:
     """The same number at every gateway: they rank the workers by it."""
     return int.from_bytes(
         hashlib.blake2b(instance.encode("utf-8", "surrogatepass"), digest_size=6).digest(), "big"
@@ -45,18 +49,18 @@
 class EndpointRow(NamedTuple):
     """What is known of a worker: its last readable row."""
 
-    entry: EndpointInfo
+    info: EndpointInfo
     address: str
-    born: float  # of the start that the row speaks of; without end where a leaving row does not say
+    started_at_ms: float  # of the start that the row speaks of; without end where a leaving row does not say
 
 
 class MembershipChange(NamedTuple):
     """What a list changes. Those up are new, or a new start, or at a new address."""
 
-    listed: EndpointsUpdated
-    up: tuple[EndpointRow, ...]
-    told: dict[EndpointStatus, list[str]]  # for the log: who is now what
-    unread: int  # rows that could not be read
+    update: EndpointsUpdated
+    ready: tuple[EndpointRow, ...]
+    changes_by_status: dict[EndpointStatus, list[str]]  # for the log: who is now what
+    unreadable_count: int  # rows that could not be read
 
 
 Read = dict[str, "EndpointRow | None"]
@@ -146,14 +150,14 @@
             known = self.rows.get(name)
             if row is None or known is None or known == row:
                 continue
-            if row.entry.status is not EndpointStatus.READY or row.born > known.born:
+            if row.info.status is not EndpointStatus.READY or row.started_at_ms > known.started_at_ms:
                 changed[name] = row
         return self.change(read, changed, False)
 
     def change(self, read: Read, changed: dict[str, EndpointRow], whole: bool) -> MembershipChange:
         told: dict[EndpointStatus, list[str]] = {}
         for name, row in changed.items():
-            health = row.entry.status
+            health = row.info.status
             if is_news(self.rows.get(name), row):
                 told.setdefault(health, []).append(name)
             if health is EndpointStatus.REMOVED:
@@ -161,9 +165,9 @@
             else:
                 self.rows[name] = row
         rows = self.rows.values() if whole else changed.values()
-        up = tuple(row for row in changed.values() if row.entry.status is EndpointStatus.READY)
+        up = tuple(row for row in changed.values() if row.info.status is EndpointStatus.READY)
         return MembershipChange(
-            EndpointsUpdated(whole, tuple(row.entry for row in rows)),
+            EndpointsUpdated(whole, tuple(row.info for row in rows)),
             up,
             told,
             sum(row is None for row in read.values()),
@@ -194,14 +198,14 @@
         return found
 
     def row(self, name: str, row: dict[str, Any]) -> EndpointRow:
-        health = STATES[row["lifecycle"]]
+        health = STATUS_BY_LIFECYCLE[row["lifecycle"]]
         if health is not EndpointStatus.READY:
             return leaving(name, health, row.get("startedAtMs"))
         born, address = number(row["startedAtMs"]), row["hostPort"]
         if not ADDRESS.fullmatch(address) or int(address.rpartition(":")[2]) > 65535:
             raise ValueError("no address")
         entry = EndpointInfo(
-            worker_id(name),
+            endpoint_id_of(name),
             self.names.zone_index(row["zone"]),
             int(row["cell"]),
             str(row["machineType"]),
@@ -239,18 +243,18 @@
         start = number(born)
     except UNREADABLE:
         start = inf
-    return EndpointRow(EndpointInfo(worker_id(name), 0, 0, "", health, None, 0.0), "", start)
+    return EndpointRow(EndpointInfo(endpoint_id_of(name), 0, 0, "", health, None, 0.0), "", start)
 
 
 def is_news(known: EndpointRow | None, row: EndpointRow) -> bool:
     """For the log: another health than before, or another start."""
     if known is None:
-        return row.entry.status is not EndpointStatus.REMOVED
-    return known.entry.status is not row.entry.status or row.entry.started_at_ms != known.entry.started_at_ms
+        return row.info.status is not EndpointStatus.REMOVED
+    return known.info.status is not row.info.status or row.info.started_at_ms != known.info.started_at_ms
 
 
 def precedence(row: EndpointRow) -> tuple[float, bool]:
-    return row.born, row.entry.status is not EndpointStatus.READY
+    return row.started_at_ms, row.info.status is not EndpointStatus.READY
 
 
 TABLE: dict[tuple[str, str], tuple[str, Callable[[Membership, Read, bool], MembershipChange]]] = {
--- a/drumgw/gateway/process.py
+++ b/drumgw/gateway/process.py
@@ -17,56 +17,56 @@
 from drumgw.gateway.process_config import ConfigError, GatewayConfig
 from drumgw.gateway.service import GatewayService
 
-LINGER_MS = 700.0  # after SIGTERM clients still come for so long (the protocol's figure)
-GARBAGE = 20000  # objects between two walks of the collector
+SHUTDOWN_LINGER_MS = 700.0  # after SIGTERM clients still come for so long (the protocol's figure)
+GC_THRESHOLD = 20000  # objects between two walks of the collector
 
 
 class GatewayProcess:
-    def __init__(self, charter: GatewayConfig) -> None:
-        self.charter = charter
-        self.pulse = StallAwareClock(MonotonicClock(), asyncio.get_running_loop())
-        self.station = station = GatewayService(charter, self.pulse)
-        self.desk, self.workers, self.counter, self.discovery = (
-            station.desk,
-            station.workers,
-            station.counter,
-            station.discovery,
+    def __init__(self, config: GatewayConfig) -> None:
+        self.config = config
+        self.clock = StallAwareClock(MonotonicClock(), asyncio.get_running_loop())
+        self.service = service = GatewayService(config, self.clock)
+        self.dispatcher, self.endpoint_clients, self.counter, self.discovery = (
+            service.dispatcher,
+            service.endpoint_clients,
+            service.counter,
+            service.discovery,
         )
-        self.front = HttpServer(charter, self.desk)
-        self.term = asyncio.Event()
+        self.http_server = HttpServer(config, self.dispatcher)
+        self.stop_requested = asyncio.Event()
 
     async def open(self) -> tuple[str, int]:
         """Nobody is let in before the agent has spoken, or was silent for READY_MS (gate/membership.py)."""
-        self.pulse.beat()
-        self.station.start()
-        await self.front.bind()
-        await self.discovery.begin(READY_MS / 1000)
-        place = await self.front.open()
+        self.clock.start_heartbeat()
+        self.service.start()
+        await self.http_server.bind()
+        await self.discovery.start(READY_MS / 1000)
+        place = await self.http_server.open()
         logger.info(
             "{} serves at {}:{}: {} workers listed, at most {} clients and {} lines to workers",
-            self.charter.name,
+            self.config.name,
             *place,
             len(self.discovery.membership.rows),
-            self.charter.clients,
-            self.charter.lines,
+            self.config.max_client_connections,
+            self.config.max_endpoint_connections,
         )
         return place
 
     async def close(self) -> None:
         """Still serves what comes for a while, then finishes what is in hand."""
-        self.front.withdraw()
-        logger.info("{} was told to end: {} txns in hand", self.charter.name, len(self.desk.waiting))
-        await asyncio.sleep(LINGER_MS / 1000)
-        await self.front.finish(self.pulse.now() + self.charter.longest_ms)
-        await self.station.finish()
-        await self.front.seen_off()
-        await self.front.server.shutdown(0.1)
-        await self.shut()
+        self.http_server.withdraw_readiness()
+        logger.info("{} was told to end: {} txns in hand", self.config.name, len(self.dispatcher.waiting))
+        await asyncio.sleep(SHUTDOWN_LINGER_MS / 1000)
+        await self.http_server.drain(self.clock.now() + self.config.longest_deadline_ms)
+        await self.service.return_reservations()
+        await self.http_server.wait_until_closed()
+        await self.http_server.server.shutdown(0.1)
+        await self.close_service()
         logger.info(
             "{} ends: {} txns taken, {} left open, invariants broken: {}",
-            self.charter.name,
-            self.desk.core.taken,
-            len(self.desk.waiting),
+            self.config.name,
+            self.dispatcher.lifecycle.received_count,
+            len(self.dispatcher.waiting),
             dict(broken) or "none",
         )
 
@@ -77,54 +77,54 @@
         except ConfigError as bad:
             logger.warning("SIGHUP: {}; the old configuration stands", bad)
             return
-        self.station.move(told)
+        self.service.reconfigure(told)
         logger.info(
             "SIGHUP: discovery at {}:{}, counter at {}",
             *told.discovery,
             "{}:{}".format(*told.counter) if told.counter else "none",
         )
 
-    async def shut(self) -> None:
-        await self.station.shut()
+    async def close_service(self) -> None:
+        await self.service.close()
 
 
-async def serve(
-    charter: GatewayConfig, again: Callable[[], GatewayConfig], early: Sequence[int] = ()
-) -> None:
+async def serve(config: GatewayConfig, again: Callable[[], GatewayConfig], early: Sequence[int] = ()) -> None:
     """Guards SIGHUP at both ends: early ones are heeded once it serves, late ones do not end the process."""
-    gateway, loop = GatewayProcess(charter), asyncio.get_running_loop()
-    heed(loop, signal.SIGTERM, gateway.term.set)
-    heed(loop, signal.SIGHUP, partial(gateway.reload, again))
-    opening, term = asyncio.create_task(gateway.open()), asyncio.create_task(gateway.term.wait())
+    gateway, loop = GatewayProcess(config), asyncio.get_running_loop()
+    handle_signal(loop, signal.SIGTERM, gateway.stop_requested.set)
+    handle_signal(loop, signal.SIGHUP, partial(gateway.reload, again))
+    opening, term = asyncio.create_task(gateway.open()), asyncio.create_task(gateway.stop_requested.wait())
     await asyncio.wait((opening, term), return_when=asyncio.FIRST_COMPLETED)
     if not opening.done():  # told to end while it waited for discovery: nobody was let in
         opening.cancel()
         await asyncio.wait((opening,))
     term.cancel()
     if opening.cancelled() or opening.exception():
-        await gateway.shut()
+        await gateway.close_service()
     if opening.cancelled():
-        logger.info("{} ends before it served", charter.name)
-        deaf()
+        logger.info("{} ends before it served", config.name)
+        ignore_signals()
         return
     opening.result()
     if early:
         gateway.reload(again)
     gc.collect()
     gc.freeze()  # what lives as long as the process is not walked again
-    gc.set_threshold(GARBAGE)  # a txn leaves few cycles behind; memory has room for more of them
-    await gateway.term.wait()
+    gc.set_threshold(GC_THRESHOLD)  # a txn leaves few cycles behind; memory has room for more of them
+    await gateway.stop_requested.wait()
     await gateway.close()
-    deaf()
+    ignore_signals()
 
 
-def heed(loop: asyncio.AbstractEventLoop, number: signal.Signals, call: Callable[[], object]) -> None:
+def handle_signal(
+    loop: asyncio.AbstractEventLoop, number: signal.Signals, call: Callable[[], object]
+) -> None:
     """Not by the loop's own way, which brings the defaults back at its end: they end the process."""
     signal.signal(number, lambda *_: loop.call_soon_threadsafe(call) and None)
     signal.siginterrupt(number, False)
 
 
-def deaf() -> None:
+def ignore_signals() -> None:
     """From one handler to the next there is no moment with none."""
     for number in (signal.SIGTERM, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
--- a/drumgw/gateway/process_config.py
+++ b/drumgw/gateway/process_config.py
@@ -10,12 +10,14 @@
 from drumgw.model.settings import GatewaySettings
 from drumgw.model.settings_reader import NameIndex, read_settings
 
-RESERVED = 24  # descriptors for standard streams, the loop, the listener, the list and log files
-COUNTER_LINES = 32  # what the counter holds of one gatekeeper (the protocol's figure)
-MOST_BODY = 64 * 1024  # the protocol's figure; a head is held to a quarter of it
-MOST_HEAD = MOST_BODY // 4
+RESERVED_DESCRIPTORS = 24  # descriptors for standard streams, the loop, the listener, the list and log files
+MAX_COUNTER_CONNECTIONS = 32  # what the counter holds of one gatekeeper (the protocol's figure)
+MAX_BODY_BYTES = 64 * 1024  # the protocol's figure; a head is held to a quarter of it
+MAX_HEAD_BYTES = MAX_BODY_BYTES // 4
 DRAIN_MS = 250.0  # taken for the grace of a drain where the settings name none
-CLIENT_MS = 2000.0  # a connection with no request open may be closed after this (the protocol's figure)
+CLIENT_IDLE_TIMEOUT_MS = (
+    2000.0  # a connection with no request open may be closed after this (the protocol's figure)
+)
 
 
 class ConfigError(ValueError):
@@ -29,23 +31,23 @@
     discovery: tuple[str, int]
     counter: tuple[str, int] | None
     seed: int
-    known: dict[str, Any]
-    terms: GatewaySettings
+    known_endpoints: dict[str, Any]
+    settings: GatewaySettings
     names: NameIndex
-    clients: int  # connections at most, of clients
-    asking: int  # of them that have asked: three quarters of what the protocol lets them hold
-    lines: int  # and to workers
-    idle_ms: float  # a connection to a worker is kept this long at most
-    connect_ms: float
-    grace_ms: float = DRAIN_MS  # from the moment that a drain counts as told to the last send
+    max_client_connections: int  # connections at most, of clients
+    max_requesting_clients: int  # of them that have asked: three quarters of what the protocol lets them hold
+    max_endpoint_connections: int  # and to workers
+    endpoint_idle_ms: float  # a connection to a worker is kept this long at most
+    connect_timeout_ms: float
+    drain_grace_ms: float = DRAIN_MS  # from the moment that a drain counts as told to the last send
     shared_discovery: bool = False  # lists are asked of a service with bounds, not of an agent of our own
-    watch_ms: float = 0.0  # the agent may let a call wait so long; 0: as the grace has it
-    prefix: str = ""  # of the names of its counts, where several share a counter
-    said: str = ""  # before its lines in the log, where several write one
+    watch_timeout_ms: float = 0.0  # the agent may let a call wait so long; 0: as the grace has it
+    counter_key_prefix: str = ""  # of the names of its counts, where several share a counter
+    log_prefix: str = ""  # before its lines in the log, where several write one
 
     @property
-    def longest_ms(self) -> float:
-        return max(p.deadline_ms for p in self.terms.request_classes)
+    def longest_deadline_ms(self) -> float:
+        return max(p.deadline_ms for p in self.settings.request_classes)
 
 
 def address(text: object, what: str) -> tuple[str, int]:
@@ -83,16 +85,16 @@
 
 
 def _charter(told: dict[str, Any], env: Mapping[str, str]) -> GatewayConfig:
-    settings = told["settings"]
-    terms, names = read_settings(settings)
-    allowed = settings["ceilings"]
+    raw_settings = told["settings"]
+    settings, names = read_settings(raw_settings)
+    allowed = raw_settings["ceilings"]
     sockets = int((told.get("limits") or {}).get("sockets") or 1024)
-    counter = address(told["counter"], "counter") if terms.has_counter else None
-    free = sockets - RESERVED - (COUNTER_LINES if counter else 0)
+    counter = address(told["counter"], "counter") if settings.has_counter else None
+    free = sockets - RESERVED_DESCRIPTORS - (MAX_COUNTER_CONNECTIONS if counter else 0)
     lines = free * 2 // 5  # clients may hold a third of all, and as many again come and say nothing
     if lines < 1:
         raise ConfigError(f"limits.sockets is {sockets}, too few")
-    grace = settings["contract"].get("stopSendingWithinMs")
+    grace = raw_settings["contract"].get("stopSendingWithinMs")
     known = told.get("known") or {"generation": 0, "reset": True, "instances": []}
     return GatewayConfig(
         name=str(env.get("GW_NAME") or told["name"]),
@@ -100,14 +102,14 @@
         discovery=address(env.get("GW_DISCOVERY") or told["discovery"], "discovery"),
         counter=counter,
         seed=int(str(told["seed"]), 16),
-        known=known,
-        terms=terms,
+        known_endpoints=known,
+        settings=settings,
         names=names,
-        clients=free - lines,
-        asking=min(free - lines, sockets // 3) * 3 // 4,
-        lines=lines,
-        idle_ms=float(allowed.get("connIdleMs") or 0) / 2,  # never near the worker's own limit
-        connect_ms=float(allowed.get("connectTimeoutMs") or 1000.0),
-        grace_ms=DRAIN_MS if grace is None else float(grace),
-        shared_discovery=settings.get("discovery") == "ask",
+        max_client_connections=free - lines,
+        max_requesting_clients=min(free - lines, sockets // 3) * 3 // 4,
+        max_endpoint_connections=lines,
+        endpoint_idle_ms=float(allowed.get("connIdleMs") or 0) / 2,  # never near the worker's own limit
+        connect_timeout_ms=float(allowed.get("connectTimeoutMs") or 1000.0),
+        drain_grace_ms=DRAIN_MS if grace is None else float(grace),
+        shared_discovery=raw_settings.get("discovery") == "ask",
     )
--- a/drumgw/gateway/request_lifecycle.py
+++ b/drumgw/gateway/request_lifecycle.py
@@ -109,29 +109,31 @@
 
 
 class RequestLifecycle:
-    def __init__(self, keeper: PolicyEngineProtocol, terms: GatewaySettings) -> None:
-        self.keeper, self.most, self.copies = keeper, terms.max_attempts, terms.hedging_allowed
-        self.hand: dict[int, InFlightRequest] = {}  # emptied by answers and ended submissions
+    def __init__(self, policy: PolicyEngineProtocol, settings: GatewaySettings) -> None:
+        self.policy, self.most, self.copies = policy, settings.max_attempts, settings.hedging_allowed
+        self.in_flight: dict[int, InFlightRequest] = {}  # emptied by answers and ended submissions
         self.ticks: dict[int, float] = {}  # label: interval; the module's few labels
         self.events: deque[Event] = deque()  # emptied by each call
-        self.effects: list[Command] = []
-        self.taken = 0
-        self.stood = 0.0  # ms in which our own loop stood; they are in no submission's time
+        self.commands: list[Command] = []
+        self.received_count = 0
+        self.stalled_ms = 0.0  # ms in which our own loop stood; they are in no submission's time
 
     def start(self, now: float, listed: EndpointsUpdated) -> list[Command]:
-        for action in self.keeper.start(now):
+        for action in self.policy.start(now):
             self.act(now, action)
         return self.tell(now, listed)
 
-    def arrive(self, now: float, asked: RequestReceived, waited_ms: float = 0.0) -> tuple[int, list[Command]]:
+    def request_received(
+        self, now: float, asked: RequestReceived, waited_ms: float = 0.0
+    ) -> tuple[int, list[Command]]:
         """A request that came while our loop stood has less time left than it says."""
-        self.taken += 1
-        txn, left_ms = self.taken, max(0.0, asked.time_left_ms - waited_ms)
-        self.hand[txn] = InFlightRequest(now + left_ms)
-        self.effects.append(ScheduleDeadline(now + left_ms, txn, -1))
+        self.received_count += 1
+        txn, left_ms = self.received_count, max(0.0, asked.time_left_ms - waited_ms)
+        self.in_flight[txn] = InFlightRequest(now + left_ms)
+        self.commands.append(ScheduleDeadline(now + left_ms, txn, -1))
         return txn, self.tell(now, asked._replace(request_id=txn, time_left_ms=left_ms))
 
-    def ended(
+    def attempt_ended(
         self,
         now: float,
         txn: int,
@@ -142,7 +144,7 @@
         answer: Any,
     ) -> list[Command]:
         """A submission ended by itself. One that was given up meanwhile is told no second time."""
-        h = self.hand.get(txn)
+        h = self.in_flight.get(txn)
         if h is None or submission not in h.out:
             return []
         first = h.owed and end is Outcome.SUCCEEDED
@@ -151,41 +153,43 @@
         self.close(now, txn, h, submission, end, units if first else 0.0, load)
         return self.tell(now)
 
-    def left(self, now: float, txn: int) -> list[Command]:
-        h = self.hand.get(txn)
+    def client_disconnected(self, now: float, txn: int) -> list[Command]:
+        h = self.in_flight.get(txn)
         if h is None or not h.owed:
             return []
         h.owed = False
         self.drop(txn, h)
         return self.tell(now, ClientDisconnected(txn))
 
-    def alarm(self, now: float, txn: int, submission: int) -> list[Command]:
-        h = self.hand.get(txn)
+    def deadline_reached(self, now: float, txn: int, submission: int) -> list[Command]:
+        h = self.in_flight.get(txn)
         if h is None:
             return []
         for n in list(h.out) if submission < 0 else [submission] if submission in h.out else []:
-            self.effects.append(AbortAttempt(txn, n))
+            self.commands.append(AbortAttempt(txn, n))
             self.close(now, txn, h, n, Outcome.TIMED_OUT, 0.0, {})
-        effects = self.tell(now)  # its answers come first, and are kept
+        commands = self.tell(now)  # its answers come first, and are kept
         if submission < 0 and h.owed:  # guards clients against a module that forgot the txn
             self.end_by_self(now, txn, h)
-        return effects + self.tell(now)
+        return commands + self.tell(now)
 
-    def listed(self, now: float, listed: EndpointsUpdated) -> list[Command]:
+    def endpoints_updated(self, now: float, listed: EndpointsUpdated) -> list[Command]:
         return self.tell(now, listed)
 
-    def ending(self, now: float) -> list[Command]:
+    def gateway_stopping(self, now: float) -> list[Command]:
         return self.tell(now, GatewayStopping())
 
-    def due(self, now: float, label: int) -> list[Command]:
+    def timer_fired(self, now: float, label: int) -> list[Command]:
         return self.tell(now, TimerFired(label))
 
-    def total(self, now: float, name: int, end: Outcome, total: float, took_ms: float) -> list[Command]:
+    def counter_replied(
+        self, now: float, name: int, end: Outcome, total: float, took_ms: float
+    ) -> list[Command]:
         return self.tell(now, CounterReplied(name, end, total, took_ms))
 
-    def abandon(self, now: float, txn: int) -> list[Command]:
+    def abandon_request(self, now: float, txn: int) -> list[Command]:
         """An adapter failed at this txn: it is answered here."""
-        h = self.hand.get(txn)
+        h = self.in_flight.get(txn)
         if h is not None and h.owed:
             self.end_by_self(now, txn, h)
         return self.tell(now)
@@ -198,14 +202,14 @@
         while self.events:
             event = self.events.popleft()
             try:
-                actions = self.keeper.handle(now, event)
+                actions = self.policy.handle(now, event)
             except Exception as error:  # the module's own failure, whatever it is
                 self.fault(now, event, error)
                 continue
             for action in actions:
                 self.act(now, action)
-        effects, self.effects = self.effects, []
-        return effects
+        commands, self.commands = self.commands, []
+        return commands
 
     def act(self, now: float, action: Action) -> None:
         match action:
@@ -216,20 +220,20 @@
             case FailRequest():
                 self.finish(action.request_id, FAILED, 0.0)
             case CancelAttempt():
-                h = self.hand.get(action.request_id)
+                h = self.in_flight.get(action.request_id)
                 if h is not None and action.attempt in h.out:
-                    self.effects.append(AbortAttempt(action.request_id, action.attempt))
+                    self.commands.append(AbortAttempt(action.request_id, action.attempt))
                     self.close(now, action.request_id, h, action.attempt, Outcome.CANCELLED, 0.0, {})
             case SetTimer():
                 self.ticks[action.timer_id] = action.delay_ms
-                self.effects.append(action)
+                self.commands.append(action)
             case AddToCounter() | LogMessage():
-                self.effects.append(action)
+                self.commands.append(action)
             case CheckHealth():
                 invariant(False, "the module probes where probes have no port")
 
     def submit(self, now: float, a: ForwardRequest) -> None:
-        h = self.hand.get(a.request_id)
+        h = self.in_flight.get(a.request_id)
         invariant(h is not None and h.owed, "a txn is submitted only while in hand")
         if h is None or not h.owed:
             return
@@ -240,13 +244,13 @@
                 AttemptEnded(a.request_id, n, a.endpoint_id, Outcome.NOT_SENT, 0.0, False, 0.0, {})
             )
             return
-        h.out[n] = a.endpoint_id, now - self.stood
-        self.effects.append(StartAttempt(a.request_id, n, a.endpoint_id, stop_at, a.write_by_ms))
+        h.out[n] = a.endpoint_id, now - self.stalled_ms
+        self.commands.append(StartAttempt(a.request_id, n, a.endpoint_id, stop_at, a.write_by_ms))
         if stop_at < h.expiry:
-            self.effects.append(ScheduleDeadline(stop_at, a.request_id, n))
+            self.commands.append(ScheduleDeadline(stop_at, a.request_id, n))
 
     def finish(self, txn: int, status: int, retry_after_ms: float) -> None:
-        h = self.hand.get(txn)
+        h = self.in_flight.get(txn)
         invariant(h is not None and h.owed, "a txn is answered once")
         if h is not None and h.owed:
             self.reply(txn, h, status, retry_after_ms, None)
@@ -254,7 +258,7 @@
 
     def reply(self, txn: int, h: InFlightRequest, status: int, retry_after_ms: float, answer: Any) -> None:
         h.owed = False
-        self.effects.append(SendResponse(txn, status, retry_after_ms, answer))
+        self.commands.append(SendResponse(txn, status, retry_after_ms, answer))
 
     def close(
         self,
@@ -268,23 +272,23 @@
     ) -> None:
         worker, sent = h.out.pop(n)
         h.ran = h.ran or end not in NEVER_RAN
-        took = now - self.stood - sent
+        took = now - self.stalled_ms - sent
         self.events.append(AttemptEnded(txn, n, worker, end, took, not h.owed, units, load))
         self.drop(txn, h)
 
     def drop(self, txn: int, h: InFlightRequest) -> None:
         if not h.owed and not h.out:
-            self.hand.pop(txn, None)
+            self.in_flight.pop(txn, None)
 
     # Failures of our own
 
     def fault(self, now: float, event: Event, error: Exception) -> None:
         """The txn at hand is answered; the others go on, and at worst end at their expiry."""
-        self.effects.append(ReportFault(error))
+        self.commands.append(ReportFault(error))
         if isinstance(event, TimerFired):  # the tick must not die with one fault
-            self.effects.append(SetTimer(self.ticks.get(event.timer_id, 0.0), event.timer_id))
+            self.commands.append(SetTimer(self.ticks.get(event.timer_id, 0.0), event.timer_id))
         elif isinstance(event, RequestReceived | AttemptEnded):
-            h = self.hand.get(event.request_id)
+            h = self.in_flight.get(event.request_id)
             if h is not None and h.owed:
                 self.end_by_self(now, event.request_id, h)
 
@@ -293,7 +297,7 @@
         ran = h.ran or bool(h.out)
         self.reply(txn, h, FAILED if ran else REFUSED, 0.0, None)
         for n in list(h.out):
-            self.effects.append(AbortAttempt(txn, n))
+            self.commands.append(AbortAttempt(txn, n))
             self.close(now, txn, h, n, Outcome.CANCELLED, 0.0, {})
         self.drop(txn, h)
         self.events.append(ClientDisconnected(txn))
--- a/drumgw/gateway/request_parsing.py
+++ b/drumgw/gateway/request_parsing.py
@@ -37,8 +37,8 @@
 
     head: bytes  # request line and headers, without Request-Timeout, which each submission adds
     body: bytes
-    asked: RequestReceived  # its number is given by the core
-    txn: int = 0
+    received: RequestReceived  # its number is given by the core
+    request_id: int = 0
     client_left: Callable[[], bool] = still_there  # asked before each attempt's first byte
 
 
@@ -76,7 +76,7 @@
 
 
 def parse_request(
-    names: NameIndex, terms: GatewaySettings, method: str, target: str, headers: Mapping[str, str]
+    names: NameIndex, settings: GatewaySettings, method: str, target: str, headers: Mapping[str, str]
 ) -> RequestReceived:
     """The fields of a request; raises Unfit where one is missing or means nothing here.
 
@@ -89,7 +89,7 @@
     product = names.request_classes.get(path.split("/", 2)[1] if path.startswith("/") else "")
     if product is None:
         raise BadRequestError(404, "no such product")
-    if (method == "GET") != (terms.request_classes[product].idempotency is Idempotency.IDEMPOTENT):
+    if (method == "GET") != (settings.request_classes[product].idempotency is Idempotency.IDEMPOTENT):
         raise BadRequestError(405, "not this product's method")
     if not REQUEST_ID.fullmatch(headers.get("Request-Id", "")):
         raise BadRequestError(400, "Request-Id is missing or unusable")
@@ -104,9 +104,9 @@
         raise BadRequestError(400, f"missing or unusable: {bad}") from bad
     if not (
         left > 0
-        and 0 < units <= terms.max_request_units
-        and 1 <= gates <= terms.gateways
-        and first < terms.gateways
+        and 0 < units <= settings.max_request_units
+        and 1 <= gates <= settings.gateways
+        and first < settings.gateways
         and gates % 1 == first % 1 == 0
     ):
         raise BadRequestError(400, "Request-Timeout or Quota-Info is out of its range")
--- a/drumgw/gateway/service.py
+++ b/drumgw/gateway/service.py
@@ -16,37 +16,37 @@
 
 
 class GatewayService:
-    def __init__(self, charter: GatewayConfig, pulse: StallAwareClock) -> None:
-        self.charter, self.pulse = charter, pulse
-        core = RequestLifecycle(PolicyEngine(charter.seed, charter.terms), charter.terms)
-        self.desk = Dispatcher(core, pulse, 4 * charter.lines, charter.said)
-        self.workers = EndpointClients(charter, self.desk)
-        self.counter = CounterClient(charter, self.desk) if charter.counter else None
-        self.discovery = DiscoveryClient(charter, self.desk, self.workers)
-        self.desk.workers, self.desk.counter = self.workers, self.counter
-        self.workers.heed(self.discovery.look)
+    def __init__(self, config: GatewayConfig, clock: StallAwareClock) -> None:
+        self.config, self.clock = config, clock
+        lifecycle = RequestLifecycle(PolicyEngine(config.seed, config.settings), config.settings)
+        self.dispatcher = Dispatcher(lifecycle, clock, 4 * config.max_endpoint_connections, config.log_prefix)
+        self.endpoint_clients = EndpointClients(config, self.dispatcher)
+        self.counter = CounterClient(config, self.dispatcher) if config.counter else None
+        self.discovery = DiscoveryClient(config, self.dispatcher, self.endpoint_clients)
+        self.dispatcher.attempts, self.dispatcher.counter = self.endpoint_clients, self.counter
+        self.endpoint_clients.check_before_sending(self.discovery.read_pending_updates)
 
     def start(self) -> None:
         """Before anything else of it; it knows no worker yet."""
-        self.desk.post(self.desk.core.start, EndpointsUpdated(True, ()))
+        self.dispatcher.post(self.dispatcher.lifecycle.start, EndpointsUpdated(True, ()))
 
-    def move(self, told: GatewayConfig) -> None:
+    def reconfigure(self, told: GatewayConfig) -> None:
         """Discovery and the counter are asked there; the list, the books and all in hand stay as they are."""
-        self.discovery.move(told.discovery)
+        self.discovery.set_address(told.discovery)
         if self.counter is not None and told.counter is not None:
-            self.counter.move(told.counter)
+            self.counter.set_address(told.counter)
 
-    async def finish(self) -> None:
+    async def return_reservations(self) -> None:
         """What was leased and not spent goes back, once nothing is in hand; nobody waits for it but us."""
         if self.counter is None:
             return
-        self.desk.post(self.desk.core.ending)
-        end = self.pulse.now() + self.counter.wait_ms
-        while self.counter.waiting and self.pulse.now() < end:
+        self.dispatcher.post(self.dispatcher.lifecycle.gateway_stopping)
+        end = self.clock.now() + self.counter.wait_ms
+        while self.counter.waiting and self.clock.now() < end:
             await asyncio.sleep(0.005)
 
-    async def shut(self) -> None:
-        self.desk.close()
-        for part in (self.workers, self.counter, self.discovery):
+    async def close(self) -> None:
+        self.dispatcher.close()
+        for part in (self.endpoint_clients, self.counter, self.discovery):
             if part is not None:
                 await part.close()
--- a/drumgw/hosting/admin_api.py
+++ b/drumgw/hosting/admin_api.py
@@ -14,10 +14,10 @@
 from drumgw.config.host_file import NamedTenantSpec, TenantSpec
 from drumgw.gateway.process_config import ConfigError
 from drumgw.hosting.authentication import NOT_ITS_OWN, TENANT, Authenticator, Token, is_allowed
-from drumgw.hosting.tenant_registry import ChangeRejected, Obj, Tenant, TenantChange, TenantRegistry
+from drumgw.hosting.tenant_registry import ChangeRejected, JsonObject, Tenant, TenantChange, TenantRegistry
 from drumgw.hosting.tenant_services import TenantServices
 
-MOST_BODY, MOST_CALLS, BODY_S, MOST_PAGE = 256 * 1024, 16, 5.0, 200
+MAX_BODY_BYTES, MOST_CALLS, BODY_S, MOST_PAGE = 256 * 1024, 16, 5.0, 200
 PARTS = {"plans": "plan", "routes": "route", "limits": "allowed"}
 Handler = Callable[["AdminApi", web.Request, Token], Awaitable[web.Response]]
 
@@ -34,7 +34,7 @@
 class AdminApi:
     def __init__(self, hosting: TenantServices, access: Authenticator) -> None:
         self.hosting, self.access, self.calls = hosting, access, 0
-        self.app = web.Application(client_max_size=MOST_BODY, middlewares=[self.guard])
+        self.app = web.Application(client_max_size=MAX_BODY_BYTES, middlewares=[self.guard])
         for action, handler in LIST:
             self.app.router.add_route(action.method, action.path, self.handler(action, handler))
         self.runner = web.AppRunner(self.app, access_log=None, keepalive_timeout=10.0)
@@ -133,7 +133,9 @@
     async def change(self, make: Callable[[TenantRegistry], tuple[Any, TenantChange | None]]) -> Any:
         return await self.hosting.change(make)
 
-    async def put(self, request: web.Request, who: Token, whole: Callable[[Obj], Obj]) -> web.Response:
+    async def put(
+        self, request: web.Request, who: Token, whole: Callable[[JsonObject], JsonObject]
+    ) -> web.Response:
         """Replaces the spec by what whole makes of the one that stands."""
         name, match = request.match_info["tenant"], request.headers.get("If-Match")
 
@@ -227,7 +229,7 @@
 
 def problem(no: ChangeRejected, headers: dict[str, str] | None = None) -> web.Response:
     errors = no.errors or ([{"pointer": no.pointer, "detail": no.detail}] if no.pointer else [])
-    told: Obj = {"type": "about:blank", "title": no.title, "status": no.status, "detail": no.detail}
+    told: JsonObject = {"type": "about:blank", "title": no.title, "status": no.status, "detail": no.detail}
     if errors:
         told["errors"] = errors
     kind = "application/problem+json"
--- a/drumgw/hosting/host_process.py
+++ b/drumgw/hosting/host_process.py
@@ -11,8 +11,8 @@
 
 from drumgw.config.host_file import HostFile
 from drumgw.gateway.clock import MonotonicClock, StallAwareClock
-from drumgw.gateway.process import GARBAGE, LINGER_MS, deaf, heed
-from drumgw.gateway.process_config import RESERVED, ConfigError, address
+from drumgw.gateway.process import GC_THRESHOLD, SHUTDOWN_LINGER_MS, handle_signal, ignore_signals
+from drumgw.gateway.process_config import RESERVED_DESCRIPTORS, ConfigError, address
 from drumgw.hosting.admin_api import MOST_CALLS, AdminApi
 from drumgw.hosting.authentication import Authenticator, Token
 from drumgw.hosting.http_server import HostHttpServer, ListenerConfig
@@ -24,18 +24,18 @@
 class HostProcess:
     def __init__(self, house: HostFile) -> None:
         self.house = house
-        self.pulse = StallAwareClock(MonotonicClock(), asyncio.get_running_loop())
+        self.clock = StallAwareClock(MonotonicClock(), asyncio.get_running_loop())
         self.store = StateFile(house.host.state) if house.host.state else None
-        self.hosting = TenantServices(house, self.pulse, self.tenants(), self.store)
-        clients = house.limits.sockets - RESERVED - 2 * MOST_CALLS - self.hosting.most
+        self.hosting = TenantServices(house, self.clock, self.tenants(), self.store)
+        clients = house.limits.sockets - RESERVED_DESCRIPTORS - 2 * MOST_CALLS - self.hosting.most
         if clients < 1:
             raise ConfigError(f"limits.sockets is {house.limits.sockets}, too few")
         doorway = ListenerConfig(address(house.host.listen, "listen"), clients, clients * 3 // 4)
-        self.front = HostHttpServer(doorway, self.hosting)
+        self.http_server = HostHttpServer(doorway, self.hosting)
         self.api = AdminApi(
             self.hosting, Authenticator(Token(t.id, t.role, t.tenant, t.sha256) for t in house.token)
         )
-        self.term = asyncio.Event()
+        self.stop_requested = asyncio.Event()
 
     def tenants(self) -> TenantRegistry:
         """Those of the state folder, where there is one and it has any; else the file's."""
@@ -59,14 +59,14 @@
         return registry
 
     async def open(self) -> tuple[tuple[str, int], tuple[str, int]]:
-        self.pulse.beat()
-        await self.front.bind()
+        self.clock.start_heartbeat()
+        await self.http_server.bind()
         self.hosting.open()
         try:
             api = await self.api.open(address(self.house.host.api, "api"))
         except OSError as error:
             raise ConfigError(f"cannot listen at {self.house.host.api}: {error}") from error
-        place = await self.front.open()
+        place = await self.http_server.open()
         logger.info(
             "host {} serves at {}:{}, its API at {}:{}: {} tenants, {}",
             self.house.host.name,
@@ -78,13 +78,15 @@
         return place, api
 
     async def close(self) -> None:
-        self.front.withdraw()
+        self.http_server.withdraw_readiness()
         await self.api.close()
-        await asyncio.sleep(LINGER_MS / 1000)
-        longest = max((s.station.charter.longest_ms for s in self.hosting.seats.values()), default=0.0)
-        await self.front.finish(self.pulse.now() + longest)
-        await self.front.seen_off()
-        await self.front.server.shutdown(0.1)
+        await asyncio.sleep(SHUTDOWN_LINGER_MS / 1000)
+        longest = max(
+            (s.service.config.longest_deadline_ms for s in self.hosting.seats.values()), default=0.0
+        )
+        await self.http_server.drain(self.clock.now() + longest)
+        await self.http_server.wait_until_closed()
+        await self.http_server.server.shutdown(0.1)
         await self.hosting.close()
         logger.info("host {} ends", self.house.host.name)
 
@@ -100,17 +102,17 @@
 
 
 async def serve(house: HostFile, again: Callable[[], HostFile]) -> None:
-    service, loop = HostProcess(house), asyncio.get_running_loop()
-    heed(loop, signal.SIGTERM, service.term.set)
-    heed(loop, signal.SIGHUP, lambda: service.reload(again))
+    host_process, loop = HostProcess(house), asyncio.get_running_loop()
+    handle_signal(loop, signal.SIGTERM, host_process.stop_requested.set)
+    handle_signal(loop, signal.SIGHUP, lambda: host_process.reload(again))
     try:
-        await service.open()
+        await host_process.open()
     except ConfigError:
-        await service.api.close()
-        await service.hosting.close()
+        await host_process.api.close()
+        await host_process.hosting.close()
         raise
     gc.freeze()
-    gc.set_threshold(GARBAGE)
-    await service.term.wait()
-    await service.close()
-    deaf()
+    gc.set_threshold(GC_THRESHOLD)
+    await host_process.stop_requested.wait()
+    await host_process.close()
+    ignore_signals()
--- a/drumgw/hosting/state_file.py
+++ b/drumgw/hosting/state_file.py
@@ -12,7 +12,7 @@
 import pathlib
 from typing import Any
 
-VERSION, MOST_BYTES, MOST_HEAD = 1, 64 * 2**20, 4096
+VERSION, MOST_BYTES, MAX_HEAD_BYTES = 1, 64 * 2**20, 4096
 MARK = "drumgw state"
 
 
@@ -80,7 +80,7 @@
 def read(path: pathlib.Path) -> Any:
     try:
         with open(path, "rb") as file:
-            line, text = file.readline(MOST_HEAD), file.read(MOST_BYTES + 1)
+            line, text = file.readline(MAX_HEAD_BYTES), file.read(MOST_BYTES + 1)
     except OSError as bad:
         raise StateFileError(f"{path}: {bad.strerror or bad}") from bad
     try:
--- a/drumgw/hosting/tenant_registry.py
+++ b/drumgw/hosting/tenant_registry.py
@@ -16,14 +16,14 @@
 MOST_TENANTS, MOST_KEYS, MOST_OPERATIONS = 10_000, 1024, 1024
 ACTIVE, SUSPENDED, DRAINING, DRAINED, REMOVED = "active", "suspended", "draining", "drained", "removed"
 RUNNING, DONE, CALLED_OFF = "running", "done", "called off"
-Obj = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
 class ChangeRejected(Exception):
     """A change that is not made: a status, a line, and where the mistake is."""
 
     def __init__(
-        self, status: int, title: str, detail: str, pointer: str = "", errors: list[Obj] | None = None
+        self, status: int, title: str, detail: str, pointer: str = "", errors: list[JsonObject] | None = None
     ) -> None:
         super().__init__(detail)
         self.status, self.title, self.detail, self.pointer = status, title, detail, pointer
@@ -33,7 +33,7 @@
 class Tenant:
     __slots__ = ("name", "serial", "version", "state", "spec", "operation")
 
-    def __init__(self, name: str, serial: int, version: int, spec: Obj, state: str = ACTIVE) -> None:
+    def __init__(self, name: str, serial: int, version: int, spec: JsonObject, state: str = ACTIVE) -> None:
         self.name, self.serial, self.version, self.state, self.spec = name, serial, version, state, spec
         self.operation: str | None = None  # that waits for its txns
 
@@ -42,7 +42,7 @@
         """Of what it holds: a name made anew is another tenant."""
         return f"{self.name}#{self.serial}"
 
-    def told(self) -> Obj:
+    def told(self) -> JsonObject:
         return {
             "name": self.name,
             "version": self.version,
@@ -67,7 +67,7 @@
     tenant: Tenant
 
 
-def routes_of(spec: Obj) -> list[Route]:
+def routes_of(spec: JsonObject) -> list[Route]:
     return [Route(route["host"], route["path"]) for route in spec["route"]]
 
 
@@ -115,7 +115,9 @@
 
     # Changes
 
-    def create(self, name: str, spec: Obj, key: str | None = None) -> tuple[Tenant, TenantChange | None]:
+    def create(
+        self, name: str, spec: JsonObject, key: str | None = None
+    ) -> tuple[Tenant, TenantChange | None]:
         """No change where the key says that it was made before."""
         digest = hashlib.sha256(json.dumps([name, spec], sort_keys=True).encode()).hexdigest()
         if key is not None and (known := self.keys.get(key)) is not None:
@@ -138,7 +140,7 @@
             bound(self.keys, MOST_KEYS)
         return tenant, TenantChange("opened", tenant)
 
-    def replace(self, name: str, spec: Obj, match: str | None) -> tuple[Tenant, TenantChange]:
+    def replace(self, name: str, spec: JsonObject, match: str | None) -> tuple[Tenant, TenantChange]:
         tenant = self.matched(name, match)
         routes = self.compiled(name, spec)
         tenant.spec, tenant.version, self.routes = spec, self.number(), routes
@@ -177,7 +179,7 @@
             raise ChangeRejected(412, "Changed meanwhile", f"{name!r} is at version {tenant.version}")
         return tenant
 
-    def compiled(self, name: str, spec: Obj) -> Routes:
+    def compiled(self, name: str, spec: JsonObject) -> Routes:
         """The whole table as it would be."""
         others = [(t.name, r) for t in self.tenants.values() if t.name != name for r in routes_of(t.spec)]
         routes = Routes(others)
@@ -217,12 +219,12 @@
 
     # State that outlives the process
 
-    def kept(self) -> Obj:
+    def kept(self) -> JsonObject:
         rows = [[t.name, t.serial, t.version, t.state, t.spec] for t in self.tenants.values()]
         return {"counted": self.counted, "tenants": rows, "keys": self.keys}
 
     @classmethod
-    def of(cls, kept: Obj) -> TenantRegistry:
+    def of(cls, kept: JsonObject) -> TenantRegistry:
         """A process that ended has no txns in flight: what drained has drained."""
         registry = cls()
         registry.counted = kept["counted"]
--- a/drumgw/hosting/tenant_services.py
+++ b/drumgw/hosting/tenant_services.py
@@ -16,7 +16,7 @@
 from drumgw.gateway.service import GatewayService
 from drumgw.hosting.resource_limits import FairShares, FairTurns
 from drumgw.hosting.state_file import StateFile
-from drumgw.hosting.tenant_registry import ACTIVE, DRAINING, Obj, Tenant, TenantChange, TenantRegistry
+from drumgw.hosting.tenant_registry import ACTIVE, DRAINING, JsonObject, Tenant, TenantChange, TenantRegistry
 
 LAG_BEAT_MS = 50.0
 MOVES = ("discovery", "counter")  # a station goes on with others of these
@@ -26,8 +26,8 @@
 class TenantService:
     """A tenant's station, and what is in flight there."""
 
-    def __init__(self, tenant: Tenant, station: GatewayService) -> None:
-        self.name, self.serial, self.spec, self.station = tenant.name, tenant.serial, tenant.spec, station
+    def __init__(self, tenant: Tenant, service: GatewayService) -> None:
+        self.name, self.serial, self.spec, self.service = tenant.name, tenant.serial, tenant.spec, service
         self.key = tenant.key
         self.ids: set[str] = set()  # of open txns; emptied by their ends
         self.open = self.taken = self.turned_away = 0
@@ -37,9 +37,9 @@
 
 class TenantServices:
     def __init__(
-        self, house: HostFile, pulse: StallAwareClock, registry: TenantRegistry, store: StateFile | None
+        self, house: HostFile, clock: StallAwareClock, registry: TenantRegistry, store: StateFile | None
     ) -> None:
-        self.house, self.pulse, self.registry, self.store = house, pulse, registry, store
+        self.house, self.clock, self.registry, self.store = house, clock, registry, store
         self.most = house.host.txns or house.limits.sockets // 3
         self.shares, self.turns = FairShares(self.most), FairTurns()
         self.seats: dict[str, TenantService] = {}  # by name; emptied by removals
@@ -61,8 +61,8 @@
         for task in list(self.tasks):
             task.cancel()
         for seat in {*self.seats.values(), *self.coming.values(), *self.leaving}:
-            await seat.station.finish()
-            await seat.station.shut()
+            await seat.service.return_reservations()
+            await seat.service.close()
 
     def spawn(self, work: Any) -> asyncio.Task[Any]:
         task = asyncio.get_running_loop().create_task(work)
@@ -72,9 +72,9 @@
 
     async def watch_lag(self) -> None:
         while True:
-            due = self.pulse.now() + LAG_BEAT_MS
+            due = self.clock.now() + LAG_BEAT_MS
             await asyncio.sleep(LAG_BEAT_MS / 1000)
-            late = self.pulse.now() - due
+            late = self.clock.now() - due
             self.turns.lag_ms = max(late, self.turns.lag_ms / 2)
 
     # Changes: kept first, then made
@@ -114,22 +114,22 @@
     def seat(self, tenant: Tenant) -> None:
         self.shares.put(tenant.key, tenant.spec["weight"])
         self.weights[tenant.key] = tenant.spec["weight"]
-        seat = self.seats[tenant.name] = TenantService(tenant, self.station(tenant))
+        seat = self.seats[tenant.name] = TenantService(tenant, self.service(tenant))
         self.spawn(self.begin(seat))
 
-    def station(self, tenant: Tenant) -> GatewayService:
+    def service(self, tenant: Tenant) -> GatewayService:
         try:
             spec = TenantSpec.model_validate(tenant.spec)
         except ValidationError as bad:  # from a state file of other days
             raise ConfigError(f"tenant {tenant.name}: {bad.errors()[0]['msg']}") from bad
         lines = self.shares.holds_most(tenant.key)
-        return GatewayService(tenant_config(self.house, tenant.name, tenant.serial, spec, lines), self.pulse)
+        return GatewayService(tenant_config(self.house, tenant.name, tenant.serial, spec, lines), self.clock)
 
     async def begin(self, seat: TenantService) -> None:
         """Nobody is let in there before its own discovery has spoken: one that takes another's place would
         refuse what that one still serves."""
-        seat.station.start()
-        await seat.station.discovery.begin(None)
+        seat.service.start()
+        await seat.service.discovery.start(None)
         seat.ready = True
         if self.coming.get(seat.name) is seat:
             old = self.seats[seat.name]
@@ -137,7 +137,7 @@
             self.seats[seat.name] = seat
             self.retire(old)
         logger.info(
-            "tenant {}: serves, {} workers listed", seat.name, len(seat.station.discovery.membership.rows)
+            "tenant {}: serves, {} workers listed", seat.name, len(seat.service.discovery.membership.rows)
         )
 
     def renew(self, tenant: Tenant) -> None:
@@ -151,11 +151,11 @@
         if moves:
             if inner:
                 spec = TenantSpec.model_validate(tenant.spec)
-                lines = seat.station.charter.lines
-                seat.station.move(tenant_config(self.house, tenant.name, tenant.serial, spec, lines))
+                lines = seat.service.config.max_endpoint_connections
+                seat.service.reconfigure(tenant_config(self.house, tenant.name, tenant.serial, spec, lines))
             seat.spec = tenant.spec
             return
-        new = TenantService(tenant, self.station(tenant))
+        new = TenantService(tenant, self.service(tenant))
         new.ids = seat.ids  # an id is open in the tenant, whichever station has it
         if (waiting := self.coming.pop(tenant.name, None)) is not None:
             self.retire(waiting)
@@ -178,9 +178,9 @@
         tenant, seat = self.registry.tenants.get(name), self.seats.get(name)
         if tenant is None or seat is None or tenant.state != ACTIVE or not seat.ready:
             return None, 1000.0
-        if not self.turns.take(self.pulse.now(), seat.key, self.weights) or not self.shares.take(seat.key):
+        if not self.turns.take(self.clock.now(), seat.key, self.weights) or not self.shares.take(seat.key):
             seat.turned_away += 1
-            return None, seat.station.charter.terms.max_retry_after_ms or 500.0
+            return None, seat.service.config.settings.max_retry_after_ms or 500.0
         seat.open, seat.taken = seat.open + 1, seat.taken + 1
         return seat, 0.0
 
@@ -213,8 +213,8 @@
         self.when_empty(seat, lambda: self.spawn(self.shut(seat)))
 
     async def shut(self, seat: TenantService) -> None:
-        await seat.station.finish()
-        await seat.station.shut()
+        await seat.service.return_reservations()
+        await seat.service.close()
         self.leaving.discard(seat)
         logger.info("tenant {}: a station of serial {} has gone", seat.name, seat.serial)
 
@@ -226,17 +226,17 @@
 
     # For the API
 
-    def use(self, name: str) -> Obj:
+    def use(self, name: str) -> JsonObject:
         seat = self.seats[name]
         part = self.shares.parts[seat.key]
-        station = seat.station
+        service = seat.service
         return {
             "ready": seat.ready,
             "open": seat.open,
             "taken": seat.taken,
             "turned_away": seat.turned_away,
             "share": {"own": part.own, "most": self.shares.holds_most(seat.key), "refused": part.refused},
-            "workers": Counter(row.entry.status.value for row in station.discovery.membership.rows.values()),
-            "lines": len(station.workers.lines.wires),
-            "discovery_heard": station.discovery.heard,
+            "workers": Counter(row.info.status.value for row in service.discovery.membership.rows.values()),
+            "lines": len(service.endpoint_clients.pool.connections),
+            "discovery_heard": service.discovery.is_connected,
         }
--- a/drumgw/model/settings_reader.py
+++ b/drumgw/model/settings_reader.py
@@ -7,14 +7,14 @@
 
 from drumgw.model.settings import DeduplicationScope, GatewaySettings, Idempotency, Plan, RequestClass
 
-Obj = dict[str, Any]
+JsonObject = dict[str, Any]
 
 REPEATS = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.IDEMPOTENT_WITH_KEY,
     "once": Idempotency.NOT_IDEMPOTENT,
 }
-LOADS = {
+LOAD_REPORT_FIELDS = {
     "mean_ms": "service_ms",
     "load_share": "busy",
     "tps": "rate",
@@ -30,7 +30,7 @@
     """Start-up terms that cannot be used."""
 
 
-def _amount(obj: Obj, key: str, least: float = 0.0) -> float:
+def _amount(obj: JsonObject, key: str, least: float = 0.0) -> float:
     value = obj.get(key, 0.0)
     if value is None:
         value = 0.0
@@ -43,7 +43,7 @@
     return float(value)
 
 
-def read_settings(options: Obj) -> tuple[GatewaySettings, NameIndex]:
+def read_settings(options: JsonObject) -> tuple[GatewaySettings, NameIndex]:
     """The start-up terms in our words, and the names the wire uses for them."""
     products, plans = options.get("classes"), options.get("tiersOfService")
     if not products:
@@ -56,12 +56,14 @@
         raise SettingsError(f"missing {lack.args[0]}") from lack
 
 
-def _terms(options: Obj, products: list[Obj], plans: list[Obj]) -> tuple[GatewaySettings, NameIndex]:
+def _terms(
+    options: JsonObject, products: list[JsonObject], plans: list[JsonObject]
+) -> tuple[GatewaySettings, NameIndex]:
     allowed, rules = options["ceilings"], options["contract"]
     family = options.get("familyInfo") or {}
     report = options.get("loadReport") or {}
     names = NameIndex(products, plans, options.get("zones") or [""])
-    terms = GatewaySettings(
+    settings = GatewaySettings(
         ordinal=int(options["ordinal"]),
         gateways=int(_amount(options, "balancers", 1)),
         zone=names.zone_index(options["az"]),
@@ -80,12 +82,12 @@
         warm_up_overload_multiple=_amount(rules, "fallMultiple"),
         warm_up_overload_window_ms=_amount(rules, "fallMs"),
         cross_zone_fee=_amount(options.get("fees") or {}, "crossZone"),
-        load_report_fields=tuple(LOADS.get(n, n) for n in report.get("columns") or ()),
+        load_report_fields=tuple(LOAD_REPORT_FIELDS.get(n, n) for n in report.get("columns") or ()),
     )
-    return terms, names
+    return settings, names
 
 
-def _product(p: Obj) -> RequestClass:
+def _product(p: JsonObject) -> RequestClass:
     return RequestClass(
         priority_weight=_amount(p, "gain"),
         latency_objective_ms=_amount(p, "onTimeMs"),
@@ -97,7 +99,7 @@
     )
 
 
-def _plan(p: Obj) -> Plan:
+def _plan(p: JsonObject) -> Plan:
     return Plan(
         units_per_s=_amount(p, "unitsPerS"),
         burst_units=_amount(p, "peakUnits"),
@@ -113,7 +115,7 @@
 class NameIndex:
     """The wire's names of products, plans and zones, as indices. Zones may be added to."""
 
-    def __init__(self, products: list[Obj], plans: list[Obj], zones: list[str]) -> None:
+    def __init__(self, products: list[JsonObject], plans: list[JsonObject], zones: list[str]) -> None:
         self.request_classes = {p["name"]: i for i, p in enumerate(products)}
         self.plans = {p["name"]: i for i, p in enumerate(plans)}
         self.zones = {z: i for i, z in enumerate(zones)}
--- a/drumgw/policy/engine.py
+++ b/drumgw/policy/engine.py
@@ -109,8 +109,8 @@
 class QuotaAccount:
     """A customer's books here, by class. Dropped when idle."""
 
-    def __init__(self, plan: PlanLimits, t: RequestReceived, keeper: PolicyEngine) -> None:
-        classes, now, top = keeper.classes, keeper.now, keeper.top_units
+    def __init__(self, plan: PlanLimits, t: RequestReceived, engine: PolicyEngine) -> None:
+        classes, now, top = engine.classes, engine.now, engine.top_units
         self.plan, self.customer = plan, t.customer
         self.gates, self.key = max(1, t.gateway_count), stable_hash(t.customer)
         self.at = self.window_at = now
@@ -122,7 +122,7 @@
         self.here = 0.0  # of that, sent on here: no counter makes us forget it
         self.rate, self.out = 0.0, 0  # others' pace; out here
         # What filled since we began, or the books were dropped: whoever was here before may have spent all
-        self.ceiling = plan.ceiling_rate * min(IDLE_MS, now - keeper.began) / self.gates
+        self.ceiling = plan.ceiling_rate * min(IDLE_MS, now - engine.began) / self.gates
         self.shared = 0 < plan.open_cap * SHARED < self.gates  # no gateway keeps such a cap alone
         self.depth = min(plan.quota, plan.open_cap * top) if self.shared else plan.quota  # so bursts are low
         self.most = self.allowance = max(top, plan.quota / self.gates)  # without a total; a txn at least
@@ -156,50 +156,50 @@
 
 
 class PolicyEngine:
-    def __init__(self, seed: int, terms: GatewaySettings) -> None:
+    def __init__(self, seed: int, settings: GatewaySettings) -> None:
         self.chance, self.now, self.acts = random.Random(seed), 0.0, list[Action]()
         self.ordinal, self.gatekeepers, self.zone, self.fee = (
-            terms.ordinal,
-            terms.gateways,
-            terms.zone,
-            terms.cross_zone_fee > 0,
+            settings.ordinal,
+            settings.gateways,
+            settings.zone,
+            settings.cross_zone_fee > 0,
         )
-        self.products, self.plans = terms.request_classes, [PlanLimits(p) for p in terms.plans]
+        self.products, self.plans = settings.request_classes, [PlanLimits(p) for p in settings.plans]
         by_value = sorted(
-            range(len(terms.request_classes)), key=lambda i: -terms.request_classes[i].priority_weight
+            range(len(settings.request_classes)), key=lambda i: -settings.request_classes[i].priority_weight
         )
         self.rank, self.classes = {p: r for r, p in enumerate(by_value)}, len(by_value)
         self.shares, self.floors = portions(SHARES, self.classes), portions(FLOORS, self.classes)
-        self.has_counter, self.counter_wait = terms.has_counter, terms.counter_timeout_ms
+        self.has_counter, self.counter_wait = settings.has_counter, settings.counter_timeout_ms
         self.can_cancel, self.top_units, self.submissions = (
-            terms.cancellation_allowed,
-            terms.max_request_units,
-            terms.max_attempts,
+            settings.cancellation_allowed,
+            settings.max_request_units,
+            settings.max_attempts,
         )
         self.longest_wait, self.cold_from, self.cold_ms = (
-            terms.max_retry_after_ms,
-            terms.warm_up_initial_fraction,
-            terms.warm_up_ms,
+            settings.max_retry_after_ms,
+            settings.warm_up_initial_fraction,
+            settings.warm_up_ms,
         )
         self.workers, self.around = dict[int, Endpoint](), list[Endpoint]()  # all; listed, nearest first
         self.busy, self.calls = dict[int, Endpoint](), dict[int, list[CounterCall]]()  # till answers
         self.accounts, self.held = dict[int, QuotaAccount](), dict[int, PendingRequest]()
         self.counter, self.back_end = SimpleNamespace(state=HEARD), SimpleNamespace(state=QUIET)
         self.high, self.answers = (
-            [p.latency_objective_ms / 2 for p in terms.request_classes],
+            [p.latency_objective_ms / 2 for p in settings.request_classes],
             [0] * self.classes,
         )  # quantiles
         self.missed = self.outs = self.stuck = 0  # counter calls; submissions out; of them overdue
         self.settled = self.pace = self.late = self.shed = self.fill = self.broken = 0.0  # lately; they fade
         self.resends, self.room, self.grown, self.near = RESEND_SAVED, ROOM_CALM, ROOM_FIRST, NEAR_LEAST
         self.began, self.woke, self.full_at, self.call_at = 0.0, LONG_AGO, LONG_AGO, LONG_AGO
-        self.asking, self.fleet = min(1.0, ASK_FIRST / terms.gateways), 1.0  # odds of a call
+        self.asking, self.fleet = min(1.0, ASK_FIRST / settings.gateways), 1.0  # odds of a call
         self.hold, self.cold_multiple = (
             max(HOLD_MS, 2 * self.counter_wait),
-            COLD_PART * terms.warm_up_overload_multiple,
+            COLD_PART * settings.warm_up_overload_multiple,
         )
         self.wait_ms = self.calm_ms = WAIT_SLA * min(
-            p.latency_objective_ms for p in terms.request_classes
+            p.latency_objective_ms for p in settings.request_classes
         )  # calm: mean answer
 
     def start(self, now: float) -> list[Action]:
--- a/drumgw/simulator/__main__.py
+++ b/drumgw/simulator/__main__.py
@@ -62,31 +62,31 @@
 
     def event(self, name: str, who: int, body: dict[str, Any]) -> None:
         if name == "Begin":
-            terms, names = read_settings(body["options"])
+            settings, names = read_settings(body["options"])
             seed = int(body["seed"])
-            self.decide(who, lambda: self.begin(who, seed, terms, names))
+            self.decide(who, lambda: self.begin(who, seed, settings, names))
             return
         if who not in self.hosts:
             raise BadWire(f"{name}: instance {who} never began")
         if name == "Retire":
             del self.hosts[who]
             return
-        keeper, names = self.hosts[who]
+        engine, names = self.hosts[who]
         if name == "Endpoints":
             if body["form"] == "error":
                 return
             rows = tuple(wire.read_entry(names, row) for row in self.lists[body["rosterId"]])
             listed = EndpointsUpdated(body["form"] != "diff", rows)
-            self.decide(who, lambda: keeper.handle(self.now, listed))
+            self.decide(who, lambda: engine.handle(self.now, listed))
             return
         event = wire.read_event(names, name, body)
         if event is not None:
-            self.decide(who, lambda: keeper.handle(self.now, event))
+            self.decide(who, lambda: engine.handle(self.now, event))
 
-    def begin(self, who: int, seed: int, terms: Any, names: NameIndex) -> list[Any]:
-        keeper = PolicyEngine(seed, terms)
-        self.hosts[who] = keeper, names
-        return keeper.start(self.now)
+    def begin(self, who: int, seed: int, settings: Any, names: NameIndex) -> list[Any]:
+        engine = PolicyEngine(seed, settings)
+        self.hosts[who] = engine, names
+        return engine.start(self.now)
 
     def decide(self, who: int, call: Any) -> None:
         """Runs decision code; whatever it raises is reported as its failure, not the wire's."""
--- a/drumgw/simulator/wire.py
+++ b/drumgw/simulator/wire.py
@@ -26,7 +26,7 @@
     ResponseStarted,
     TimerFired,
 )
-from drumgw.model.settings_reader import LOADS, NameIndex, Obj
+from drumgw.model.settings_reader import LOAD_REPORT_FIELDS, JsonObject, NameIndex
 
 ENDS = {
     "OK": Outcome.SUCCEEDED,
@@ -45,7 +45,7 @@
 }
 
 
-def read_entry(names: NameIndex, e: Obj) -> EndpointInfo:
+def read_entry(names: NameIndex, e: JsonObject) -> EndpointInfo:
     return EndpointInfo(
         e["worker"],
         names.zone_index(e["az"]),
@@ -57,11 +57,11 @@
     )
 
 
-def _load(pairs: Obj | None) -> dict[str, float]:
-    return {LOADS.get(n, n): float(v) for n, v in (pairs or {}).items()}
+def _load(pairs: JsonObject | None) -> dict[str, float]:
+    return {LOAD_REPORT_FIELDS.get(n, n): float(v) for n, v in (pairs or {}).items()}
 
 
-def read_event(names: NameIndex, name: str, e: Obj) -> Event | None:
+def read_event(names: NameIndex, name: str, e: JsonObject) -> Event | None:
     """One event in our words; None for a kind that carries nothing the module uses."""
     match name:
         case "Query":
@@ -104,7 +104,7 @@
     raise KeyError(name)
 
 
-def write_action(who: int, a: Action) -> Obj:
+def write_action(who: int, a: Action) -> JsonObject:
     match a:
         case ForwardRequest():
             return {
--- a/drumgw/testbed/environment.py
+++ b/drumgw/testbed/environment.py
@@ -49,7 +49,7 @@
         self.places: list[str] = []  # by number: the worker that stands there now
         self.cut: set[str] = set()  # zones cut off from the others
         self.tickets = 0
-        self.keepers: GatewayControls | None = None
+        self.gateways: GatewayControls | None = None
         for number in range(day.fleet.workers):
             self.places.append(self.add_worker(number, 0, None).name)
 
@@ -250,13 +250,13 @@
         self.counter.older(t.size or 0.0)
 
     def gates(self, t: Fault, act: Callable[[GatewayControls, int], None]) -> None:
-        assert self.keepers is not None
+        assert self.gateways is not None
         for gate in self.some_gates(t):
-            act(self.keepers, gate)
+            act(self.gateways, gate)
 
     def moves(self, _t: Fault) -> None:
-        assert self.keepers is not None
-        self.keepers.moves()
+        assert self.gateways is not None
+        self.gateways.moves()
 
 
 def put(things: list[Any], **values: Any) -> Undo:
--- a/drumgw/testbed/socket_runner.py
+++ b/drumgw/testbed/socket_runner.py
@@ -162,7 +162,7 @@
         self.loop = self.clock.loop
         self.record = record or EventLog({"day": day.name, "seed": seed, "clock": "sockets"})
         self.world = Environment(day, seed, self.clock, self.record)
-        self.world.keepers = self.world.clients.gates = self
+        self.world.gateways = self.world.clients.gates = self
         self.chance = self.world.book.chance("gatekeepers")
         self.longest_ms = max(p.expiry_ms for p in day.product)
         self.ports: dict[tuple[int, str], int] = {}  # where a gatekeeper reaches a worker
@@ -171,7 +171,7 @@
         self.worker_lines: set[WorkerLine] = set()  # open ones; emptied as they close
         self.tasks: set[asyncio.Task[Any]] = set()  # emptied as they end
         self.known: dict[str, Any] = {}
-        self.keepers = [GatewaySubprocess(self, n) for n in range(day.fleet.gatekeepers)]
+        self.gateways = [GatewaySubprocess(self, n) for n in range(day.fleet.gatekeepers)]
 
     def spawn(self, work: Any) -> None:
         task = self.loop.create_task(work)
@@ -192,25 +192,25 @@
         self.known = self.world.registry.first()
         for worker in self.world.workers.values():
             await self.listen(worker)
-        for keeper in self.keepers:
-            await self.settle(keeper)
+        for gateway in self.gateways:
+            await self.settle(gateway)
         for worker in self.world.workers.values():
             self.mind(worker)
-        await asyncio.gather(*(keeper.start() for keeper in self.keepers))
-        if not all(keeper.ready for keeper in self.keepers):
+        await asyncio.gather(*(gateway.start() for gateway in self.gateways))
+        if not all(gateway.ready for gateway in self.gateways):
             raise CannotRun(
                 f"a gatekeeper was not ready in time; its log and its configuration are in {self.folder}"
             )
 
-    async def settle(self, keeper: GatewaySubprocess) -> None:
+    async def settle(self, gateway: GatewaySubprocess) -> None:
         """Addresses of discovery and counter, its own."""
         made: list[tuple[str, Any]] = [("discovery", RegistryLine)]
         if self.world.counter is not None:
             made.append(("counter", CounterLine))
         for name, line in made:
-            server = await self.loop.create_server(partial(line, self, keeper.number), HOST, 0)
+            server = await self.loop.create_server(partial(line, self, gateway.number), HOST, 0)
             self.servers.append(server)
-            setattr(keeper, name, "{}:{}".format(*server.sockets[0].getsockname()))
+            setattr(gateway, name, "{}:{}".format(*server.sockets[0].getsockname()))
 
     async def listen(self, worker: EmulatedEndpoint) -> None:
         """At the addresses it had, if it had any."""
@@ -259,58 +259,58 @@
         self.listening.setdefault(worker.name, []).append(server)
 
     async def close(self) -> None:
-        for keeper in self.keepers:
-            keeper.expected = True
-            if keeper.process is not None and keeper.process.returncode is None:
-                keeper.send(signal.SIGCONT)
-                keeper.send(signal.SIGKILL)
+        for gateway in self.gateways:
+            gateway.expected = True
+            if gateway.process is not None and gateway.process.returncode is None:
+                gateway.send(signal.SIGCONT)
+                gateway.send(signal.SIGKILL)
         for task in list(self.tasks):
             task.cancel()
-        for keeper in self.keepers:
-            if keeper.process is not None:
-                await keeper.process.wait()
+        for gateway in self.gateways:
+            if gateway.process is not None:
+                await gateway.process.wait()
         for server in [*self.servers, *(s for made in self.listening.values() for s in made)]:
             server.close()
 
     # The clients' port
 
     def send(self, one: ClientAttempt, again: bool = False) -> None:
-        keeper = self.keepers[one.gate]
-        while keeper.idle and not again:
-            asker = keeper.idle.pop()
+        gateway = self.gateways[one.gate]
+        while gateway.idle and not again:
+            asker = gateway.idle.pop()
             if asker.open:
-                self.ask(keeper, one, asker, fresh=False)
+                self.ask(gateway, one, asker, fresh=False)
                 return
-        self.spawn(self.connect(keeper, one))
+        self.spawn(self.connect(gateway, one))
 
-    async def connect(self, keeper: GatewaySubprocess, one: ClientAttempt) -> None:
+    async def connect(self, gateway: GatewaySubprocess, one: ClientAttempt) -> None:
         try:
-            _, asker = await self.loop.create_connection(lambda: Asker(self.clock.now), HOST, keeper.port)
+            _, asker = await self.loop.create_connection(lambda: Asker(self.clock.now), HOST, gateway.port)
         except OSError:
             self.world.clients.unreached(one)
             return
         if one.over:
             asker.leave()
             return
-        self.ask(keeper, one, asker, fresh=True)
+        self.ask(gateway, one, asker, fresh=True)
 
-    def ask(self, keeper: GatewaySubprocess, one: ClientAttempt, asker: Asker, fresh: bool) -> None:
-        keeper.busy[one.name] = asker
+    def ask(self, gateway: GatewaySubprocess, one: ClientAttempt, asker: Asker, fresh: bool) -> None:
+        gateway.busy[one.name] = asker
 
         def heard(head: bytes, body: bytes) -> None:
-            keeper.busy.pop(one.name, None)
+            gateway.busy.pop(one.name, None)
             told, status = headers(head), int(head.split(b" ", 2)[1])
             if told.get("connection", "").lower() == "close":
                 asker.leave()
             else:
-                keeper.idle.append(asker)
+                gateway.idle.append(asker)
             wait = float(told.get("retry-after", 0.0)) * 1000.0
             self.world.clients.answered(
                 one, status, body.decode("latin-1")[:32] if status == 200 else "", wait
             )
 
         def lost(began: bool) -> None:
-            keeper.busy.pop(one.name, None)
+            gateway.busy.pop(one.name, None)
             if fresh or began:
                 self.world.clients.closed(one)
             elif not one.over:
@@ -319,34 +319,34 @@
         asker.ask(request(one), heard, lost)
 
     def leave(self, one: ClientAttempt) -> None:
-        asker = self.keepers[one.gate].busy.pop(one.name, None)
+        asker = self.gateways[one.gate].busy.pop(one.name, None)
         if asker is not None:
             asker.leave()
 
     # What troubles reach
 
     def restart(self, number: int) -> None:
-        self.spawn(self.keepers[number].end(signal.SIGTERM))
+        self.spawn(self.gateways[number].end(signal.SIGTERM))
 
     def kill(self, number: int) -> None:
-        self.spawn(self.keepers[number].end(signal.SIGKILL))
+        self.spawn(self.gateways[number].end(signal.SIGKILL))
 
     def pause(self, number: int, for_ms: float) -> None:
-        keeper = self.keepers[number]
+        gateway = self.gateways[number]
         self.record.add(self.clock.now(), "gate", gate=number, state="paused", ms=for_ms)
-        keeper.send(signal.SIGSTOP)
-        self.clock.at(self.clock.now() + for_ms, lambda: keeper.send(signal.SIGCONT))
+        gateway.send(signal.SIGSTOP)
+        self.clock.at(self.clock.now() + for_ms, lambda: gateway.send(signal.SIGCONT))
 
     def moves(self) -> None:
         """Discovery and counter have new addresses; the old ones close after a while."""
         old, self.servers = self.servers, []
 
         async def move() -> None:
-            for keeper in self.keepers:
-                await self.settle(keeper)
-                keeper.configure()
-                if keeper.ready and not keeper.expected:
-                    keeper.send(signal.SIGHUP)
+            for gateway in self.gateways:
+                await self.settle(gateway)
+                gateway.configure()
+                if gateway.ready and not gateway.expected:
+                    gateway.send(signal.SIGHUP)
             await asyncio.sleep(CLOSES_MS / 1000.0)
             for server in old:
                 server.close()
--- a/drumgw/testbed/virtual_runner.py
+++ b/drumgw/testbed/virtual_runner.py
@@ -10,10 +10,10 @@
 from functools import partial
 from typing import Any
 
-from drumgw.gateway.clock import LATE_MS
-from drumgw.gateway.discovery import PACE_MOST_MS
-from drumgw.gateway.membership import STATES, worker_id
-from drumgw.gateway.process import LINGER_MS
+from drumgw.gateway.clock import STALL_THRESHOLD_MS
+from drumgw.gateway.discovery import MAX_POLL_INTERVAL_MS
+from drumgw.gateway.membership import STATUS_BY_LIFECYCLE, endpoint_id_of
+from drumgw.gateway.process import SHUTDOWN_LINGER_MS
 from drumgw.gateway.request_lifecycle import (
     AbortAttempt,
     Command,
@@ -63,8 +63,8 @@
 
     def __init__(self, runner: VirtualRunner, number: int, seed: int) -> None:
         self.runner, self.world, self.clock, self.number = runner, runner.world, runner.clock, number
-        terms, self.names = read_settings(self.world.settings(number))
-        self.core = RequestLifecycle(runner.make(seed, terms), terms)
+        settings, self.names = read_settings(self.world.settings(number))
+        self.lifecycle = RequestLifecycle(runner.make(seed, settings), settings)
         self.listed: dict[int, EmulatedEndpoint] = {}  # by the module's number; emptied by the list
         self.closed: set[int] = set()  # of them, those that drain
         self.idle: dict[str, list[float]] = {}  # kept connections: since when idle; emptied as they age
@@ -73,7 +73,7 @@
         self.txns: dict[str, int] = {}  # the same, by name
         self.alive, self.closing, self.paused_until = True, False, 0.0
         self.generation: int | None = None  # none: its agent was not heard yet
-        self.carry(self.core.start(self.clock.now(), EndpointsUpdated(True, ())))
+        self.carry(self.lifecycle.start(self.clock.now(), EndpointsUpdated(True, ())))
 
     # Time: what reaches a gatekeeper that stands waits until it runs again
 
@@ -91,14 +91,14 @@
 
     def pause(self, for_ms: float) -> None:
         self.paused_until = self.clock.now() + for_ms
-        self.core.stood += for_ms
+        self.lifecycle.stalled_ms += for_ms
 
     # The list
 
     def heed(self, told: dict[str, Any]) -> EndpointsUpdated:
         entries, named = [], set[int]()
         for row in told["instances"]:
-            number, health = worker_id(row["instanceId"]), STATES[row["lifecycle"]]
+            number, health = endpoint_id_of(row["instanceId"]), STATUS_BY_LIFECYCLE[row["lifecycle"]]
             named.add(number)
             entries.append(
                 EndpointInfo(
@@ -137,7 +137,7 @@
             return
         registry = self.world.registry
         if registry.lost:
-            self.after(PACE_MOST_MS, self.hear)
+            self.after(MAX_POLL_INTERVAL_MS, self.hear)
             return
         self.look()
         registry.waiting[self.number] = partial(self.when_running, self.hear)
@@ -147,43 +147,45 @@
         registry = self.world.registry
         told = None if registry.lost else registry.news(self.number, self.generation)
         if told is not None:
-            self.carry(self.core.listed(self.clock.now(), self.heed(told)))
+            self.carry(self.lifecycle.endpoints_updated(self.clock.now(), self.heed(told)))
 
     # Effects
 
-    def carry(self, effects: list[Command]) -> None:
-        for effect in effects:
-            match effect:
+    def carry(self, commands: list[Command]) -> None:
+        for command in commands:
+            match command:
                 case StartAttempt():
-                    self.send(effect)
+                    self.send(command)
                 case AbortAttempt():
-                    self.give_up((effect.request_id, effect.attempt))
+                    self.give_up((command.request_id, command.attempt))
                 case SendResponse():
-                    self.reply(effect)
+                    self.reply(command)
                 case ScheduleDeadline():
-                    self.at(effect.at_ms, partial(self.ring, effect))
+                    self.at(command.at_ms, partial(self.ring, command))
                 case SetTimer():
-                    self.after(effect.delay_ms, partial(self.due, effect.timer_id))
+                    self.after(command.delay_ms, partial(self.due, command.timer_id))
                 case AddToCounter():
-                    self.add(effect)
+                    self.add(command)
                 case ReportFault():
                     self.world.record.add(
-                        self.clock.now(), "fault", gate=self.number, error=repr(effect.error)
+                        self.clock.now(), "fault", gate=self.number, error=repr(command.error)
                     )
                 case LogMessage():
-                    self.world.record.add(self.clock.now(), "says", gate=self.number, text=effect.text)
+                    self.world.record.add(self.clock.now(), "says", gate=self.number, text=command.text)
 
     def ring(self, alarm: ScheduleDeadline) -> None:
-        self.carry(self.core.alarm(self.clock.now(), alarm.request_id, alarm.attempt))
+        self.carry(self.lifecycle.deadline_reached(self.clock.now(), alarm.request_id, alarm.attempt))
 
     def due(self, label: int) -> None:
-        self.carry(self.core.due(self.clock.now(), label))
+        self.carry(self.lifecycle.timer_fired(self.clock.now(), label))
 
     # Clients
 
     def take(self, one: ClientAttempt) -> None:
         a, now = one.order.arrival, self.clock.now()
-        waited = now - one.sent_at if now - one.sent_at > LATE_MS else 0.0  # read late, after a stall
+        waited = (
+            now - one.sent_at if now - one.sent_at > STALL_THRESHOLD_MS else 0.0
+        )  # read late, after a stall
         asked = RequestReceived(
             0,
             one.left_ms,
@@ -195,16 +197,16 @@
             len(a.customer.gates),
             a.customer.gates[0],
         )
-        txn = self.core.taken + 1
+        txn = self.lifecycle.received_count + 1
         self.tries[txn], self.txns[one.name] = one, txn
-        _, effects = self.core.arrive(now, asked, waited)
-        self.carry(effects)
+        _, commands = self.lifecycle.request_received(now, asked, waited)
+        self.carry(commands)
 
     def left(self, one: ClientAttempt) -> None:
         txn = self.txns.pop(one.name, None)
         if txn is not None:
             self.tries.pop(txn, None)
-            self.carry(self.core.left(self.clock.now(), txn))
+            self.carry(self.lifecycle.client_disconnected(self.clock.now(), txn))
 
     def reply(self, reply: SendResponse) -> None:
         one = self.tries.pop(reply.request_id, None)
@@ -301,7 +303,7 @@
 
     def ended(self, key: tuple[int, int], end: Outcome, units: float = 0.0, mark: str = "") -> None:
         self.sent.pop(key, None)
-        self.carry(self.core.ended(self.clock.now(), *key, end, units, {}, mark))
+        self.carry(self.lifecycle.attempt_ended(self.clock.now(), *key, end, units, {}, mark))
 
     def give_up(self, key: tuple[int, int]) -> None:
         """Its connection is closed at once."""
@@ -326,7 +328,9 @@
             if not done[0]:
                 done[0] = True
                 self.carry(
-                    self.core.total(self.clock.now(), order.counter_key, end, total, self.clock.now() - asked)
+                    self.lifecycle.counter_replied(
+                        self.clock.now(), order.counter_key, end, total, self.clock.now() - asked
+                    )
                 )
 
         def answer(says: str, total: float) -> None:
@@ -372,7 +376,7 @@
         self.clock = VirtualClock(START_MS)
         self.record = record or EventLog({"day": day.name, "seed": seed, "clock": "virtual"})
         self.world = Environment(day, seed, self.clock, self.record)
-        self.world.keepers = self.world.clients.gates = self
+        self.world.gateways = self.world.clients.gates = self
         self.chance = self.world.book.chance("gatekeepers")
         self.world.registry.first()
         self.gates = [self.new(number) for number in range(day.fleet.gatekeepers)]
@@ -423,13 +427,13 @@
         gate.closing = True
         self.record.add(self.clock.now(), "gate", gate=number, state="told to end")
         self.clock.at(self.clock.now() + TERM_SEEN_MS, lambda: self.world.clients.front(number, False))
-        self.clock.at(self.clock.now() + LINGER_MS, partial(self.finish, gate))
+        self.clock.at(self.clock.now() + SHUTDOWN_LINGER_MS, partial(self.finish, gate))
 
     def finish(self, gate: VirtualGateway) -> None:
         if gate.alive and gate.tries:
             self.clock.at(self.clock.now() + 10.0, partial(self.finish, gate))
         elif gate.alive:
-            gate.carry(gate.core.ending(self.clock.now()))
+            gate.carry(gate.lifecycle.gateway_stopping(self.clock.now()))
             gate.die()
             self.record.add(self.clock.now(), "gate", gate=gate.number, state="ended")
             self.clock.at(self.clock.now() + self.day.fleet.restart_ms, partial(self.again, gate.number))
@@ -456,7 +460,7 @@
     def let_in(self, gate: VirtualGateway) -> None:
         """Nobody before its agent has spoken."""
         if gate.generation is None and gate.alive:
-            self.clock.at(self.clock.now() + PACE_MOST_MS, lambda: self.let_in(gate))
+            self.clock.at(self.clock.now() + MAX_POLL_INTERVAL_MS, lambda: self.let_in(gate))
         elif gate.alive:
             self.world.clients.front(gate.number, True)
 
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -2,17 +2,12 @@
 
 from __future__ import annotations
 
-import asyncio
 import dataclasses
 import difflib
 import pathlib
-import re
 import unittest
-from collections.abc import Awaitable, Callable
 from typing import Any
 
-from loguru import logger
-
 from drumgw.model.actions import (
     Action,
     AddToCounter,
@@ -37,7 +32,6 @@
 from drumgw.policy.engine import COUNT_MS, PolicyEngine
 from drumgw.stable_hash import stable_hash
 
-logger.remove()  # the log is for on-call staff, not for those who read the tests
 TRACES = pathlib.Path(__file__).parent / "traces"
 START = 3 * COUNT_MS - stable_hash(1) % int(COUNT_MS)  # the first customer's count has a new name then
 INQUIRY = RequestClass(1.0, 2000.0, 8000.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 5000.0, 0.2)
@@ -51,14 +45,16 @@
 OPEN = Plan(2.0, 20.0, 2, 1.0, 0.0, 0.6, 0.0, 0.0)
 
 
-def terms(
-    products: tuple[RequestClass, ...] = (ONCE, INQUIRY), plans: tuple[Plan, ...] = (HARD,), **other: Any
+def gateway_settings(
+    request_classes: tuple[RequestClass, ...] = (ONCE, INQUIRY),
+    plans: tuple[Plan, ...] = (HARD,),
+    **other: Any,
 ) -> GatewaySettings:
     plain = GatewaySettings(
         ordinal=0,
         gateways=2,
         zone=0,
-        request_classes=products,
+        request_classes=request_classes,
         plans=plans,
         max_request_units=6.0,
         has_counter=True,
@@ -82,12 +78,17 @@
     """One gatekeeper, its clock and the trace of what it does. The counter answers at once, unless held."""
 
     def __init__(self, workers: int = 4, born: float | None = None, held: bool = False, **other: Any) -> None:
-        self.keeper, self.now, self.trace, self.ids = PolicyEngine(7, terms(**other)), START, list[str](), 0
+        self.engine, self.now, self.trace, self.ids = (
+            PolicyEngine(7, gateway_settings(**other)),
+            START,
+            list[str](),
+            0,
+        )
         self.out: dict[int, list[int]] = {}  # txn: workers it was sent to
         self.adds: list[AddToCounter] = []  # calls not answered yet
         self.counts: dict[int, float] = {}
         self.counter_held = held
-        self.keeper.start(self.now)
+        self.engine.start(self.now)
         rows = tuple(self.row(w, EndpointStatus.READY, born) for w in range(workers))
         self.play(EndpointsUpdated(True, rows))
         self.tick()
@@ -97,7 +98,7 @@
         return EndpointInfo(worker, worker % 2, worker % 2, "std", health, born, 1.0)
 
     def play(self, event: Event) -> list[Action]:
-        actions = self.keeper.handle(self.now, event)
+        actions = self.engine.handle(self.now, event)
         for a in actions:
             if isinstance(a, ForwardRequest):
                 self.out.setdefault(a.request_id, []).append(a.endpoint_id)
@@ -170,67 +171,3 @@
         kept = (TRACES / f"{name}.txt").read_text().splitlines()
         change = list(difflib.unified_diff(kept, stage.trace, "kept", "now", lineterm="", n=2))
         self.assertFalse(change, "\n" + "\n".join(change))
-
-
-Answerer = Callable[[bytes, bytes], Awaitable["bytes | None"]]
-
-
-class Half(bytes):
-    """A part of an answer, after which the connection ends."""
-
-
-class StandIn:
-    """A server of a test: keeps what came and sends what its answer says; None: silence, b"": a reset."""
-
-    def __init__(self, answer: Answerer) -> None:
-        self.answer, self.came, self.left = answer, list[tuple[bytes, bytes]](), asyncio.Event()
-        self.lines: list[asyncio.StreamWriter] = []  # every connection that came
-        self.came_on: list[asyncio.StreamWriter] = []  # of each of what came
-        self.pipelined = False  # reads on while an answer is awaited; answers in order all the same
-
-    async def open(self) -> StandIn:
-        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
-        self.address = "{}:{}".format(*self.server.sockets[0].getsockname())
-        return self
-
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.lines.append(writer)
-        answers: asyncio.Queue[asyncio.Future[bytes | None]] = asyncio.Queue()
-        writing = asyncio.ensure_future(self.write(answers, writer))
-        try:
-            while True:
-                came = await read_message(reader)
-                self.came.append(came)
-                self.came_on.append(writer)
-                answer = asyncio.ensure_future(self.answer(*came))
-                answers.put_nowait(answer)
-                if not self.pipelined:
-                    await asyncio.wait([answer])
-        except (asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError):
-            pass
-        finally:
-            self.left.set()
-            writing.cancel()
-            writer.close()
-
-    async def write(
-        self, answers: asyncio.Queue[asyncio.Future[bytes | None]], writer: asyncio.StreamWriter
-    ) -> None:
-        while (answer := await (await answers.get())) is not None:
-            if not answer:
-                writer.transport.abort()
-                return
-            writer.write(answer)
-            if isinstance(answer, Half):
-                writer.write_eof()
-
-
-async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    head = await reader.readuntil(b"\r\n\r\n")
-    found = re.search(rb"(?i)\r\ncontent-length: (\d+)", head)
-    return head, await reader.readexactly(int(found[1]) if found else 0)
-
-
-def http(body: bytes = b"", status: int = 200, **headers: str) -> bytes:
-    lines = [f"HTTP/1.1 {status} x", *(f"{k.replace('_', '-')}: {v}" for k, v in headers.items())]
-    return "\r\n".join([*lines, f"Content-Length: {len(body)}", "", ""]).encode() + body
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -111,12 +111,12 @@
 
 
 def play(
-    of: Scenario, seed: int = 1, keeper: Any = PolicyEngine, gate: type[VirtualGateway] = VirtualGateway
+    of: Scenario, seed: int = 1, engine: Any = PolicyEngine, gate: type[VirtualGateway] = VirtualGateway
 ) -> tuple[EventLog, list[Violation]]:
     class Broken(VirtualRunner):
         gate_kind = gate
 
-    record = Broken(of, seed, keeper).run()
+    record = Broken(of, seed, engine).run()
     return record, find_violations(record, of)
 
 
@@ -126,13 +126,13 @@
 class Swapped(PolicyEngine):
     """Its table of a txn has other effects in some places."""
 
-    effects: dict[tuple[str, str], Any] = {}
+    commands: dict[tuple[str, str], Any] = {}
 
     def step(self, table: Table, thing: Any, word: str | None) -> None:
         if table is TXN_TABLE:
             table = {
                 **TXN_TABLE,
-                **{row: (TXN_TABLE[row][0], effect) for row, effect in self.effects.items()},
+                **{row: (TXN_TABLE[row][0], effect) for row, effect in self.commands.items()},
             }
         super().step(table, thing, word)
 
@@ -140,7 +140,7 @@
 class Doubler(Swapped):
     """Sends again whatever failed."""
 
-    effects = {(OUT, "unsettled"): PolicyEngine.submit}
+    commands = {(OUT, "unsettled"): PolicyEngine.submit}
 
 
 class Pusher(PolicyEngine):
@@ -162,15 +162,15 @@
         return 0.0
 
 
-def decline(keeper: PolicyEngine, h: PendingRequest) -> None:
-    keeper.acts.append(RejectRequest(h.txn, 10.0))
-    keeper.forget(h)
+def decline(engine: PolicyEngine, h: PendingRequest) -> None:
+    engine.acts.append(RejectRequest(h.txn, 10.0))
+    engine.forget(h)
 
 
 class Decliner(Swapped):
     """Says that trying again is harmless, whatever may have run."""
 
-    effects = {(OUT, "no worker"): decline}
+    commands = {(OUT, "no worker"): decline}
 
 
 class Deaf(VirtualGateway):
@@ -190,7 +190,7 @@
         first = [row for row in self.world.registry.rows.values() if not row["startedAtMs"]]
         rows = [{**row, "lifecycle": "up"} for row in first]
         told = {"generation": 0, "reset": True, "instances": rows}
-        self.carry(self.core.listed(self.clock.now(), self.heed(told)))
+        self.carry(self.lifecycle.endpoints_updated(self.clock.now(), self.heed(told)))
 
     def look(self) -> None:
         if self.clock.now() >= self.eager_until:
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -57,9 +57,14 @@
         )
         bounds = self.drumgw("check", str(EXAMPLES / "drumgw.toml"), "--lost", "30").output
         self.assertIn("lost for 30 s: through 1 gatekeeper(s) a customer sends 36 units at most", bounds)
-        charter = parse_config(configuration(read_gateway_file(str(EXAMPLES / "drumgw.toml"))), {})
-        self.assertEqual([p.latency_objective_ms for p in charter.terms.request_classes], [3000.0, 800.0])
-        self.assertEqual((charter.terms.plans[0].burst_units, charter.counter), (6.0, ("127.0.0.1", 6400)))
+        gateway_config = parse_config(configuration(read_gateway_file(str(EXAMPLES / "drumgw.toml"))), {})
+        self.assertEqual(
+            [p.latency_objective_ms for p in gateway_config.settings.request_classes], [3000.0, 800.0]
+        )
+        self.assertEqual(
+            (gateway_config.settings.plans[0].burst_units, gateway_config.counter),
+            (6.0, ("127.0.0.1", 6400)),
+        )
         shown = json.loads(self.drumgw("check", "--show", str(EXAMPLES / "drumgw.toml")).output)
         self.assertEqual(shown["settings"]["classes"][1]["idempotency"], "once")
 
@@ -224,7 +229,7 @@
 
         async def run() -> Any:
             lab = SocketRunner(of, 3, self.folder)
-            return await lab.run(), [k.process for k in lab.keepers]
+            return await lab.run(), [k.process for k in lab.gateways]
 
         record, processes = asyncio.run(run())
         self.assertTrue(all(p is not None and p.returncode is not None for p in processes))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,8 +23,8 @@
 
 from drumgw.gateway.http_server import ClientConnection, CompleteResponse, ConnectionState
 from drumgw.gateway.process import GatewayProcess
-from tests.harness import StandIn, http
-from tests.test_gateway import POSTED, GateCase, charter, instance, request, settings, told
+from tests.scripted_server import StandIn, http
+from tests.test_gateway import POSTED, GateCase, gateway_config, instance, request, settings, told
 from tests.test_simulator import PRODUCT
 
 KEYED = "/k?account=00000000b4d65521"
@@ -144,7 +144,7 @@
     @contextmanager
     def held(self, when: Callable[[Any], bool]) -> Iterator[asyncio.Event]:
         """Holds connections to workers that come up, where told, until the event is set."""
-        connector, go = self.gateway.workers.lines.connector, asyncio.Event()
+        connector, go = self.gateway.endpoint_clients.pool.connector, asyncio.Event()
         connect = connector.connect
 
         async def up(card: Any, *rest: Any) -> Any:
@@ -163,7 +163,7 @@
     @contextmanager
     def narrow(self) -> Iterator[None]:
         """Of what is sent to workers our system keeps little, so a large request stays in the gateway."""
-        connector = self.gateway.workers.lines.connector
+        connector = self.gateway.endpoint_clients.pool.connector
         connect = connector.connect
 
         async def up(*args: Any) -> Any:
@@ -177,8 +177,8 @@
             yield
 
     def past(self, window_ms: float) -> Callable[[], bool]:
-        end = self.gateway.pulse.now() + window_ms
-        return lambda: self.gateway.pulse.now() > end
+        end = self.gateway.clock.now() + window_ms
+        return lambda: self.gateway.clock.now() > end
 
 
 class Window(CrossingCase):
@@ -188,15 +188,17 @@
         """A worker that fails what it gets; the other gets the repeat, whoever is asked first."""
         bad = await self.stand_in(http(status=500))
         await self.begin_keyed(bad.address, other, **more)
-        number = next(n for n, w in self.gateway.workers.actors.items() if w.place[0] == bad.address)
-        keeper = self.gateway.desk.core.keeper
-        keeper.around.sort(key=lambda w: w.wid != number)  # type: ignore[attr-defined]
-        pick = keeper.pick  # type: ignore[attr-defined]
+        number = next(
+            n for n, w in self.gateway.endpoint_clients.clients.items() if w.place[0] == bad.address
+        )
+        policy = self.gateway.dispatcher.lifecycle.policy
+        policy.around.sort(key=lambda w: w.wid != number)  # type: ignore[attr-defined]
+        pick = policy.pick  # type: ignore[attr-defined]
 
         def first(h: Any) -> Any:
-            return pick(h) if h.tried else keeper.workers[number]  # type: ignore[attr-defined]
+            return pick(h) if h.tried else policy.workers[number]  # type: ignore[attr-defined]
 
-        patch = mock.patch.object(keeper, "pick", first)
+        patch = mock.patch.object(policy, "pick", first)
         patch.start()
         self.addCleanup(patch.stop)
         return bad
@@ -265,7 +267,7 @@
             await until(
                 lambda: any(
                     wire.transport is not None and wire.transport.get_write_buffer_size()
-                    for wire in self.gateway.workers.lines.wires
+                    for wire in self.gateway.endpoint_clients.pool.connections
                 )
             )
             line.close(reset=True)
@@ -293,7 +295,7 @@
         with self.held(lambda card: True) as go:
             asked = asyncio.create_task(self.ask(POSTED, "POST", b"{}"))
             lines.append(await peer.accept())
-            with mock.patch.object(self.gateway.workers.lines, "before", reset):
+            with mock.patch.object(self.gateway.endpoint_clients.pool, "before", reset):
                 go.set()
                 self.assertEqual((await asked)[0], 503)
 
@@ -308,8 +310,10 @@
             await line.read(b"{}")
             line.write(half)
             if how == "ours":
-                await until(lambda: any(wire.message for wire in self.gateway.workers.lines.wires))
-                for wire in list(self.gateway.workers.lines.wires):
+                await until(
+                    lambda: any(wire.message for wire in self.gateway.endpoint_clients.pool.connections)
+                )
+                for wire in list(self.gateway.endpoint_clients.pool.connections):
                     wire.close()
             elif how != "stall":
                 line.close(reset=how == "reset")
@@ -342,7 +346,7 @@
         await self.begin(worker.address)
         for n in range(3):
             self.assertEqual((await self.ask(Request_Id=f"{n}"))[0], 200)
-            await until(lambda: any(self.gateway.workers.lines.connector._conns.values()))
+            await until(lambda: any(self.gateway.endpoint_clients.pool.connector._conns.values()))
         self.assertEqual((len(worker.came), len(worker.lines)), (3, 1))
 
 
@@ -350,12 +354,12 @@
     """A scripted agent, which falls silent and comes back when its test says so."""
 
     async def begin_watching(self, grace_ms: float) -> tuple[Peer, GatewayProcess, list[str]]:
-        agent, self.deaf, asked = self.peer(), False, list[str]()
+        agent, self.ignore_signals, asked = self.peer(), False, list[str]()
         contract = {**settings()["contract"], "stopSendingWithinMs": grace_ms}
         self.generation, self.lifecycle = 1, "up"
         self.rows = [instance("s-0", "127.0.0.1:1")]
         gateway = GatewayProcess(
-            charter(told(agent.address, self.rows, settings=settings(contract=contract)))
+            gateway_config(told(agent.address, self.rows, settings=settings(contract=contract)))
         )
         self.gateway = gateway
         self.tasks = [asyncio.create_task(self.accept(agent, asked))]
@@ -374,11 +378,11 @@
             while True:
                 target = (await line.read(b"\r\n\r\n")).split()[1].decode()
                 asked.append(target)
-                if self.deaf:
+                if self.ignore_signals:
                     continue
                 if f"since={self.generation}&" in target:
                     await asyncio.sleep(float(target.partition("timeout_ms=")[2]) / 1000)
-                if not self.deaf:
+                if not self.ignore_signals:
                     news = (
                         []
                         if f"since={self.generation}&" in target
@@ -404,13 +408,13 @@
         """Guards drains. Between the loss and the return no call is answered, nor any that was out."""
         _, gateway, asked = await self.begin_watching(grace_ms=1000.0)
         for outage_ms in (50.0, 150.0, 300.0, 700.0, 1500.0):
-            self.deaf = True
+            self.ignore_signals = True
             await until(self.past(outage_ms))
             self.generation += 1
             self.lifecycle = "up" if self.lifecycle == "draining" else "draining"
-            self.deaf, before = False, len(asked)
+            self.ignore_signals, before = False, len(asked)
             wanted = {"draining": "draining", "up": "ready"}[self.lifecycle]
-            await until(lambda: gateway.discovery.membership.rows["s-0"].entry.status.value == wanted)  # noqa: B023
+            await until(lambda: gateway.discovery.membership.rows["s-0"].info.status.value == wanted)  # noqa: B023
             self.assertEqual(len(asked) - before, 1, outage_ms)  # the first call after the return
             self.assertLessEqual(gateway.discovery.scout_at - gateway.discovery.heard_at, 1000.0 / 2)
 
@@ -421,7 +425,7 @@
             self.assertEqual(gateway.discovery.pace_ms, pace_ms)
             await until(lambda: len(asked) > 2)  # noqa: B023
             self.assertIn(f"timeout_ms={pace_ms:.0f}", asked[1])
-            now = gateway.pulse.now()
+            now = gateway.clock.now()
             self.assertLessEqual(gateway.discovery.scout_at - gateway.discovery.heard_at, 2 * pace_ms)
             self.assertLessEqual(gateway.discovery.heard_at, now)
             await self.end()
@@ -477,7 +481,7 @@
 
     async def test_an_outage_beside_idle_clients_that_fill_the_descriptors(self) -> None:
         worker, agent = await self.stand_in(http(b"ok")), self.peer()
-        self.deaf, self.generation, self.lifecycle, asked = False, 1, "up", list[str]()
+        self.ignore_signals, self.generation, self.lifecycle, asked = False, 1, "up", list[str]()
         self.rows = [instance("s-0", "127.0.0.1:1"), instance("s-1", worker.address)]
         self.tasks = [asyncio.create_task(self.accept(agent, asked))]
         self.addCleanup(lambda: [task.cancel() for task in self.tasks])
@@ -486,10 +490,10 @@
         self.place = await process.serves()
         idle = list[Line]()
         for _ in range(3):
-            self.deaf = True
+            self.ignore_signals = True
             idle += [self.client() for _ in range(120)]  # twice what it may hold; it closes the first
             self.generation, self.lifecycle = self.generation + 1, "draining"
-            self.deaf, before = False, len(asked)
+            self.ignore_signals, before = False, len(asked)
             await process.says(f" list {self.generation}, ".encode())
             self.assertLessEqual(len(asked) - before, 4)  # the grace is as long as four paces
             self.assertEqual((await self.ask(Request_Timeout="60000m"))[:2], (200, b"ok"))
@@ -509,14 +513,14 @@
         line = self.client()
         line.write(request())
         await line.read(b"ok")
-        await until(lambda: self.gateway.front.stages[ConnectionState.IDLE])
+        await until(lambda: self.gateway.http_server.connections[ConnectionState.IDLE])
         return worker, line
 
     async def test_a_request_that_lies_unread_as_the_idle_are_closed_is_served(self) -> None:
         worker, line = await self.rested()
         line.write(request(Request_Id="9b20"))
-        self.gateway.front.withdraw()
-        self.assertEqual(self.gateway.front.close_idle(), 1)
+        self.gateway.http_server.withdraw_readiness()
+        self.assertEqual(self.gateway.http_server.close_idle(), 1)
         self.assertIn(b"Connection: close", await line.read(b"ok"))
         self.assertEqual((await line.rest(), len(worker.came)), (b"", 2))
 
@@ -524,15 +528,15 @@
         """It is its client's to send again: it sees an end, no answer and no reset."""
         worker, line = await self.rested()
         with mock.patch("drumgw.gateway.http_server.PART_MS", 1e9):
-            self.assertEqual(self.gateway.front.close_idle(), 0)
+            self.assertEqual(self.gateway.http_server.close_idle(), 0)
             line.write(request(Request_Id="9b20"))
             self.assertEqual(await line.rest(), b"")
             await asyncio.sleep(0.02)
-            (client,) = self.gateway.front.stages[ConnectionState.LAST]
+            (client,) = self.gateway.http_server.connections[ConnectionState.LAST]
             self.assertTrue(client.seen(select.POLLIN))  # it lies where it came
             line.close()
-            await until(lambda: not self.gateway.front.crowd())
-        self.assertEqual((len(worker.came), self.gateway.desk.core.taken), (1, 1))
+            await until(lambda: not self.gateway.http_server.crowd())
+        self.assertEqual((len(worker.came), self.gateway.dispatcher.lifecycle.received_count), (1, 1))
 
     async def test_a_long_last_answer_arrives_whole_though_bytes_came_behind_its_request(self) -> None:
         """A close over unread bytes would reset, and take the rest of the answer with it."""
@@ -544,7 +548,7 @@
         line.sock.setblocking(True)
         line.sock.connect(self.place)
         line.sock.setblocking(False)
-        self.gateway.front.withdraw()
+        self.gateway.http_server.withdraw_readiness()
         prepare = CompleteResponse.prepare
 
         async def crossed(answer: CompleteResponse, asked: Any) -> None:
@@ -566,7 +570,7 @@
         worker = await self.stand_in(http(b"ok"))
         await self.begin(worker.address)
         line = self.client()
-        self.gateway.front.withdraw()
+        self.gateway.http_server.withdraw_readiness()
         line.write(request() + request(Request_Id="9b20"))
         came = await line.rest()
         counted = came.count(b"200 OK"), came.count(b"Connection: close"), len(worker.came)
@@ -584,14 +588,14 @@
                 await until(
                     lambda: any(
                         c._messages or c._current_request or c._parser is not None
-                        for c in self.gateway.front.server.connections
+                        for c in self.gateway.http_server.server.connections
                     )
                 )
                 await asyncio.sleep(0.01)
                 if rest:
                     line.write(whole[cut:])
                 with (
-                    mock.patch("drumgw.gateway.process.LINGER_MS", 0.0),
+                    mock.patch("drumgw.gateway.process.SHUTDOWN_LINGER_MS", 0.0),
                     mock.patch("asyncio.sleep", self.no_turn_first()),
                 ):
                     await self.gateway.close()
@@ -612,21 +616,30 @@
     async def test_clients_that_never_end_their_side_do_not_hold_up_the_end(self) -> None:
         _, line = await self.rested()
         silent = self.client()
-        await until(lambda: self.gateway.front.stages[ConnectionState.NEW])
-        with mock.patch("drumgw.gateway.process.LINGER_MS", 0.0):
+        await until(lambda: self.gateway.http_server.connections[ConnectionState.NEW])
+        with mock.patch("drumgw.gateway.process.SHUTDOWN_LINGER_MS", 0.0):
             async with asyncio.timeout(BOUND_S):
                 await self.gateway.close()
-        self.assertEqual((self.gateway.front.crowd(), await line.rest(), await silent.rest()), (0, b"", b""))
+        self.assertEqual(
+            (self.gateway.http_server.crowd(), await line.rest(), await silent.rest()), (0, b"", b"")
+        )
 
 
 class Leavers(CrossingCase):
     """A client that leaves while its request waits: nothing of it is sent on, and what it held comes back."""
 
     def empty(self) -> bool:
-        desk, keeper = self.gateway.desk, self.gateway.desk.core.keeper
-        held = keeper.held or keeper.outs or keeper.busy  # type: ignore[attr-defined]
-        out = any(a.out for a in keeper.accounts.values())  # type: ignore[attr-defined]
-        return not (held or out or desk.core.hand or desk.waiting or desk.alarms or self.gateway.front.ids)
+        dispatcher, policy = self.gateway.dispatcher, self.gateway.dispatcher.lifecycle.policy
+        held = policy.held or policy.outs or policy.busy  # type: ignore[attr-defined]
+        out = any(a.out for a in policy.accounts.values())  # type: ignore[attr-defined]
+        return not (
+            held
+            or out
+            or dispatcher.lifecycle.in_flight
+            or dispatcher.waiting
+            or dispatcher.alarms
+            or self.gateway.http_server.open_request_ids
+        )
 
     async def test_while_it_waits_for_its_connection(self) -> None:
         for cancel in (True, False):  # an attempt that was not sent needs no calling off
@@ -657,10 +670,10 @@
         lines = [self.client() for _ in range(100)]
         for n, line in enumerate(lines):
             line.write(request(Request_Timeout="900000m", Request_Id=f"{n:x}") + b"GET /" * (n % 3 == 0))
-        await until(lambda: len(self.gateway.desk.core.hand) == 100)
+        await until(lambda: len(self.gateway.dispatcher.lifecycle.in_flight) == 100)
         for n, line in enumerate(lines):
             line.close(reset=n % 2 == 0)
-        await until(lambda: not self.gateway.desk.core.hand)
+        await until(lambda: not self.gateway.dispatcher.lifecycle.in_flight)
         await until(self.empty)
         lane = await counter.accept()
         await lane.read(b"\r\n\r\n")
@@ -681,10 +694,10 @@
                 if len(attempts) == (1 if first else 2):  # noqa: B023
                     line.close(reset)  # noqa: B023
 
-            with mock.patch.object(self.gateway.workers.lines, "before", before):
+            with mock.patch.object(self.gateway.endpoint_clients.pool, "before", before):
                 line.write(request(Request_Timeout="60000m"))
                 await until(lambda: attempts)  # noqa: B023
-                await until(lambda: self.empty() and not self.gateway.front.crowd())
+                await until(lambda: self.empty() and not self.gateway.http_server.crowd())
             came = sum(len(worker.came) for worker in workers)
             self.assertEqual(came, 0 if first else 1, (first, reset))
             await self.end()
@@ -697,12 +710,12 @@
         line = self.client()
         line.write(b"".join(request(Request_Id=f"{n:x}", Request_Timeout="60000m") for n in range(1000)))
         await until(lambda: worker.came)
-        (client,) = self.gateway.front.server.connections
+        (client,) = self.gateway.http_server.server.connections
         assert isinstance(client, ClientConnection)
         await until(lambda: client._buffer_paused)
         line.sock.shutdown(socket.SHUT_WR)  # an end of both would be told by the first answer's reset
         answer.set_result(http(b"ok"))
-        await until(lambda: self.empty() and not self.gateway.front.crowd())
+        await until(lambda: self.empty() and not self.gateway.http_server.crowd())
         self.assertEqual(len(worker.came), 1)
 
 
@@ -829,7 +842,13 @@
             if kind == "z" or kind == "k" and told_settings["classes"][1]["keyTtlMs"] == 0.0:
                 self.assertFalse(status == 503 and True in attempts, name)
         self.assertIn(200, statuses)
-        await until(lambda: not (gateway.desk.core.hand or gateway.workers.where or gateway.front.ids))
+        await until(
+            lambda: not (
+                gateway.dispatcher.lifecycle.in_flight
+                or gateway.endpoint_clients.where
+                or gateway.http_server.open_request_ids
+            )
+        )
         await self.end()
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,12 +15,13 @@
 from drumgw.gateway.discovery import PAUSES, CallOutcome
 from drumgw.gateway.membership import RENUMBERED_MS, UNREADABLE, Membership, MembershipChange
 from drumgw.gateway.process import GatewayProcess
-from drumgw.gateway.process_config import MOST_BODY
+from drumgw.gateway.process_config import MAX_BODY_BYTES
 from drumgw.model.events import EndpointStatus
-from tests.harness import TRACES, StandIn, http
-from tests.test_gateway import POSTED, GateCase, charter, instance, settings, told
+from tests.harness import TRACES
+from tests.scripted_server import StandIn, http
+from tests.test_gateway import POSTED, GateCase, gateway_config, instance, settings, told
 
-Obj = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
 def listed(generation: Any, *rows: Any, whole: bool = True) -> bytes:
@@ -31,7 +32,11 @@
     """A discovery that has what its test says, from the first call on: news answer a watch at once."""
 
     async def agent(self, *rows: Any) -> StandIn:
-        self.now: Obj | None = {"generation": 7, "reset": True, "instances": list(rows)}  # none: silence
+        self.now: JsonObject | None = {
+            "generation": 7,
+            "reset": True,
+            "instances": list(rows),
+        }  # none: silence
         self.asked: list[str] = []
         self.news: asyncio.Condition = asyncio.Condition()
         self.discovery = await self.stand_in(self.answer)
@@ -46,8 +51,8 @@
                 await self.news.wait()
         return None if self.now is None else http(json.dumps(self.now).encode())
 
-    async def start(self, known: list[Obj], **more: Any) -> GatewayProcess:
-        self.gateway = GatewayProcess(charter(told(self.discovery.address, known, **more)))
+    async def start(self, known: list[JsonObject], **more: Any) -> GatewayProcess:
+        self.gateway = GatewayProcess(gateway_config(told(self.discovery.address, known, **more)))
         self.opening = asyncio.create_task(self.gateway.open())
         self.addAsyncCleanup(self.end)
         return self.gateway
@@ -61,9 +66,9 @@
             await asyncio.sleep(0.001)
 
     def health(self) -> dict[str, str]:
-        return {name: row.entry.status.value for name, row in self.gateway.discovery.membership.rows.items()}
+        return {name: row.info.status.value for name, row in self.gateway.discovery.membership.rows.items()}
 
-    async def workers(self) -> tuple[StandIn, StandIn, list[Obj]]:
+    async def workers(self) -> tuple[StandIn, StandIn, list[JsonObject]]:
         one, other = await self.stand_in(http(b"one")), await self.stand_in(http(b"other"))
         return one, other, [instance("s-0", one.address), instance("s-1", other.address)]
 
@@ -88,11 +93,11 @@
         gateway = await self.start(known)
         while not self.discovery.came:
             await asyncio.sleep(0.001)
-        assert gateway.front.socket is not None
-        self.assertEqual((gateway.front.ready, self.opening.done()), (False, False))
-        self.assertEqual(gateway.workers.actors, {})
+        assert gateway.http_server.socket is not None
+        self.assertEqual((gateway.http_server.ready, self.opening.done()), (False, False))
+        self.assertEqual(gateway.endpoint_clients.clients, {})
         with self.assertRaises(ConnectionRefusedError):  # as while it was not running
-            await asyncio.open_connection(*gateway.front.socket.sockets[0].getsockname())
+            await asyncio.open_connection(*gateway.http_server.socket.sockets[0].getsockname())
         hold.set()
         await self.opened()
         self.assertEqual((await self.ask("/health/ready"))[0], 200)
@@ -185,11 +190,11 @@
         """News on the watch that is out: its bytes lie in our socket, and the loop has had no turn."""
         self.discovery.came_on[-1].write(listed(8, *rows, whole=False))
 
-    async def watched(self) -> tuple[StandIn, StandIn, list[Obj]]:
+    async def watched(self) -> tuple[StandIn, StandIn, list[JsonObject]]:
         """Its one watch stays out, so what is written behind the last call that came is on a live one."""
         one, other, rows = await self.workers()
         await self.agent(*rows)
-        for name in ("PACE_MOST_MS", "GRACE_PART", "SLOW_MS"):
+        for name in ("MAX_POLL_INTERVAL_MS", "GRACE_PART", "SLOW_MS"):
             patch = mock.patch(f"drumgw.gateway.discovery.{name}", 1e9)
             patch.start()
             self.addCleanup(patch.stop)
@@ -202,7 +207,7 @@
         """Guards drains behind a crowd or a stall of ours: the txn is read first, the list acted on first."""
         one, _, _ = await self.watched()
         came = [n for n, answer in enumerate(await self.ask_all()) if answer == (200, b"one")]  # kept lines
-        read, one.came = self.gateway.front.read, []
+        read, one.came = self.gateway.http_server.read, []
 
         async def late(request: Any) -> bytes:
             self.write(instance("s-0", "", "draining"))
@@ -210,14 +215,14 @@
 
         with (
             mock.patch("drumgw.gateway.discovery.LOOK_MS", 0.0),
-            mock.patch.object(self.gateway.front, "read", late),
+            mock.patch.object(self.gateway.http_server, "read", late),
         ):
             self.assertEqual((await self.ask(f"/a?account={came[0]:016x}"))[:2], (200, b"other"))
         self.assertEqual((one.came, self.health()), ([], {"s-0": "draining", "s-1": "ready"}))
 
     async def test_a_drain_that_lies_unread_goes_before_what_waited_for_its_connection(self) -> None:
         one, _, rows = await self.watched()
-        connector = self.gateway.workers.lines.connector
+        connector = self.gateway.endpoint_clients.pool.connector
         connect = connector.connect
 
         async def up(card: Any, *rest: Any) -> Any:
@@ -241,10 +246,10 @@
         self.assertEqual(set(await self.ask_all()), {(200, b"one"), (200, b"other")})
         one.came, self.now = [], None
         moved = await self.stand_in(listed(3, rows[1]))
-        gateway.station.move(charter(told(moved.address, [])))
+        gateway.service.reconfigure(gateway_config(told(moved.address, [])))
         while "s-0" in gateway.discovery.membership.rows:
             await asyncio.sleep(0.001)
-        self.assertLess(gateway.pulse.now() - gateway.discovery.membership.older_at, RENUMBERED_MS)
+        self.assertLess(gateway.clock.now() - gateway.discovery.membership.older_at, RENUMBERED_MS)
         self.assertEqual(await self.ask_all(), [(200, b"other")] * 16)
         self.assertEqual((one.came, self.health()), ([], {"s-1": "ready"}))
 
@@ -253,10 +258,10 @@
         _, other, rows = await self.workers()
         many = [instance(f"s-{n}", f"127.0.0.1:{n}") for n in range(2, 1025)]
         await self.agent(*many, rows[1])
-        self.assertGreater(len(json.dumps(many)), MOST_BODY)
+        self.assertGreater(len(json.dumps(many)), MAX_BODY_BYTES)
         await self.start([], settings=settings(balancers=1024))
         await self.opened()
-        self.assertEqual(len(self.gateway.workers.actors), 1024)
+        self.assertEqual(len(self.gateway.endpoint_clients.clients), 1024)
         leave = [{**row, "lifecycle": "draining"} for row in many]
         self.now = {"generation": 8, "reset": False, "instances": leave}
         async with self.news:
@@ -264,7 +269,7 @@
         await self.until("since=8&")
         info = "units=1,spread=1024,first=1023"
         self.assertEqual((await self.ask(Quota_Info=info))[:2], (200, b"other"))
-        self.assertEqual(sum(worker.open for worker in self.gateway.workers.actors.values()), 1)
+        self.assertEqual(sum(worker.open for worker in self.gateway.endpoint_clients.clients.values()), 1)
 
     async def test_an_agent_that_answers_at_once_is_not_asked_without_end(self) -> None:
         await self.agent()
@@ -278,7 +283,7 @@
         for task in gateway.discovery.tasks:
             task.cancel()
         with (
-            mock.patch.object(gateway.pulse, "now", lambda: 1e6),
+            mock.patch.object(gateway.clock, "now", lambda: 1e6),
             mock.patch.object(gateway.discovery, "ask", mock.AsyncMock()),
             mock.patch("asyncio.sleep", sleep),
         ):
@@ -321,7 +326,7 @@
         lost = [call for call in log.warning.call_args_list if "discovery lost" in call[0][0]]
         self.assertEqual((bad, self.health()), ([], {"s-0": "ready", "s-1": "ready"}))
         self.assertEqual(len(lost), 1)
-        self.assertEqual(len(gateway.workers.actors), 2)
+        self.assertEqual(len(gateway.endpoint_clients.clients), 2)
 
 
 class SharedService(Agent):
@@ -336,7 +341,7 @@
         await self.agent()
         self.now = {"generation": 8, "reset": False, "instances": [drained]}
         gateway = GatewayProcess(
-            charter(
+            gateway_config(
                 {
                     **told(self.discovery.address, known, settings=self.ASKED),
                     "known": {"generation": 5, "reset": True, "instances": known},
@@ -344,7 +349,7 @@
             )
         )
         self.gateway = gateway
-        self.assertEqual((gateway.discovery.membership.rows, gateway.workers.actors), ({}, {}))
+        self.assertEqual((gateway.discovery.membership.rows, gateway.endpoint_clients.clients), ({}, {}))
         self.place = await gateway.open()
         self.addAsyncCleanup(self.end)
         info = "units=1,spread=1024,first=1023"
@@ -380,7 +385,7 @@
         """Between calls that end so."""
         await self.agent()
         discovery = GatewayProcess(
-            charter(told(self.discovery.address, [], settings=self.ASKED, seed=seed))
+            gateway_config(told(self.discovery.address, [], settings=self.ASKED, seed=seed))
         ).discovery
         slept = list[float]()
 
@@ -425,13 +430,13 @@
 
         service = await self.stand_in(serve)
         fleet = [
-            GatewayProcess(charter(told(service.address, [], settings=self.ASKED, seed=f"{n + 1:x}")))
+            GatewayProcess(gateway_config(told(service.address, [], settings=self.ASKED, seed=f"{n + 1:x}")))
             for n in range(gateways)
         ]
         pauses = {outcome: (least / 8, most / 8) for outcome, (least, most) in PAUSES.items()}
         opening = [asyncio.create_task(gateway.open()) for gateway in fleet]
         with (
-            mock.patch("drumgw.gateway.process.LINGER_MS", 0.0),
+            mock.patch("drumgw.gateway.process.SHUTDOWN_LINGER_MS", 0.0),
             mock.patch.dict("drumgw.gateway.discovery.PAUSES", pauses),
         ):
             for gateway, task in zip(fleet, opening, strict=True):
@@ -450,7 +455,7 @@
 
     def setUp(self) -> None:
         self.membership, self.now, self.trace = (
-            Membership(charter(told("127.0.0.1:1", [])).names),
+            Membership(gateway_config(told("127.0.0.1:1", [])).names),
             0.0,
             list[str](),
         )
@@ -468,9 +473,11 @@
         self.note(f"asked {asked}, {'whole ' if whole else ''}list {generation}", change)
 
     def note(self, what: str, change: MembershipChange) -> None:
-        moves = "; ".join(f"{health.value}: {', '.join(names)}" for health, names in change.told.items())
-        rows = ", ".join(f"{name} {row.entry.status.value}" for name, row in self.membership.rows.items())
-        unread = f", {change.unread} unread" if change.unread else ""
+        moves = "; ".join(
+            f"{health.value}: {', '.join(names)}" for health, names in change.changes_by_status.items()
+        )
+        rows = ", ".join(f"{name} {row.info.status.value}" for name, row in self.membership.rows.items())
+        unread = f", {change.unreadable_count} unread" if change.unreadable_count else ""
         self.trace.append(f"{self.now:6.0f}  {what}{unread} -> {moves or 'nothing'}")
         self.trace.append(f"        {self.membership.state}: {rows}")
 
@@ -479,7 +486,7 @@
         change = list(difflib.unified_diff(kept, self.trace, "kept", "now", lineterm="", n=2))
         self.assertFalse(change, "\n" + "\n".join(change))
 
-    def row(self, name: str, state: str = "up", born: float = 0.0) -> Obj:
+    def row(self, name: str, state: str = "up", born: float = 0.0) -> JsonObject:
         return instance(name, "127.0.0.1:1", state, startedAtMs=born)
 
     def test_an_older_list_undoes_nothing(self) -> None:
@@ -553,4 +560,4 @@
             self.take(generation, self.row("s-a", "draining"))
         self.take(2, "no row", {}, whole=True)  # no list
         self.same("membership-generations")
-        self.assertEqual(self.membership.rows["s-a"].entry.status, EndpointStatus.DRAINING)
+        self.assertEqual(self.membership.rows["s-a"].info.status, EndpointStatus.DRAINING)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,7 +23,7 @@
 )
 from drumgw.model.settings import Plan
 from drumgw.policy.engine import PolicyEngine
-from tests.harness import INQUIRY, ONCE, terms
+from tests.harness import INQUIRY, ONCE, gateway_settings
 
 PLENTY = Plan(1000.0, 1000.0, 0, 1.0, 0.0, 0.8, 0.0, 0.0)
 COLD_FROM, COLD_MS, FALL_MULTIPLE, FALL_MS = 0.19, 18000.0, 1.5, 3000.0  # a strict multiple
@@ -40,16 +40,16 @@
         self.modules = [
             PolicyEngine(
                 number,
-                terms(
-                    products=(ONCE, INQUIRY),
+                gateway_settings(
+                    request_classes=(ONCE, INQUIRY),
                     plans=(PLENTY,),
-                    gatekeepers=gateways,
+                    gateways=gateways,
                     ordinal=number,
-                    counter=False,
-                    cold_from=COLD_FROM,
-                    cold_ms=COLD_MS,
-                    fall_multiple=FALL_MULTIPLE,
-                    fall_ms=FALL_MS,
+                    has_counter=False,
+                    warm_up_initial_fraction=COLD_FROM,
+                    warm_up_ms=COLD_MS,
+                    warm_up_overload_multiple=FALL_MULTIPLE,
+                    warm_up_overload_window_ms=FALL_MS,
                 ),
             )
             for number in range(gateways)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -25,7 +25,7 @@
 from drumgw.gateway.process_config import ConfigError, GatewayConfig, read_config
 from drumgw.model.actions import AddToCounter
 from drumgw.model.events import EndpointStatus, Outcome
-from tests.harness import Half, StandIn, http, read_message
+from tests.scripted_server import Half, StandIn, http, read_message
 from tests.test_simulator import OPTIONS, PLAN, PRODUCT
 
 ASK = {
@@ -76,7 +76,7 @@
     }
 
 
-def charter(told: dict[str, Any]) -> GatewayConfig:
+def gateway_config(told: dict[str, Any]) -> GatewayConfig:
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         json.dump(told, file)
         file.flush()
@@ -119,7 +119,7 @@
 
         discovery = await self.stand_in(discover)
         self.told = told(discovery.address, instances, **more)
-        self.gateway = GatewayProcess(charter(self.told))
+        self.gateway = GatewayProcess(gateway_config(self.told))
         self.place = await self.gateway.open()
         self.addAsyncCleanup(self.end)
         return self.gateway
@@ -135,10 +135,10 @@
         return worker, writer
 
     def reload(self, **more: Any) -> None:
-        self.gateway.reload(lambda: charter({**self.told, **more}))
+        self.gateway.reload(lambda: gateway_config({**self.told, **more}))
 
     async def end(self) -> None:
-        with mock.patch("drumgw.gateway.process.LINGER_MS", 0.0):
+        with mock.patch("drumgw.gateway.process.SHUTDOWN_LINGER_MS", 0.0):
             await self.gateway.close()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -338,7 +338,9 @@
         worker, writer = await self.begin_held()
         writer.close()
         await asyncio.wait_for(worker.left.wait(), 10)
-        self.assertEqual((self.gateway.desk.core.hand, self.gateway.desk.waiting), ({}, {}))
+        self.assertEqual(
+            (self.gateway.dispatcher.lifecycle.in_flight, self.gateway.dispatcher.waiting), ({}, {})
+        )
 
     async def test_expiry_voids_at_once_and_closes_the_submission(self) -> None:
         worker = await self.stand_in(None)
@@ -389,9 +391,9 @@
         ]
         for status, asked in cases:
             self.assertEqual((await self.ask(**asked))[0], status, asked)
-        self.assertEqual(self.gateway.desk.core.taken, 0)
+        self.assertEqual(self.gateway.dispatcher.lifecycle.received_count, 0)
         self.assertEqual((await self.ask(POSTED, "POST", b"x" * (64 * 1024)))[0], 503)  # no worker
-        self.assertEqual(self.gateway.desk.core.taken, 1)
+        self.assertEqual(self.gateway.dispatcher.lifecycle.received_count, 1)
 
     async def test_declined_with_a_time_to_come_back(self) -> None:
         await self.begin(settings=settings(tiersOfService=[{**PLAN, "unitsPerS": 1.0, "peakUnits": 4.0}]))
@@ -402,15 +404,17 @@
     async def test_a_fault_of_the_module_is_answered_and_outlived(self) -> None:
         worker = await self.stand_in(http(b"ok"))
         await self.begin(worker.address)
-        with mock.patch.object(self.gateway.desk.core.keeper, "handle", side_effect=KeyError("x")):
+        with mock.patch.object(self.gateway.dispatcher.lifecycle.policy, "handle", side_effect=KeyError("x")):
             self.assertEqual((await self.ask())[0], 503)
         for where in (
-            "drumgw.gateway.http_server.read_asked",
-            "drumgw.gateway.request_lifecycle.Core.arrive",
+            "drumgw.gateway.http_server.parse_request",
+            "drumgw.gateway.request_lifecycle.RequestLifecycle.request_received",
         ):
             with mock.patch(where, side_effect=KeyError("x")):
                 self.assertEqual((await self.ask())[0], 500)
-        with mock.patch("drumgw.gateway.request_lifecycle.Core.ended", side_effect=KeyError("x")):
+        with mock.patch(
+            "drumgw.gateway.request_lifecycle.RequestLifecycle.attempt_ended", side_effect=KeyError("x")
+        ):
             status, _, _ = await self.ask(Request_Timeout="50m")  # its expiry ends it
         self.assertEqual((status, (await self.ask())[:2]), (503, (200, b"ok")))
 
@@ -419,7 +423,7 @@
     """Bad clients: each gets an error or a close soon, and holds nothing that a usual one needs."""
 
     async def short(self, client_ms: float = 40.0, **more: Any) -> None:
-        for name, value in (("CLIENT_MS", client_ms), ("SWEEP_S", 0.005)):
+        for name, value in (("CLIENT_IDLE_TIMEOUT_MS", client_ms), ("SWEEP_S", 0.005)):
             patch = mock.patch(f"drumgw.gateway.http_server.{name}", value)
             patch.start()
             self.addCleanup(patch.stop)
@@ -436,16 +440,18 @@
                     self.assertEqual((await self.ask(line=line))[0], 200)
                 line[1].write(sent)
                 self.assertEqual(await asyncio.wait_for(line[0].read(), 10), b"")  # to its end
-        self.assertEqual((self.gateway.front.crowd(), self.gateway.front.ids), (0, set()))
+        self.assertEqual(
+            (self.gateway.http_server.crowd(), self.gateway.http_server.open_request_ids), (0, set())
+        )
 
     async def test_an_idle_client_is_closed_only_where_descriptors_are_short(self) -> None:
         await self.short(60000.0, limits={"sockets": 34})  # six clients; four may ask, two be idle for long
         first, *others = [await self.connect() for _ in range(3)]
         for line in (first, *others):
             self.assertEqual((await self.ask(line=line))[0], 200)
-        with mock.patch("drumgw.gateway.http_server.CLIENT_MS", 1.0):
+        with mock.patch("drumgw.gateway.http_server.CLIENT_IDLE_TIMEOUT_MS", 1.0):
             self.assertEqual(await asyncio.wait_for(first[0].read(), 10), b"")  # the longest idle
-            self.gateway.front.sweep()
+            self.gateway.http_server.sweep()
         for line in others:
             self.assertEqual((await self.ask(line=line))[0], 200)
 
@@ -456,18 +462,18 @@
         for _ in range(60):
             await self.connect()
         self.assertEqual(((await self.ask(line=line))[0], (await self.ask())[0]), (200, 200))
-        self.assertLessEqual(self.gateway.front.crowd(), 6)
+        self.assertLessEqual(self.gateway.http_server.crowd(), 6)
 
     async def test_those_that_asked_once_and_stay_keep_no_newcomer_out(self) -> None:
         await self.short(60000.0, limits={"sockets": 34})
-        with mock.patch("drumgw.gateway.http_server.LATE_MS", 0.0):
+        with mock.patch("drumgw.gateway.http_server.STALL_THRESHOLD_MS", 0.0):
             for _ in range(20):
                 self.assertEqual((await self.ask())[0], 200)
-        self.assertEqual(self.gateway.front.asked(), 4)  # the rest of what clients may hold is free
+        self.assertEqual(self.gateway.http_server.asked(), 4)  # the rest of what clients may hold is free
         async with asyncio.timeout(20):  # the others got an end, and have a moment to read what was theirs
-            while self.gateway.front.stages[ConnectionState.LAST]:
+            while self.gateway.http_server.connections[ConnectionState.LAST]:
                 await asyncio.sleep(0.001)
-        self.assertEqual(self.gateway.front.crowd(), 4)
+        self.assertEqual(self.gateway.http_server.crowd(), 4)
 
     async def test_the_id_of_an_open_txn_is_turned_away(self) -> None:
         """Guards that txn: its worker would take the second for a copy."""
@@ -588,7 +594,7 @@
             {"seed": "?"},
         ):
             with self.assertRaises(ConfigError):
-                charter({**told("127.0.0.1:1", []), **bad})
+                gateway_config({**told("127.0.0.1:1", []), **bad})
 
     def place_taken(self) -> str:
         taken = socket.create_server(("127.0.0.1", 0))
@@ -609,7 +615,7 @@
         listed = gateway.discovery.membership.rows
 
         def states() -> dict[str, EndpointStatus]:
-            return {name: row.entry.status for name, row in listed.items()}
+            return {name: row.info.status for name, row in listed.items()}
 
         rows = [
             instance("s-0", "127.0.0.1:1", "draining"),
@@ -623,7 +629,7 @@
         while len(asked) < 2:
             await asyncio.sleep(0.001)
         self.assertEqual(states(), {"s-0": EndpointStatus.DRAINING, "s-2": EndpointStatus.READY})
-        self.assertEqual([w.open for w in gateway.workers.actors.values()], [False, True])
+        self.assertEqual([w.open for w in gateway.endpoint_clients.clients.values()], [False, True])
         self.assertLessEqual(int(asked[0].split(b"timeout_ms=")[1]), 1000)  # a lost watch is asked again soon
         news.put_nowait({"generation": 3, "reset": True, "instances": rows[5:]})
         while len(asked) < 3:
@@ -669,22 +675,22 @@
     async def test_a_drain_stops_what_was_not_written_yet(self) -> None:
         """Guards the drain: a submission that waits for its connection would be sent after the grace."""
         gateway = await self.begin("127.0.0.1:1")
-        number = next(iter(gateway.workers.actors))
+        number = next(iter(gateway.endpoint_clients.clients))
         up: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        with mock.patch.object(gateway.workers.lines.connector, "connect", lambda *args: up):
+        with mock.patch.object(gateway.endpoint_clients.pool.connector, "connect", lambda *args: up):
             _, writer = await self.connect()
             writer.write(request())
-            while not gateway.workers.where:
+            while not gateway.endpoint_clients.where:
                 await asyncio.sleep(0.001)
-            gateway.workers.drain(number, gone=False)
-        self.assertEqual((gateway.workers.where, gateway.desk.core.hand), ({}, {}))
+            gateway.endpoint_clients.drain(number, gone=False)
+        self.assertEqual((gateway.endpoint_clients.where, gateway.dispatcher.lifecycle.in_flight), ({}, {}))
 
     async def test_a_connect_time_that_ran_out_in_our_own_stall_is_no_fault_of_the_worker(self) -> None:
         gateway = await self.begin("127.0.0.1:1")
         told, stalls = list[Outcome](), [0.0, 300.0]
 
         async def connect(*args: Any) -> Any:
-            gateway.pulse.stood_ms += stalls.pop(0)
+            gateway.clock.stalled_ms += stalls.pop(0)
             raise TimeoutError
 
         def ended(now: float, txn: int, submission: int, end: Outcome, *rest: Any) -> list[Any]:
@@ -692,9 +698,9 @@
             return []
 
         with (
-            mock.patch.object(gateway.workers.lines.connector, "connect", connect),
-            mock.patch.object(gateway.pulse, "now", gateway.pulse.clock.now),
-            mock.patch.object(gateway.desk.core, "ended", ended),
+            mock.patch.object(gateway.endpoint_clients.pool.connector, "connect", connect),
+            mock.patch.object(gateway.clock, "now", gateway.clock.monotonic.now),
+            mock.patch.object(gateway.dispatcher.lifecycle, "attempt_ended", ended),
         ):
             for _ in range(2):
                 await self.ask(Request_Timeout="50m")
@@ -713,7 +719,7 @@
             self.heard.append((name, end, total))
             return []
 
-        patch = mock.patch.object(gateway.desk.core, "total", total)
+        patch = mock.patch.object(gateway.dispatcher.lifecycle, "counter_replied", total)
         patch.start()
         self.addCleanup(patch.stop)
         assert gateway.counter
@@ -750,7 +756,7 @@
         self.assertEqual(counter.came[0][0].split()[1], b"/counters/5?by=-2.5&expire_ms=4000")
         gateway = self.gateway.counter
         assert gateway
-        self.assertEqual((gateway.names, gateway.lanes, gateway.waiting), ({}, set(), 0))
+        self.assertEqual((gateway.names, gateway.connections, gateway.waiting), ({}, set(), 0))
 
     async def test_a_late_total_reaches_nobody_and_order_is_kept(self) -> None:
         """Guards the books: one call is never answered in time, and the next must not be given its total."""
@@ -830,22 +836,22 @@
         """Guards workers and counter against being judged by answers that lay unread while we stood."""
         at, loop, rang = [1000.0], mock.Mock(), list[float]()
         with mock.patch("time.time", lambda: 1.0), mock.patch("time.monotonic", lambda: at[0]):
-            pulse = StallAwareClock(MonotonicClock(), loop)
-            timer = pulse.at(pulse.now() + 150.0, lambda: rang.append(at[0]))
+            clock = StallAwareClock(MonotonicClock(), loop)
+            timer = clock.at(clock.now() + 150.0, lambda: rang.append(at[0]))
             at[0] += 0.1
-            pulse.beat()
-            self.assertEqual((pulse.stood_ms, pulse.lately_ms), (0.0, 0.0))
+            clock.start_heartbeat()
+            self.assertEqual((clock.stalled_ms, clock.recent_stall_ms), (0.0, 0.0))
             at[0] += 0.6  # 500 ms later than the beat was due
             timer.ring()
-            self.assertEqual((round(pulse.stood_ms), round(pulse.lately_ms), rang), (500, 500, []))
+            self.assertEqual((round(clock.stalled_ms), round(clock.recent_stall_ms), rang), (500, 500, []))
             (_, past, stood), (_, call) = (c.args for c in loop.call_later.call_args_list[-2:])
             call()
             past(stood)
-            self.assertEqual((rang, round(pulse.stood_ms), pulse.lately_ms), ([at[0]], 500, 0.0))
-            pulse.beat()
+            self.assertEqual((rang, round(clock.stalled_ms), clock.recent_stall_ms), ([at[0]], 500, 0.0))
+            clock.start_heartbeat()
             at[0] += 0.1
-            pulse.at(pulse.now(), lambda: rang.append(at[0])).ring()
-            self.assertEqual((len(rang), round(pulse.stood_ms)), (2, 500))
+            clock.at(clock.now(), lambda: rang.append(at[0])).ring()
+            self.assertEqual((len(rang), round(clock.stalled_ms)), (2, 500))
 
     def test_an_invariant_asserts_in_debug_and_is_counted_in_release(self) -> None:
         invariant(True, "holds")
