--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -19,13 +19,13 @@
 from drumgw.cli.__main__ import main
 from drumgw.config.host_file import HostFile
 from drumgw.gateway.process_config import ConfigError
-from drumgw.hosting.admin_api import LIST, MOST_BODY, MOST_CALLS
+from drumgw.hosting.admin_api import LIST, MAX_BODY_BYTES, MOST_CALLS
 from drumgw.hosting.authentication import hash_of
 from drumgw.hosting.host_process import HostProcess
 from drumgw.hosting.http_server import ListenerConfig
 from drumgw.hosting.openapi import document, statuses
 from drumgw.hosting.state_file import StateFile
-from tests.harness import StandIn, http, read_message
+from tests.scripted_server import StandIn, http, read_message
 from tests.test_gateway import GateCase, instance
 
 OPERATOR, OWN = "operator-token", "tenant-token"
@@ -81,19 +81,19 @@
             ],
             "tenant": list(tenants),
         }
-        service = HostProcess(HostFile.model_validate_json(json.dumps(told)))
-        self.service = service
-        self.place, self.api = await service.open()
-        self.addAsyncCleanup(self.end_host, service)
+        host_process = HostProcess(HostFile.model_validate_json(json.dumps(told)))
+        self.host_process = host_process
+        self.place, self.api = await host_process.open()
+        self.addAsyncCleanup(self.end_host, host_process)
         await self.ready()
-        return service
+        return host_process
 
-    async def end_host(self, service: HostProcess) -> None:
-        with mock.patch("drumgw.hosting.host_process.LINGER_MS", 0.0):
-            await service.close()
+    async def end_host(self, host_process: HostProcess) -> None:
+        with mock.patch("drumgw.hosting.host_process.SHUTDOWN_LINGER_MS", 0.0):
+            await host_process.close()
 
     async def ready(self) -> None:
-        hosting = self.service.hosting
+        hosting = self.host_process.hosting
         while hosting.coming or not all(seat.ready for seat in hosting.seats.values()):
             await asyncio.sleep(0.001)
 
@@ -185,8 +185,8 @@
         dumb = await self.stand_in(None)
         specs[4] = {**specs[4], "discovery": dumb.address}
         with mock.patch.object(HostCase, "ready", mock.AsyncMock()):
-            service = await self.host(*specs)
-        while sum(seat.ready for seat in service.hosting.seats.values()) < 11:
+            host_process = await self.host(*specs)
+        while sum(seat.ready for seat in host_process.hosting.seats.values()) < 11:
             await asyncio.sleep(0.001)
         for n in range(6):  # one id at all of them at the same time
             names = [f"t{m}" for m in range(12) for _ in range(1 + (m < 5))]
@@ -208,9 +208,9 @@
         self.assertEqual(self.workers["t4"].came, [])  # nobody is let in before its discovery spoke
 
     async def test_idle_connections_of_one_do_not_push_out_another_s(self) -> None:
-        service = await self.host(await self.tenant("t1"), await self.tenant("t2"))
-        front = service.front
-        front.charter = ListenerConfig(("127.0.0.1", 0), 10, 8)  # type: ignore[assignment]
+        host_process = await self.host(await self.tenant("t1"), await self.tenant("t2"))
+        front = host_process.http_server
+        front.config = ListenerConfig(("127.0.0.1", 0), 10, 8)  # type: ignore[assignment]
         quiet = await self.connect()
         ask = (
             b"GET " + TARGET.encode() + b" HTTP/1.1\r\nHost: %s.example\r\nRequest-Id: %d\r\nPlan: p\r\n"
@@ -219,8 +219,8 @@
         quiet[1].write(ask % (b"t2", 1))
         self.assertIn(b" 200 ", (await read_message(quiet[0]))[0])
         with (
-            mock.patch("drumgw.hosting.http_server.LATE_MS", -1.0),
-            mock.patch("drumgw.gateway.http_server.LATE_MS", -1.0),
+            mock.patch("drumgw.hosting.http_server.STALL_THRESHOLD_MS", -1.0),
+            mock.patch("drumgw.gateway.http_server.STALL_THRESHOLD_MS", -1.0),
         ):
             for n in range(40):
                 reader, writer = await self.connect()
@@ -234,8 +234,8 @@
     async def test_one_that_rushes_onto_stalled_workers_takes_nothing_of_the_others(self) -> None:
         stalled = await self.tenant("t1", answer=lambda head, body: None)
         held = [await self.tenant("t2"), await self.tenant("t3")]
-        service = await self.host(stalled, *held, txns=30)
-        share = service.hosting.shares.parts["t2#2"].own
+        host_process = await self.host(stalled, *held, txns=30)
+        share = host_process.hosting.shares.parts["t2#2"].own
         rush = [
             asyncio.create_task(self.at("t1", Request_Id=f"r{n}", Request_Timeout="60000m"))
             for n in range(40)
@@ -248,7 +248,7 @@
                 "Request-Timeout: 900m\r\nQuota-Info: units=1,spread=1,first=0\r\n"
                 "Content-Length: 9\r\n\r\nhalf".encode()
             )
-        seat, shares = service.hosting.seats["t1"], service.hosting.shares
+        seat, shares = host_process.hosting.seats["t1"], host_process.hosting.shares
         while seat.taken + seat.turned_away < 80:
             await asyncio.sleep(0.001)
         self.assertEqual(shares.parts["t1#1"].open, shares.holds_most("t1#1"))
@@ -279,8 +279,8 @@
         """Each txn gets its one answer from whom it was sent to; then nothing of the old one is left."""
         held: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         old = await self.tenant("t1", answer=lambda head, body: held)
-        service = await self.host(old)
-        worker, hosting = self.workers["t1"], service.hosting
+        host_process = await self.host(old)
+        worker, hosting = self.workers["t1"], host_process.hosting
         txn = asyncio.create_task(self.at("t1", Request_Timeout="60000m"))
         while not worker.came:
             await asyncio.sleep(0.001)
@@ -330,8 +330,8 @@
         self.assertEqual(len({name.split(b"-")[1] for name in totals}), 1)
 
     async def test_what_only_the_outside_sees_changes_no_station(self) -> None:
-        service = await self.host(await self.tenant("t1"))
-        station = service.hosting.seats["t1"].station
+        host_process = await self.host(await self.tenant("t1"))
+        service = host_process.hosting.seats["t1"].service
         spec = (await self.call("GET", "/v1/tenants/t1"))[1]["spec"]
         elsewhere = await self.stand_in(http(status=500))
         for version, change in (
@@ -342,14 +342,14 @@
             spec |= change
             status, told, _ = await self.call("PUT", "/v1/tenants/t1", spec, If_Match=f'"{version}"')
             self.assertEqual((status, told["version"]), (200, version + 1))
-        self.assertIs(service.hosting.seats["t1"].station, station)
+        self.assertIs(host_process.hosting.seats["t1"].service, service)
         self.assertEqual((await self.at("else"))[1], b"t1")
         while not elsewhere.came:
             await asyncio.sleep(0.001)
 
     async def test_suspended_drained_and_back(self) -> None:
         held: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        service = await self.host(await self.tenant("t1", answer=lambda head, body: held))
+        host_process = await self.host(await self.tenant("t1", answer=lambda head, body: held))
         worker = self.workers["t1"]
         txn = asyncio.create_task(self.at("t1", Request_Timeout="60000m"))
         while not worker.came:
@@ -358,17 +358,17 @@
         self.assertEqual(told["state"], "suspended")
         self.assertEqual((await self.at("t1", Request_Id="2"))[0], 503)
         _, told, _ = await self.call("POST", "/v1/tenants/t1/drain", If_Match='"2"')
-        self.assertEqual(service.hosting.registry.tenants["t1"].state, "draining")
+        self.assertEqual(host_process.hosting.registry.tenants["t1"].state, "draining")
         held.set_result(http(b"ok"))
         self.assertEqual(await txn, (200, b"ok"))
         await self.until(told["id"])
-        tenant = service.hosting.registry.tenants["t1"]
+        tenant = host_process.hosting.registry.tenants["t1"]
         self.assertEqual(tenant.state, "drained")
         await self.call("POST", "/v1/tenants/t1/resume", If_Match=f'"{tenant.version}"')
         self.assertEqual(await self.at("t1", Request_Id="3"), (200, b"ok"))
 
     async def test_hundreds_come_and_go_and_nothing_is_left(self) -> None:
-        service = await self.host()
+        host_process = await self.host()
         named = await self.tenant("t1")
         folder = "/proc/self/fd"
         level = 0
@@ -380,21 +380,21 @@
                 self.assertEqual(await self.at("t1", Request_Id=str(n)), (200, b"t1"))
             _, told, _ = await self.call("DELETE", "/v1/tenants/t1", If_Match=f'"{made["version"]}"')
             await self.until(told["id"])
-            while service.hosting.leaving:
+            while host_process.hosting.leaving:
                 await asyncio.sleep(0.001)
             if n == 20:
                 level = len(os.listdir(folder))
         self.assertLess(len(os.listdir(folder)), level + 20)
-        hosting = service.hosting
+        hosting = host_process.hosting
         tables = [hosting.seats, hosting.coming, hosting.shares.parts, hosting.weights, hosting.drains]
         self.assertEqual(tables, [{}] * 5)
 
 
 class Administering(HostCase):
     async def test_every_mistake_is_told_and_nothing_is_half_applied(self) -> None:
-        service = await self.host(await self.tenant("t1"))
+        host_process = await self.host(await self.tenant("t1"))
         good = await self.tenant("t2")
-        before = json.dumps(service.hosting.registry.kept())
+        before = json.dumps(host_process.hosting.registry.kept())
         for body, status, pointer in (
             ({**good, "plan": [{**PLANS[0], "units_per_s": -1.0}]}, 422, "/plan/0/units_per_s"),
             ({**good, "plan": "p"}, 422, "/plan"),
@@ -414,7 +414,12 @@
                 self.assertEqual((found, told["status"]), (status, status), told)
                 self.assertTrue(headers["Content-Type"].startswith("application/problem+json"))
                 self.assertIn(pointer, [e["pointer"] for e in told.get("errors", [{"pointer": ""}])])
-        for raw, status in ((b"{", 400), (b"[" * 100000, 400), (b"\xff", 400), (b"x" * (MOST_BODY + 1), 413)):
+        for raw, status in (
+            (b"{", 400),
+            (b"[" * 100000, 400),
+            (b"\xff", 400),
+            (b"x" * (MAX_BODY_BYTES + 1), 413),
+        ):
             self.assertEqual((await self.call("POST", "/v1/tenants", raw=raw))[0], status)
         self.assertEqual((await self.call("POST", "/v1/tenants", good, Content_Type="text/plain"))[0], 415)
         for path, status in (
@@ -426,11 +431,11 @@
         ):
             self.assertEqual((await self.call("GET", path))[0], status, path)
         self.assertEqual((await self.call("PATCH", "/v1/tenants"))[0], 405)
-        self.assertEqual(json.dumps(service.hosting.registry.kept()), before)
+        self.assertEqual(json.dumps(host_process.hosting.registry.kept()), before)
         self.assertEqual(await self.at("t1"), (200, b"t1"))
 
     async def test_half_sent_bodies_and_a_flood_leave_serving_unharmed(self) -> None:
-        service = await self.host(await self.tenant("t1"))
+        host_process = await self.host(await self.tenant("t1"))
         lines = []
         for _ in range(MOST_CALLS):
             _, writer = await asyncio.open_connection(*self.api)
@@ -439,13 +444,13 @@
                 "Content-Type: application/json\r\nContent-Length: 99\r\n\r\n{".encode()
             )
             lines.append(writer)
-        while service.api.calls < MOST_CALLS:
+        while host_process.api.calls < MOST_CALLS:
             await asyncio.sleep(0.001)
         self.assertEqual((await self.call("GET", "/v1/tenants"))[0], 429)
         self.assertEqual(await self.at("t1"), (200, b"t1"))
         for writer in lines:
             writer.close()
-        while service.api.calls:
+        while host_process.api.calls:
             await asyncio.sleep(0.001)
         self.assertEqual((await self.call("GET", "/v1/tenants"))[0], 200)
 
@@ -474,7 +479,7 @@
 
     async def test_administrators_at_once(self) -> None:
         """Of many that change one version one does; of many creates under one key there is one."""
-        service = await self.host(await self.tenant("t1"))
+        host_process = await self.host(await self.tenant("t1"))
         limits = [
             self.call("PUT", "/v1/tenants/t1/limits", {"submissions": 1 + n % 3}, If_Match='"1"')
             for n in range(12)
@@ -486,15 +491,15 @@
         made = await asyncio.gather(*creates)
         self.assertEqual({status for status, _, _ in made}, {201})
         self.assertEqual(len({told["version"] for _, told, _ in made}), 1)
-        self.assertEqual(list(service.hosting.seats), ["t1", "t2"])
+        self.assertEqual(list(host_process.hosting.seats), ["t1", "t2"])
 
     async def test_the_description_tells_what_is_there(self) -> None:
-        service = await self.host(await self.tenant("t1"))
+        host_process = await self.host(await self.tenant("t1"))
         status, told, _ = await self.call("GET", "/openapi.json", token=None)
         self.assertEqual((status, told), (200, json.loads(json.dumps(document()))))
         served = {
             (route.method, route.resource.canonical)
-            for route in service.api.app.router.routes()
+            for route in host_process.api.app.router.routes()
             if route.resource and route.method != "HEAD"
         }
         described = {(method.upper(), path) for path, methods in told["paths"].items() for method in methods}
@@ -524,9 +529,9 @@
             await self.host(state=folder)
 
     async def test_a_folder_that_cannot_be_written_changes_nothing(self) -> None:
-        service = await self.host(await self.tenant("t1"))
-        assert service.store is not None
-        with mock.patch.object(service.store, "save", side_effect=OSError("full")):
+        host_process = await self.host(await self.tenant("t1"))
+        assert host_process.store is not None
+        with mock.patch.object(host_process.store, "save", side_effect=OSError("full")):
             self.assertEqual((await self.call("DELETE", "/v1/tenants/t1", If_Match='"1"'))[0], 500)
         self.assertEqual(await self.at("t1"), (200, b"t1"))
         self.assertEqual((await self.call("GET", "/v1/tenants/t1"))[1]["state"], "active")
@@ -534,9 +539,9 @@
     async def test_told_to_end_in_the_midst_of_a_change(self) -> None:
         """The change that is being kept is made, or not at all; what is read then is one of the two."""
         folder = self.folder()
-        service = await self.host(await self.tenant("t1"), state=folder)
-        assert service.store is not None
-        begun, go_on, save = threading.Event(), threading.Event(), service.store.save
+        host_process = await self.host(await self.tenant("t1"), state=folder)
+        assert host_process.store is not None
+        begun, go_on, save = threading.Event(), threading.Event(), host_process.store.save
 
         def slow(content: Any) -> None:
             begun.set()
@@ -544,12 +549,12 @@
             save(content)
 
         with (
-            mock.patch.object(service.store, "save", slow),
-            mock.patch("drumgw.hosting.host_process.LINGER_MS", 0.0),
+            mock.patch.object(host_process.store, "save", slow),
+            mock.patch("drumgw.hosting.host_process.SHUTDOWN_LINGER_MS", 0.0),
         ):
             changing = asyncio.create_task(self.call("POST", "/v1/tenants/t1/suspend", If_Match='"1"'))
             await asyncio.to_thread(begun.wait)
-            closing = asyncio.create_task(service.close())
+            closing = asyncio.create_task(host_process.close())
             await asyncio.sleep(0)
             go_on.set()
             await closing
@@ -578,7 +583,7 @@
         self.assertFalse([line for line in said if OPERATOR in line or hash_of(OPERATOR) in line])
 
     async def test_from_the_command_line(self) -> None:
-        service = await self.host(await self.tenant("t1"))
+        host_process = await self.host(await self.tenant("t1"))
         named, runner = await self.tenant("t2"), CliRunner()
         api = "{}:{}".format(*self.api)
 
@@ -596,7 +601,7 @@
         self.assertEqual((code, "Name taken" in text), (1, True))
         self.assertEqual((await run("replace", "t2", "-", "--part", "limits", told={"submissions": 2}))[0], 0)
         await self.ready()
-        self.assertEqual(service.hosting.seats["t2"].station.charter.terms.max_attempts, 2)
+        self.assertEqual(host_process.hosting.seats["t2"].service.config.settings.max_attempts, 2)
         for words in (("suspend", "t2"), ("resume", "t2"), ("show", "t2", "--use"), ("show", "t2")):
             self.assertEqual((await run(*words))[0], 0, words)
         code, text = await run("remove", "t2", "--wait", "10")
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -38,7 +38,7 @@
         self.same(s, "soft")
 
     def test_true_units_settle_the_books(self) -> None:
-        s = PolicyHarness(counter=False, gatekeepers=1)
+        s = PolicyHarness(has_counter=False, gateways=1)
         s.note("12 units guessed, 2 true: another 12 fit; 12 true: no more do")
         s.answer(s.txn(1, 12.0, gates=1), units=2.0)
         s.answer(s.txn(1, 12.0, gates=1), units=12.0)
@@ -125,9 +125,9 @@
 
     def test_what_was_leased_and_not_spent_goes_back_at_the_end(self) -> None:
         """Guards customers through restarts: their blocks would stay used until the store has filled."""
-        s = PolicyHarness(gatekeepers=400)
+        s = PolicyHarness(gateways=400)
         s.tick(20000)
-        while not s.keeper.accounts or max(s.keeper.accounts[1].lease) < 1:
+        while not s.engine.accounts or max(s.engine.accounts[1].lease) < 1:
             s.answer(s.txn(1, 1.0, left=2000.0))
         s.note("of the block that was told just now nothing is spent")
         s.play(GatewayStopping())
@@ -162,7 +162,7 @@
                 s.trace = [line for line in s.trace if "--" in line or "log" in line]
                 while s.adds:
                     s.total(0.0 if end is Outcome.SUCCEEDED else None, end, took)
-                for txn in [t for t in s.out if t in s.keeper.held]:
+                for txn in [t for t in s.out if t in s.engine.held]:
                     s.answer(txn)
                 s.tick(100)
             s.note(f"{end.value} in {took:.0f} ms: {asked} calls for 40 txns")
@@ -172,7 +172,7 @@
 
 class Rules(TraceCase):
     def test_once_only(self) -> None:
-        s = PolicyHarness(counter=False)
+        s = PolicyHarness(has_counter=False)
         s.note("may have run: void, nothing more")
         s.answer(s.txn(0), Outcome.FAILED)
         s.note("client's time up: void")
@@ -184,7 +184,7 @@
         self.same(s, "once")
 
     def test_referenced_stays_in_its_zone_and_time(self) -> None:
-        s = PolicyHarness(products=(BY_ZONE, INQUIRY), workers=8, submissions=9, counter=False)
+        s = PolicyHarness(request_classes=(BY_ZONE, INQUIRY), workers=8, max_attempts=9, has_counter=False)
         for wait in (100.0, 4000.0):
             txn = s.txn(0, left=9000.0)
             s.answer(txn, Outcome.BROKEN_RESPONSE)
@@ -196,7 +196,7 @@
         self.same(s, "referenced")
 
     def test_no_worker_known(self) -> None:
-        s = PolicyHarness(workers=0, counter=False)
+        s = PolicyHarness(workers=0, has_counter=False)
         s.txn(0)
         s.txn(1)
         self.same(s, "noworker")
@@ -208,7 +208,7 @@
         return sorted({w for t in txns for w in s.out[t]})
 
     def test_drained_and_gone_get_nothing_new(self) -> None:
-        s = PolicyHarness(counter=False)
+        s = PolicyHarness(has_counter=False)
         s.play(EndpointsUpdated(False, (s.row(0, EndpointStatus.DRAINING), s.row(1, EndpointStatus.REMOVED))))
         s.note(f"workers used: {self.used(s)}")
         s.play(EndpointsUpdated(True, (s.row(3, EndpointStatus.READY),)))
@@ -216,7 +216,7 @@
         self.same(s, "drain")
 
     def test_cold_worker_gets_a_part(self) -> None:
-        s = PolicyHarness(workers=3, counter=False)
+        s = PolicyHarness(workers=3, has_counter=False)
         s.play(EndpointsUpdated(False, (s.row(3, EndpointStatus.READY, s.now),)))
         counts = [0, 0, 0, 0]
         for step in range(200):
@@ -243,14 +243,14 @@
 
     def test_a_customer_seen_late_has_its_whole_part_of_the_ceiling(self) -> None:
         """Guards customers of many gateways: their books are new, or dropped as idle, at nearly each txn."""
-        s = PolicyHarness(plans=(replace(CEILED, units_per_s=100.0, burst_units=200.0),), counter=False)
+        s = PolicyHarness(plans=(replace(CEILED, units_per_s=100.0, burst_units=200.0),), has_counter=False)
         s.tick(1500)
         s.note("1.6 s after our start: 16 of the 20 units that the ceiling may hold here have filled")
         for units in (6.0, 6.0, 6.0):
             settle(s, s.txn(1, units, customer=2))
         s.tick(30000)
         s.note("books dropped as idle: the part is full again, and holds no more than that")
-        self.assertNotIn(2, s.keeper.accounts)
+        self.assertNotIn(2, s.engine.accounts)
         for units in (6.0, 6.0, 6.0, 6.0):
             settle(s, s.txn(1, units, customer=2))
         self.same(s, "ceiling-late")
@@ -258,7 +258,7 @@
 
 class Fault(TraceCase):
     def test_silent_worker_rests_and_its_txns_go_elsewhere(self) -> None:
-        s = PolicyHarness(counter=False)
+        s = PolicyHarness(has_counter=False)
         silent = s.txn(1, 0.1, left=30000.0)
         s.tick(2200)
         s.note("called off; it goes elsewhere, and settles")
@@ -271,7 +271,7 @@
 
     def test_answers_that_break_off_from_all_alike_rest_nobody(self) -> None:
         """Guards capacity: a connection that breaks says little of its worker, and nothing where all do."""
-        s = PolicyHarness(counter=False)
+        s = PolicyHarness(has_counter=False)
         s.note("one broken answer rests nobody")
         s.answer(s.txn(0, 0.1), Outcome.BROKEN_RESPONSE)
         s.note("nor do some in each eight, from whichever worker")
@@ -286,13 +286,13 @@
 
     def test_room_is_wide_while_no_answer_is_late(self) -> None:
         """Guards the lower class: it was declined while workers had room and answers came early."""
-        s = PolicyHarness(counter=False)
+        s = PolicyHarness(has_counter=False)
         for n in range(16):
             s.txn(1, 0.1, customer=n)
         self.same(s, "wide")
 
     def test_a_worker_that_fails_one_product_serves_the_other(self) -> None:
-        s = PolicyHarness(workers=2, counter=False, cold_ms=0.0)
+        s = PolicyHarness(workers=2, has_counter=False, warm_up_ms=0.0)
         for c in range(12):
             txn = s.txn(0, 0.1, c)
             s.answer(txn, Outcome.FAILED if s.out[txn][-1] == 0 else Outcome.SUCCEEDED)
@@ -311,7 +311,7 @@
 
     def test_once_only_keeps_away_from_a_worker_that_failed_anything(self) -> None:
         """Guards what can't be sent again: requests that may run again find out whether a worker is well."""
-        s = PolicyHarness(counter=False)
+        s = PolicyHarness(has_counter=False)
 
         def once(bad: int) -> int:
             """How many of 20 once-only requests go to the worker."""
@@ -340,7 +340,7 @@
         self.same(s, "once-careful")
 
     def test_late_answers_shed_the_lower_class_first(self) -> None:
-        s = PolicyHarness(counter=False, gatekeepers=10)
+        s = PolicyHarness(has_counter=False, gateways=10)
         for took in (100.0, 1900.0, 100.0):
             for step in range(60):
                 txn = s.txn(1, 0.1, 1000 + step)
@@ -351,14 +351,14 @@
             let = [0, 0]
             for k in (1, 0):
                 let[k] = [s.txn(k, 0.1, 100 + c) in s.out for c in range(10)].count(True)
-                for txn in [t for t in s.out if t in s.keeper.held]:
+                for txn in [t for t in s.out if t in s.engine.held]:
                     s.answer(txn, took=min(took, 700.0))
             s.trace = [line for line in s.trace if "--" in line or "log: back" in line]
             s.note(f"answers in {took:.0f} ms: let out {let[0]} of the top class, {let[1]} of the other")
         self.same(s, "room")
 
     def test_own_stall_is_not_charged_to_workers(self) -> None:
-        s = PolicyHarness(counter=False)
+        s = PolicyHarness(has_counter=False)
         txns = [s.txn(1, 0.1, c, left=30000.0) for c in range(6)]
         s.note("we stand still for 8 s; the answers are there, late")
         s.now += 8000
@@ -366,14 +366,14 @@
         for txn in txns:
             s.answer(txn, took=8000.0)
         s.tick(200)
-        s.note(f"late {s.keeper.late:.2f}; from now a txn is held only with {s.keeper.hold:.0f} ms left")
+        s.note(f"late {s.engine.late:.2f}; from now a txn is held only with {s.engine.hold:.0f} ms left")
         self.same(s, "stall")
 
     def test_gateways_share_the_fleet_out(self) -> None:
         s = PolicyHarness(workers=0)
         use: dict[int, int] = {}
         for ordinal in range(50):
-            g = PolicyHarness(workers=50, counter=False, gatekeepers=250, ordinal=ordinal)
+            g = PolicyHarness(workers=50, has_counter=False, gateways=250, ordinal=ordinal)
             for _ in range(3):
                 txn = g.txn(1, 0.1)
                 use[g.out[txn][0]] = use.get(g.out[txn][0], 0) + 1
@@ -382,7 +382,7 @@
         self.same(s, "near")
 
     def test_open_cap_is_split_over_the_gateways(self) -> None:
-        s = PolicyHarness(counter=False, plans=(OPEN,))
+        s = PolicyHarness(has_counter=False, plans=(OPEN,))
         first = s.txn(1)
         s.txn(1)
         s.answer(first)
@@ -395,12 +395,12 @@
         for c in (1, 1, 1):
             settle(s, s.txn(1, 5.0, customer=c, gates=40))
         s.note("what is not asked about is not sent on")
-        s.keeper.asking = 0.0
+        s.engine.asking = 0.0
         s.txn(1, 5.0, customer=2, gates=40)
         self.same(s, "shared")
 
     def test_client_gone_is_called_off_and_never_sent_again(self) -> None:
-        s = PolicyHarness(counter=False)
+        s = PolicyHarness(has_counter=False)
         txn = s.txn(1)
         s.play(ClientDisconnected(txn))
         s.answer(txn, Outcome.CANCELLED, final=True)
--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -25,7 +25,7 @@
 from drumgw.policy.engine import COUNT_MS, IDLE_MS, CounterCall, PolicyEngine
 from drumgw.stable_hash import stable_hash
 from drumgw.testbed.metrics import sent_while_lost
-from tests.harness import INQUIRY, ONCE, terms
+from tests.harness import INQUIRY, ONCE, gateway_settings
 from tests.scenarios import Passer, day, play
 
 TOP = 6  # units of a txn
@@ -66,16 +66,17 @@
             self.plan.ceiling_per_s,
             self.plan.ceiling_burst,
         )
-        keeper = self.kind(
+        engine = self.kind(
             self.chance.getrandbits(60),
             dataclasses.replace(
-                terms((ONCE, INQUIRY), (p,), gatekeepers=self.number, top_units=float(TOP)), ordinal=gate
+                gateway_settings((ONCE, INQUIRY), (p,), gateways=self.number, max_request_units=float(TOP)),
+                ordinal=gate,
             ),
         )
-        keeper.start(self.now + self.skews[gate])
+        engine.start(self.now + self.skews[gate])
         rows = tuple(EndpointInfo(w, 0, 0, "std", EndpointStatus.READY, None, 1.0) for w in range(4))
-        keeper.handle(self.now + self.skews[gate], EndpointsUpdated(True, rows))
-        return keeper
+        engine.handle(self.now + self.skews[gate], EndpointsUpdated(True, rows))
+        return engine
 
     def tell(self, gate: int, event: Event) -> None:
         for a in self.gates[gate].handle(self.now + self.skews[gate], event):
@@ -276,8 +277,8 @@
             fleet.ask(gate)
         while fleet.calls:
             fleet.answer(*fleet.calls.pop(0))
-        keeper = fleet.gates[0]
-        account = keeper.accounts[1]
+        engine = fleet.gates[0]
+        account = engine.accounts[1]
         epoch = int((fleet.now + account.phase) // COUNT_MS)
         total = fleet.stores[0].get(stable_hash(1, epoch), 0.0)
         filled = (fleet.now + account.phase - epoch * COUNT_MS) * fleet.plan.units_per_s / 1000.0
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -23,7 +23,7 @@
     RequestReceived,
     TimerFired,
 )
-from tests.harness import terms
+from tests.harness import gateway_settings
 
 Answers = Callable[[Event], list[Action]]
 
@@ -54,14 +54,16 @@
 class CoreCase(unittest.TestCase):
     def begin(self, answers: Answers = submits) -> None:
         self.script = Script(answers)
-        self.core = RequestLifecycle(self.script, terms())
-        self.core.start(0.0, EndpointsUpdated(True, ()))
+        self.lifecycle = RequestLifecycle(self.script, gateway_settings())
+        self.lifecycle.start(0.0, EndpointsUpdated(True, ()))
 
     def arrive(self) -> list[Command]:
-        return self.core.arrive(10.0, RequestReceived(0, 500.0, 0, 1, 0, 2.0, False, 2, 0))[1]
+        return self.lifecycle.request_received(10.0, RequestReceived(0, 500.0, 0, 1, 0, 2.0, False, 2, 0))[1]
 
     def ended(self, end: Outcome, at: float = 60.0, submission: int = 0) -> list[Command]:
-        return self.core.ended(at, 1, submission, end, 3.0, {}, b"ok" if end is Outcome.SUCCEEDED else None)
+        return self.lifecycle.attempt_ended(
+            at, 1, submission, end, 3.0, {}, b"ok" if end is Outcome.SUCCEEDED else None
+        )
 
     def told(self) -> list[tuple[Outcome, float, bool, float]]:
         return [
@@ -75,20 +77,23 @@
         self.assertIn(StartAttempt(1, 0, 5, 510.0), self.arrive())
         self.assertEqual(self.ended(Outcome.SUCCEEDED), [SendResponse(1, 200, 0.0, b"ok")])
         self.assertEqual(self.told(), [(Outcome.SUCCEEDED, 50.0, True, 3.0)])
-        self.assertEqual((self.ended(Outcome.SUCCEEDED), self.core.hand), ([], {}))
+        self.assertEqual((self.ended(Outcome.SUCCEEDED), self.lifecycle.in_flight), ([], {}))
 
     def test_expiry_stops_what_is_out_and_keeps_the_answer(self) -> None:
         """Guards against a lost txn: the answer to the time-out was dropped where the core told twice."""
         self.begin()
         self.arrive()
-        self.assertEqual(self.core.alarm(510.0, 1, -1), [AbortAttempt(1, 0), SendResponse(1, 500, 0.0, None)])
+        self.assertEqual(
+            self.lifecycle.deadline_reached(510.0, 1, -1),
+            [AbortAttempt(1, 0), SendResponse(1, 500, 0.0, None)],
+        )
         self.assertEqual(self.told(), [(Outcome.TIMED_OUT, 500.0, False, 0.0)])
-        self.assertEqual((self.core.alarm(511.0, 1, -1), self.core.hand), ([], {}))
+        self.assertEqual((self.lifecycle.deadline_reached(511.0, 1, -1), self.lifecycle.in_flight), ([], {}))
 
     def test_a_txn_the_module_forgot_ends_at_its_expiry(self) -> None:
         self.begin(lambda event: [])
         self.arrive()
-        self.assertEqual(self.core.alarm(510.0, 1, -1), [SendResponse(1, 503, 0.0, None)])
+        self.assertEqual(self.lifecycle.deadline_reached(510.0, 1, -1), [SendResponse(1, 503, 0.0, None)])
         self.assertIsInstance(self.script.told[-1], ClientDisconnected)
 
     def test_a_cancelled_submission_is_told_once_and_the_next_may_go(self) -> None:
@@ -99,7 +104,9 @@
 
         self.begin(answers)
         self.arrive()
-        self.assertEqual(self.core.due(100.0, 0), [AbortAttempt(1, 0), StartAttempt(1, 1, 6, 510.0)])
+        self.assertEqual(
+            self.lifecycle.timer_fired(100.0, 0), [AbortAttempt(1, 0), StartAttempt(1, 1, 6, 510.0)]
+        )
         self.assertEqual(self.ended(Outcome.SUCCEEDED, submission=0), [])
         self.assertEqual(self.told(), [(Outcome.CANCELLED, 90.0, False, 0.0)])
 
@@ -128,8 +135,10 @@
 
         self.begin(answers)
         self.arrive()
-        self.assertEqual(self.core.left(60.0, 1), [AbortAttempt(1, 0)])
-        self.assertEqual((self.told(), self.core.hand), ([(Outcome.CANCELLED, 50.0, True, 0.0)], {}))
+        self.assertEqual(self.lifecycle.client_disconnected(60.0, 1), [AbortAttempt(1, 0)])
+        self.assertEqual(
+            (self.told(), self.lifecycle.in_flight), ([(Outcome.CANCELLED, 50.0, True, 0.0)], {})
+        )
 
     def test_a_fault_of_the_module_answers_its_txn_and_keeps_the_tick(self) -> None:
         """503 promises that trying again is harmless: not once a submission may have run."""
@@ -147,30 +156,34 @@
         ):
             with self.subTest(kind=kind, status=status):
                 self.begin(fails)
-                effects = self.arrive()
+                commands = self.arrive()
                 if last:
-                    effects = self.ended(last)
-                self.assertIn(SendResponse(1, status, 0.0, None), effects)
-                self.assertEqual(self.core.hand, {})
+                    commands = self.ended(last)
+                self.assertIn(SendResponse(1, status, 0.0, None), commands)
+                self.assertEqual(self.lifecycle.in_flight, {})
         kind = TimerFired
         self.begin(fails)
-        effects = self.core.due(100.0, 0)
-        self.assertIsInstance(effects[0], ReportFault)
-        self.assertEqual(effects[1:], [SetTimer(100.0, 0)])
+        commands = self.lifecycle.timer_fired(100.0, 0)
+        self.assertIsInstance(commands[0], ReportFault)
+        self.assertEqual(commands[1:], [SetTimer(100.0, 0)])
 
     def test_the_time_our_own_loop_stood_is_no_submissions(self) -> None:
         self.begin()
         self.arrive()
-        self.core.stood = 30.0
+        self.lifecycle.stalled_ms = 30.0
         self.ended(Outcome.SUCCEEDED)
         self.assertEqual(self.told(), [(Outcome.SUCCEEDED, 20.0, True, 3.0)])
-        effects = self.core.arrive(600.0, RequestReceived(0, 500.0, 0, 1, 0, 2.0, False, 2, 0), 450.0)[1]
+        commands = self.lifecycle.request_received(
+            600.0, RequestReceived(0, 500.0, 0, 1, 0, 2.0, False, 2, 0), 450.0
+        )[1]
         self.assertIn(
-            StartAttempt(2, 0, 5, 650.0), effects
+            StartAttempt(2, 0, 5, 650.0), commands
         )  # it may have waited unread through all of the stall
 
     def test_an_adapter_that_failed_has_its_txn_answered(self) -> None:
         self.begin()
         self.arrive()
-        self.assertEqual(self.core.abandon(20.0, 1), [SendResponse(1, 500, 0.0, None), AbortAttempt(1, 0)])
+        self.assertEqual(
+            self.lifecycle.abandon_request(20.0, 1), [SendResponse(1, 500, 0.0, None), AbortAttempt(1, 0)]
+        )
         self.assertEqual(self.told(), [(Outcome.CANCELLED, 10.0, True, 0.0)])
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -126,11 +126,11 @@
 
     def test_a_double_sender(self) -> None:
         of = day('kind = "resets"; at_s = 0.5; part = 1; size = 0.5; for_s = 2')
-        self.assertEqual(self.rules(of, keeper=scenarios.Doubler), {"doubled"})
+        self.assertEqual(self.rules(of, engine=scenarios.Doubler), {"doubled"})
 
     def test_one_that_declines_what_may_have_run(self) -> None:
         of = day('kind = "failing"; at_s = 0.5; part = 0.7; for_s = 2')
-        self.assertEqual(self.rules(of, keeper=scenarios.Decliner), {"doubled"})
+        self.assertEqual(self.rules(of, engine=scenarios.Decliner), {"doubled"})
 
     def test_a_sender_to_drained_workers(self) -> None:
         self.assertEqual(
@@ -162,10 +162,10 @@
 
     def test_an_overfiller_of_cold_workers(self) -> None:
         of = day('kind = "replace"; at_s = 1; worker = 0', cores=1, cold_from=0.05, fall_multiple=1.5)
-        self.assertEqual(self.rules(of, keeper=scenarios.Pusher), {"pushed"})
+        self.assertEqual(self.rules(of, engine=scenarios.Pusher), {"pushed"})
 
     def test_a_passer_of_ceilings(self) -> None:
-        self.assertEqual(self.rules(day(use=4.0), keeper=scenarios.Passer), {"ceilings"})
+        self.assertEqual(self.rules(day(use=4.0), engine=scenarios.Passer), {"ceilings"})
 
     def case(self, *rows: Any) -> list[str]:
         """Breaches of a hand-written record: (time, what, fields)."""
