--- a/drumgw/__main__.py
+++ b/drumgw/__main__.py
@@ -1,4 +1,4 @@
-"""python -m drumgw: one real gatekeeper, as its GW_ variables say."""
+"""`python -m drumgw`: one gateway process, configured by its GW_ variables."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 import sys
 from functools import partial
 
-early: list[int] = []  # SIGHUPs that came before the loop listens for them
-if __name__ == "__main__":  # before the imports, which take half a second: their defaults end the process
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
-    signal.signal(signal.SIGTERM, lambda *_: os._exit(0))  # nothing was served yet
+early_signals: list[int] = []  # SIGHUPs received before the event loop handles them
+if __name__ == "__main__":  # before the imports, which take half a second: by default both end the process
+    signal.signal(signal.SIGHUP, lambda number, _: early_signals.append(number))
+    signal.signal(signal.SIGTERM, lambda *_: os._exit(0))  # nothing has been served yet
 
 import uvloop  # noqa: E402
 from loguru import logger  # noqa: E402
@@ -20,10 +20,13 @@
 
 
 def main() -> int:
+    """Runs the gateway until it is told to stop; the exit code is 2 for an unusable configuration."""
     logger.remove()
     logger.add(sys.stderr, level="INFO", format="{time:HH:mm:ss.SSS} {level: <7} {message}")
     try:
-        uvloop.run(serve(read_config(os.environ), partial(read_config, os.environ, again=True), early))
+        uvloop.run(
+            serve(read_config(os.environ), partial(read_config, os.environ, again=True), early_signals)
+        )
     except ConfigError as bad:
         print(f"drumgw: {bad}", file=sys.stderr)
         return 2
--- a/drumgw/gateway/request_lifecycle.py
+++ b/drumgw/gateway/request_lifecycle.py
@@ -16,7 +16,6 @@
     Action,
     AddToCounter,
     CancelAttempt,
-    CheckHealth,
     FailRequest,
     ForwardRequest,
     LogMessage,
@@ -229,8 +228,6 @@
                 self.commands.append(action)
             case AddToCounter() | LogMessage():
                 self.commands.append(action)
-            case CheckHealth():
-                invariant(False, "the module probes where probes have no port")
 
     def submit(self, now: float, a: ForwardRequest) -> None:
         h = self.in_flight.get(a.request_id)
--- a/drumgw/model/events.py
+++ b/drumgw/model/events.py
@@ -1,4 +1,8 @@
-"""What the policy engine is told. Times are in milliseconds, with fractions."""
+"""What the policy engine is told.
+
+Times are in milliseconds, with fractions. Requests, endpoints and customers are opaque numbers; a request's
+attempts are numbered from 0.
+"""
 
 from __future__ import annotations
 
@@ -7,28 +11,35 @@
 
 
 class Outcome(Enum):
-    """How a submission (or a call, or a probe) ended."""
-
-    SUCCEEDED = "settled"
-    FAILED = "error"
-    REJECTED = "full"
-    TIMED_OUT = "timeout"
-    UNREACHABLE = "unreached"
-    BROKEN_RESPONSE = "broken"
+    """How an attempt, or a call to the shared counter, ended."""
+
+    SUCCEEDED = "succeeded"
+    FAILED = "failed"
+    """A complete response that reports an error: the request may have run."""
+    REJECTED = "rejected"
+    """The peer had no capacity, and says that nothing ran."""
+    TIMED_OUT = "timed out"
+    """Given up at its deadline: the request may have run."""
+    UNREACHABLE = "unreachable"
+    """No connection, or it broke before the last byte was written: nothing ran."""
+    BROKEN_RESPONSE = "broken response"
+    """No complete, valid response: the request may have run."""
     CANCELLED = "cancelled"
+    """Called off by this gateway: the request may have run."""
     NOT_SENT = "not sent"
+    """Withdrawn here before its last byte was written, for no fault of the endpoint's: nothing ran."""
 
 
 class EndpointStatus(Enum):
-    """What the worker list says of a worker."""
+    """What the endpoint list says of an endpoint."""
 
     READY = "ready"
     DRAINING = "draining"
-    REMOVED = "gone"
+    REMOVED = "removed"
 
 
 class EndpointInfo(NamedTuple):
-    """A line of the worker list."""
+    """One entry of the endpoint list."""
 
     endpoint_id: int
     zone: int
@@ -36,77 +47,79 @@
     machine_type: str
     status: EndpointStatus
     started_at_ms: float | None
+    """When it started cold; None for one that was warm when it was first listed."""
     weight: float
 
 
 class EndpointsUpdated(NamedTuple):
-    """The worker list: whole, or its changes."""
+    """The endpoint list, complete, or its changes only."""
 
     is_complete: bool
     endpoints: tuple[EndpointInfo, ...]
 
 
 class RequestReceived(NamedTuple):
+    """A client's request has been read."""
+
     request_id: int
     time_left_ms: float
     plan: int
     customer: int
     request_class: int
     units: float
+    """Estimated cost, in units of the customer's quota."""
     is_client_retry: bool
-    gateway_count: int  # how many gatekeepers this customer's txns come in through
+    gateway_count: int
+    """How many gateways this customer's requests come in through, from `first_gateway` on."""
     first_gateway: int
 
 
 class AttemptEnded(NamedTuple):
-    """One submission ended."""
+    """An attempt has ended. Told exactly once for each attempt that was started."""
 
     request_id: int
     attempt: int
     endpoint_id: int
     outcome: Outcome
     duration_ms: float
+    """Time since it was started, less what this process stood still."""
     is_final: bool
-    billed_units: float  # true units; 0: not told
+    """Whether the client has been answered, or has gone: nothing more is owed."""
+    billed_units: float
+    """True cost; 0 where the endpoint did not tell."""
     load_report: dict[str, float]
 
 
 class ResponseStarted(NamedTuple):
-    """A streamed answer has begun; it belongs to the client."""
+    """A streamed response has begun; from now on it belongs to the client."""
 
     request_id: int
 
 
 class ClientDisconnected(NamedTuple):
-    """The client has gone; nothing is owed for this txn."""
+    """The client has gone; nothing is owed for this request any more."""
 
     request_id: int
 
 
 class TimerFired(NamedTuple):
-    """A timer fell due."""
+    """A timer that `SetTimer` asked for has fired."""
 
     timer_id: int
 
 
 class CounterReplied(NamedTuple):
-    """A call to the quota counter ended."""
+    """A call to the shared counter has ended."""
 
     counter_key: int
     outcome: Outcome
     total: float
+    """The counter's value after the call; only meaningful for SUCCEEDED."""
     duration_ms: float
 
 
-class HealthCheckEnded(NamedTuple):
-    endpoint_id: int
-    outcome: Outcome
-    duration_ms: float
-    load_report: dict[str, float]
-
-
 class GatewayStopping(NamedTuple):
-    """The gateway ends, and has finished what was in hand: what was leased and not spent goes back."""
+    """The gateway has finished its requests and is about to exit: unspent reservations are returned."""
 
 
 Event = (
@@ -117,6 +130,5 @@
     | ClientDisconnected
     | TimerFired
     | CounterReplied
-    | HealthCheckEnded
     | GatewayStopping
 )
--- a/drumgw/policy/engine.py
+++ b/drumgw/policy/engine.py
@@ -39,7 +39,6 @@
     EndpointsUpdated,
     Event,
     GatewayStopping,
-    HealthCheckEnded,
     Outcome,
     RequestReceived,
     ResponseStarted,
@@ -752,6 +751,5 @@
     TimerFired: PolicyEngine.on_due,
     CounterReplied: PolicyEngine.on_total,
     ResponseStarted: nothing,
-    HealthCheckEnded: nothing,
     GatewayStopping: PolicyEngine.on_ending,
 }
--- a/drumgw/simulator/wire.py
+++ b/drumgw/simulator/wire.py
@@ -6,7 +6,6 @@
     Action,
     AddToCounter,
     CancelAttempt,
-    CheckHealth,
     FailRequest,
     ForwardRequest,
     LogMessage,
@@ -20,7 +19,6 @@
     EndpointInfo,
     EndpointStatus,
     Event,
-    HealthCheckEnded,
     Outcome,
     RequestReceived,
     ResponseStarted,
@@ -93,13 +91,9 @@
             return TimerFired(e["label"])
         case "Tallied":
             return CounterReplied(e["book"], ENDS[e["verdict"]], float(e["value"] or 0), e["timeTakenMs"])
-        case "ProbeDone":
-            return HealthCheckEnded(
-                e["worker"], ENDS[e["verdict"]], e["timeTakenMs"], _load(e.get("feedback"))
-            )
         case "Begun":
             return ResponseStarted(e["rid"])
-        case "Heard":
+        case "Heard" | "ProbeDone":  # the policy asks for neither
             return None
     raise KeyError(name)
 
@@ -125,7 +119,5 @@
             return {"After": {"who": who, "spanMs": a.delay_ms, "label": a.timer_id}}
         case AddToCounter():
             return {"Count": {"who": who, "amount": a.amount, "book": a.counter_key, "livesMs": a.ttl_ms}}
-        case CheckHealth():
-            return {"HealthCheck": {"who": who, "worker": a.endpoint_id}}
         case LogMessage():
             return {"Emit": {"who": who, "reasonText": a.text}}
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -34,15 +34,13 @@
 
 TRACES = pathlib.Path(__file__).parent / "traces"
 START = 3 * COUNT_MS - stable_hash(1) % int(COUNT_MS)  # the first customer's count has a new name then
-INQUIRY = RequestClass(1.0, 2000.0, 8000.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 5000.0, 0.2)
-ONCE = RequestClass(3.0, 800.0, 2500.0, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 5000.0, 0.2)
-BY_ZONE = RequestClass(
-    5.0, 2500.0, 8000.0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, 3000.0, 0.0
-)
-HARD = Plan(2.0, 20.0, 0, 1.0, 0.0, 0.8, 0.0, 0.0)
-SOFT = Plan(2.0, 20.0, 0, 1.0, 0.2, 0.0, 0.0, 0.0)
-CEILED = Plan(10.0, 20.0, 0, 1.0, 0.0, 0.5, 20.0, 40.0)
-OPEN = Plan(2.0, 20.0, 2, 1.0, 0.0, 0.6, 0.0, 0.0)
+INQUIRY = RequestClass(1.0, 2000.0, 8000.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 5000.0)
+ONCE = RequestClass(3.0, 800.0, 2500.0, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 5000.0)
+BY_ZONE = RequestClass(5.0, 2500.0, 8000.0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, 3000.0)
+HARD = Plan(2.0, 20.0, 0, 0.0, 0.8, 0.0, 0.0)
+SOFT = Plan(2.0, 20.0, 0, 0.2, 0.0, 0.0, 0.0)
+CEILED = Plan(10.0, 20.0, 0, 0.0, 0.5, 20.0, 40.0)
+OPEN = Plan(2.0, 20.0, 2, 0.0, 0.6, 0.0, 0.0)
 
 
 def gateway_settings(
@@ -59,7 +57,6 @@
         max_request_units=6.0,
         has_counter=True,
         counter_timeout_ms=50.0,
-        health_checks_allowed=False,
         cancellation_allowed=True,
         hedging_allowed=False,
         max_retry_after_ms=500.0,
@@ -67,7 +64,6 @@
         warm_up_initial_fraction=0.2,
         warm_up_ms=10000.0,
         warm_up_overload_multiple=3.0,
-        warm_up_overload_window_ms=2000.0,
         cross_zone_fee=0.0,
         load_report_fields=(),
     )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -25,7 +25,7 @@
 from drumgw.policy.engine import PolicyEngine
 from tests.harness import INQUIRY, ONCE, gateway_settings
 
-PLENTY = Plan(1000.0, 1000.0, 0, 1.0, 0.0, 0.8, 0.0, 0.0)
+PLENTY = Plan(1000.0, 1000.0, 0, 0.0, 0.8, 0.0, 0.0)
 COLD_FROM, COLD_MS, FALL_MULTIPLE, FALL_MS = 0.19, 18000.0, 1.5, 3000.0  # a strict multiple
 COLD = 1  # the worker that starts in the middle of the play
 QUIET_MS, PLAY_MS = 15000.0, 20000.0
@@ -49,7 +49,6 @@
                     warm_up_initial_fraction=COLD_FROM,
                     warm_up_ms=COLD_MS,
                     warm_up_overload_multiple=FALL_MULTIPLE,
-                    warm_up_overload_window_ms=FALL_MS,
                 ),
             )
             for number in range(gateways)
--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -60,7 +60,6 @@
             self.plan.units_per_s,
             self.plan.burst_units,
             0,
-            1.0,
             0.0,
             0.8,
             self.plan.ceiling_per_s,
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -105,7 +105,7 @@
             ([*BEGIN, {"Oddity": {"who": 1}}], "line 5: Oddity: missing or unknown 'Oddity'"),
             (
                 [{"Begin": {"who": 1, "seed": 5, "options": {**OPTIONS, "classes": []}}}],
-                "line 2: Begin: no products (classes)",
+                "line 2: Begin: no request classes (classes)",
             ),
             (
                 [{"Begin": {"who": 1, "seed": 5, "options": {**OPTIONS, "tiersOfService": [BAD_PLAN]}}}],
