--- a/drumgw/hosting/http_server.py
+++ b/drumgw/hosting/http_server.py
@@ -41,10 +41,10 @@
 
     def own(self, client: ClientConnection, key: str) -> None:
         if client.tenant_key != key:
-            self.gone(client)
+            self.connection_closed(client)
             client.tenant_key, self.held[key] = key, self.held.get(key, 0) + 1
 
-    def gone(self, client: ClientConnection) -> None:
+    def connection_closed(self, client: ClientConnection) -> None:
         if client.tenant_key:
             self.held[client.tenant_key] -= 1
             if not self.held[client.tenant_key]:
