--- a/drumgw/hosting/openapi.py
+++ b/drumgw/hosting/openapi.py
@@ -2,14 +2,27 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import Any
 
-from pydantic import TypeAdapter
+from pydantic import BaseModel, TypeAdapter
 
+from drumgw.config.gateway_file import KnownEndpointSection
 from drumgw.config.host_file import NamedTenantSpec, RouteSection, TenantSpec
-from drumgw.config.sections import AllowedSection, PlanSection
+from drumgw.config.sections import AllowedSection, PlanSection, RequestClassSection, RulesSection
 from drumgw.hosting.admin_api import LIST, Action
 
+REF_PREFIX = "#/components/schemas/"
+
+
+@dataclass(frozen=True)
+class PublishedSchema:
+    """How a model appears in the document."""
+
+    name: str
+    description: str | None = None
+
+
 ANY_CALL = {401: "no token", 403: "not yours", 429: "too many calls", 500: "a fault of ours"}
 WITH_BODY = {
     400: "not JSON",
@@ -19,6 +32,17 @@
     415: "not JSON",
     422: "unusable",
 }
+# The names and descriptions that the document publishes; our class names and docstrings stay out of it.
+PUBLISHED_SCHEMAS: dict[type[BaseModel], PublishedSchema] = {
+    AllowedSection: PublishedSchema("Allowed", "What a gateway may do."),
+    KnownEndpointSection: PublishedSchema("Worker", "An endpoint known before discovery is heard."),
+    NamedTenantSpec: PublishedSchema("Named", "A tenant as a file or a create gives it."),
+    PlanSection: PublishedSchema("Plan"),
+    RequestClassSection: PublishedSchema("Product"),
+    RouteSection: PublishedSchema("Way", "A route: any host where it is empty, all paths where that is."),
+    RulesSection: PublishedSchema("Rules", "What must hold of endpoints that warm up or drain."),
+    TenantSpec: PublishedSchema("Spec", "What a tenant is made of."),
+}
 BODIES: dict[str, Any] = {
     "Named": NamedTenantSpec,
     "Spec": TenantSpec,
@@ -74,12 +98,10 @@
         },
     }
     if action.body is not None:
-        schema = TypeAdapter(BODIES[action.body]).json_schema(ref_template="#/components/schemas/{model}")
-        schemas.update(schema.pop("$defs", {}))
-        schemas[action.body] = schema
+        schemas[action.body] = published_schema(BODIES[action.body], schemas)
         found["requestBody"] = {
             "required": True,
-            "content": {"application/json": {"schema": {"$ref": f"#/components/schemas/{action.body}"}}},
+            "content": {"application/json": {"schema": {"$ref": f"{REF_PREFIX}{action.body}"}}},
         }
     if action.name != "describe":
         found["security"] = [{"token": []}]
@@ -88,3 +110,37 @@
 
 def header(name: str, required: bool) -> dict[str, Any]:
     return {"name": name, "in": "header", "required": required, "schema": {"type": "string"}}
+
+
+def published_schema(body: Any, schemas: dict[str, Any]) -> dict[str, Any]:
+    """Returns the schema of a body under its published names; adds the schemas it refers to to schemas."""
+    schema: dict[str, Any] = TypeAdapter(body).json_schema(ref_template=REF_PREFIX + "{model}")
+    for class_name, definition in schema.pop("$defs", {}).items():
+        schemas[_BY_CLASS_NAME[class_name].name] = _publish(definition)
+    return _publish(schema)
+
+
+_BY_CLASS_NAME = {model.__name__: published for model, published in PUBLISHED_SCHEMAS.items()}
+
+
+def _publish(schema: dict[str, Any]) -> dict[str, Any]:
+    """Replaces a model's class name and docstring, and the class names in references."""
+    published = _BY_CLASS_NAME.get(schema.get("title", ""))
+    if published is not None:
+        schema["title"] = published.name
+        schema.pop("description", None)
+        if published.description is not None:
+            schema["description"] = published.description
+    _rename_references(schema)
+    return schema
+
+
+def _rename_references(node: Any) -> None:
+    if isinstance(node, list):
+        for child in node:
+            _rename_references(child)
+    elif isinstance(node, dict):
+        if isinstance(reference := node.get("$ref"), str):
+            node["$ref"] = REF_PREFIX + _BY_CLASS_NAME[reference.removeprefix(REF_PREFIX)].name
+        for child in node.values():
+            _rename_references(child)
