--- a/drumgw/gateway/counter_client.py
+++ b/drumgw/gateway/counter_client.py
@@ -6,16 +6,13 @@
 from functools import partial
 
 from drumgw.gateway.clock import Timer
-from drumgw.gateway.connection_pool import (
-    CONNECTION_ERRORS,
-    ConnectionPool,
-    Exchange,
-    PeerConnection,
-    RawResponse,
-)
+from drumgw.gateway.connection_pool import ConnectionPool
 from drumgw.gateway.dispatcher import Dispatcher
+from drumgw.gateway.peer_connection import Exchange, PeerConnection
+from drumgw.gateway.peer_errors import CONNECTION_ERRORS
 from drumgw.gateway.process_config import MAX_COUNTER_CONNECTIONS, GatewayConfig
 from drumgw.gateway.request_parsing import read_number
+from drumgw.gateway.response_framing import RawResponse
 from drumgw.model.actions import AddToCounter
 from drumgw.model.events import Outcome
 
--- a/drumgw/gateway/discovery.py
+++ b/drumgw/gateway/discovery.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from drumgw.gateway.connection_pool import ConnectionPool, Exchange, RawResponse
+from drumgw.gateway.connection_pool import ConnectionPool
 from drumgw.gateway.dispatcher import Dispatcher
 from drumgw.gateway.endpoint_clients import EndpointClients
 from drumgw.gateway.membership import (
@@ -20,7 +20,9 @@
     MembershipChange,
     endpoint_id_of,
 )
+from drumgw.gateway.peer_connection import Exchange
 from drumgw.gateway.process_config import ConfigError, GatewayConfig
+from drumgw.gateway.response_framing import RawResponse
 from drumgw.model.events import EndpointStatus
 
 GRACE_PART, MAX_POLL_INTERVAL_MS = 0.25, 150.0  # of a drain's grace; the most, as lists help service
--- a/drumgw/gateway/endpoint_clients.py
+++ b/drumgw/gateway/endpoint_clients.py
@@ -9,8 +9,10 @@
 
 import aiohttp
 
-from drumgw.gateway.connection_pool import CONNECTION_ERRORS, ConnectionPool, Exchange, WriteDeadlineError
+from drumgw.gateway.connection_pool import ConnectionPool
 from drumgw.gateway.dispatcher import Dispatcher
+from drumgw.gateway.peer_connection import Exchange
+from drumgw.gateway.peer_errors import CONNECTION_ERRORS, WriteDeadlineError
 from drumgw.gateway.process_config import GatewayConfig
 from drumgw.gateway.request_lifecycle import AbortAttempt, StartAttempt
 from drumgw.gateway.request_parsing import ClientRequest, read_number
@@ -57,7 +59,7 @@
 
     def check_before_sending(self, look: Callable[[], None]) -> None:
         """Guards drains where the loop stood or is crowded: the list is read before a first byte goes."""
-        self.pool.before = look
+        self.pool.before_write = look
 
     # From the list
 
@@ -144,7 +146,7 @@
         message_bytes = b"%bRequest-Timeout: %dm\r\n\r\n%b" % (request.head, left, request.body)
         stood = self.dispatcher.clock.stalled_ms
         try:
-            message, body = await self.pool.exchange(self.card(worker), message_bytes, trip)
+            message, body = await self.pool.send(self.card(worker), message_bytes, trip)
         except CONNECTION_ERRORS as error:  # before its last byte was written it cannot have run
             self.dispatcher.clock.now()
             ours = isinstance(error, TimeoutError) and stood < self.dispatcher.clock.stalled_ms
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -295,7 +295,7 @@
         with self.held(lambda card: True) as go:
             asked = asyncio.create_task(self.ask(POSTED, "POST", b"{}"))
             lines.append(await peer.accept())
-            with mock.patch.object(self.gateway.endpoint_clients.pool, "before", reset):
+            with mock.patch.object(self.gateway.endpoint_clients.pool, "before_write", reset):
                 go.set()
                 self.assertEqual((await asked)[0], 503)
 
@@ -311,7 +311,9 @@
             line.write(half)
             if how == "ours":
                 await until(
-                    lambda: any(wire.message for wire in self.gateway.endpoint_clients.pool.connections)
+                    lambda: any(
+                        wire.framer.message for wire in self.gateway.endpoint_clients.pool.connections
+                    )
                 )
                 for wire in list(self.gateway.endpoint_clients.pool.connections):
                     wire.close()
@@ -694,7 +696,7 @@
                 if len(attempts) == (1 if first else 2):  # noqa: B023
                     line.close(reset)  # noqa: B023
 
-            with mock.patch.object(self.gateway.endpoint_clients.pool, "before", before):
+            with mock.patch.object(self.gateway.endpoint_clients.pool, "before_write", before):
                 line.write(request(Request_Timeout="60000m"))
                 await until(lambda: attempts)  # noqa: B023
                 await until(lambda: self.empty() and not self.gateway.http_server.crowd())
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -233,7 +233,7 @@
         worker = await self.stand_in(lambda head, body: answers.pop(0))
         once = {**settings()["ceilings"], "maxAttempts": 1}
         await self.begin(worker.address, settings=settings(ceilings=once))
-        with mock.patch("drumgw.gateway.connection_pool.REST_MS", 0.0):
+        with mock.patch("drumgw.gateway.connection_pool.REUSE_DELAY_MS", 0.0):
             self.assertEqual((await self.ask())[0], 200)
         self.assertEqual((await self.ask())[0], 503)
         self.assertEqual((len(worker.came), len(worker.lines)), (2, 1))
@@ -308,7 +308,7 @@
                 self.assertEqual((await self.ask())[:2], (200, b"ok"))
                 self.assertEqual((await self.ask())[:2], (200, b"mine"))
         answers += [http(b"ok"), http(b"mine")]
-        with mock.patch("drumgw.gateway.connection_pool.REST_MS", 0.0):
+        with mock.patch("drumgw.gateway.connection_pool.REUSE_DELAY_MS", 0.0):
             self.assertEqual((await self.ask())[:2], (200, b"ok"))
         worker.lines[-1].write(http(b"late"))  # on a kept connection, and not read yet
         self.assertEqual((await self.ask())[:2], (200, b"mine"))
@@ -320,7 +320,7 @@
         worker = await self.stand_in(lambda head, body: answers.pop(0))
         await self.begin(worker.address)
         patch = mock.patch(
-            "drumgw.gateway.connection_pool.REST_MS", 0.0
+            "drumgw.gateway.connection_pool.REUSE_DELAY_MS", 0.0
         )  # how long it rests before is another test's
         patch.start()
         self.addCleanup(patch.stop)
