--- a/drumgw/cli/__main__.py
+++ b/drumgw/cli/__main__.py
@@ -92,13 +92,13 @@
     """
     import json
 
-    from drumgw.config.gateway_file import configuration, read_gateway_file
-    from drumgw.config.quota_bounds import bound, said
+    from drumgw.config.gateway_file import gateway_configuration, read_gateway_file
+    from drumgw.config.quota_bounds import describe_bound, sending_bound
     from drumgw.model.settings_reader import SettingsError, read_settings
 
     try:
         office = read_gateway_file(config)
-        told = configuration(office)
+        told = gateway_configuration(office)
         read_settings(told["settings"])
     except (FileError, SettingsError) as bad:
         refuse(bad)
@@ -113,8 +113,8 @@
         if g.counter is not None:
             gates = min(spread or g.gatekeepers, g.gatekeepers)
             for plan in office.plan:
-                if (b := bound(plan, gates, lost)) is not None:
-                    click.echo(said(b, gates, lost))
+                if (b := sending_bound(plan, gates, lost)) is not None:
+                    click.echo(describe_bound(b, gates, lost))
 
 
 @main.group()
--- a/drumgw/cli/serve_command.py
+++ b/drumgw/cli/serve_command.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from drumgw.config.file_reader import FileError
-from drumgw.config.gateway_file import configuration, read_gateway_file
+from drumgw.config.gateway_file import gateway_configuration, read_gateway_file
 from drumgw.gateway.process import serve
 from drumgw.gateway.process_config import GatewayConfig, parse_config
 
@@ -28,9 +28,9 @@
         from drumgw.gateway.process_config import ConfigError
 
         try:
-            return parse_config(configuration(read_gateway_file(path)), {})
+            return parse_config(gateway_configuration(read_gateway_file(path)), {})
         except FileError as bad:
             raise ConfigError("; ".join(bad.mistakes)) from bad
 
-    uvloop.run(serve(parse_config(configuration(office), os.environ), again))
+    uvloop.run(serve(parse_config(gateway_configuration(office), os.environ), again))
     return 0
--- a/drumgw/config/__init__.py
+++ b/drumgw/config/__init__.py
@@ -1,1 +1,1 @@
-"""Files that operators write: what they may say, checked whole, and what they come to."""
+"""The files that operators write: their keys, their checks, and the settings that they make."""
--- a/drumgw/config/file_reader.py
+++ b/drumgw/config/file_reader.py
@@ -1,4 +1,8 @@
-"""Reads a file and says every mistake in it at once: the path to the key, what was expected, a near name."""
+"""Reads an operator's file and reports every mistake in it at once.
+
+A mistake is one line: the path to the key, what was expected there, and the nearest key for one that does not
+exist. Lists count from 1, as a person counts the tables of a file: `product[2].expiry_ms`.
+"""
 
 from __future__ import annotations
 
@@ -10,89 +14,120 @@
 from pydantic import BaseModel, ValidationError
 
 Model = TypeVar("Model", bound=BaseModel)
-MOST_BYTES = 4 * 2**20
+KeyPath = tuple[int | str, ...]
+
+MAX_FILE_BYTES = 4 * 2**20
+MIN_KEY_SIMILARITY = 0.5  # of difflib, from which on a key is offered in place of an unknown one
 
 
 class FileError(ValueError):
-    """A file that cannot be used; one line a mistake."""
+    """A file that cannot be used; its text has one line a mistake."""
 
     def __init__(self, path: str, mistakes: list[str]) -> None:
         super().__init__("\n".join(f"{path}: {line}" for line in mistakes))
         self.mistakes = mistakes
 
-    def __str__(self) -> str:
-        return str(self.args[0])
 
+def read_file(path: str, model: type[Model], version: int) -> Model:
+    """Reads a TOML file into a model.
 
-def read(path: str, model: type[Model], version: int) -> Model:
-    try:
-        with open(path, "rb") as file:
-            text = file.read(MOST_BYTES + 1)
-    except OSError as bad:
-        raise FileError(path, [bad.strerror or str(bad)]) from bad
-    if len(text) > MOST_BYTES:
-        raise FileError(path, [f"longer than {MOST_BYTES} bytes"])
-    try:
-        told = tomllib.loads(text.decode())
-    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as bad:
-        raise FileError(path, [f"not TOML: {bad}"]) from bad
-    if not told:
+    Args:
+        path: the file.
+        model: the model whose fields are the file's keys.
+        version: what the file's `version` must be.
+
+    Raises:
+        FileError: the file cannot be read, is of another version, or has mistakes.
+    """
+    document = _parse_toml(path, _read_bytes(path))
+    if not document:
         raise FileError(path, ["empty"])
-    found = told.get("version")
+    found = document.get("version")
     if found != version or isinstance(found, bool):
         raise FileError(path, [f"version: expected {version}, found {found!r}"])
     try:
-        return model.model_validate(told)
-    except ValidationError as bad:
-        raise FileError(path, mistakes(bad, model)) from bad
-
-
-def mistakes(bad: ValidationError, model: type[BaseModel]) -> list[str]:
-    lines = []
-    for error in bad.errors(include_url=False):
-        place, kind, found = error["loc"], error["type"], error["input"]
-        where = path_of(place)
-        if kind == "extra_forbidden":
-            names = keys_at(model, place[:-1])
-            near = difflib.get_close_matches(str(place[-1]), names, 1, 0.5)
-            lines.append(
-                f"{where}: no such key"
-                + (f"; did you mean {near[0]!r}?" if near else f"; expected one of {', '.join(names)}")
-            )
-        elif kind == "missing":
-            lines.append(f"{where}: missing")
-        elif kind == "value_error":
-            lines.append(f"{where}: {error['ctx']['error']}" if where else str(error["ctx"]["error"]))
-        else:
-            lines.append(f"{where}: {expected(error)}, found {found!r:.60}")
-    return lines
+        return model.model_validate(document)
+    except ValidationError as error:
+        raise FileError(path, _describe_mistakes(error, model)) from error
+
+
+def _read_bytes(path: str) -> bytes:
+    try:
+        with open(path, "rb") as file:
+            content = file.read(MAX_FILE_BYTES + 1)
+    except OSError as error:
+        raise FileError(path, [error.strerror or str(error)]) from error
+    if len(content) > MAX_FILE_BYTES:
+        raise FileError(path, [f"longer than {MAX_FILE_BYTES} bytes"])
+    return content
 
 
-def expected(error: Any) -> str:
-    text: str = error["msg"]
-    return text.replace("Input should be", "expected").replace("String should match pattern", "expected")
+def _parse_toml(path: str, content: bytes) -> dict[str, Any]:
+    try:
+        return tomllib.loads(content.decode())
+    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        raise FileError(path, [f"not TOML: {error}"]) from error
 
 
-def path_of(place: tuple[int | str, ...]) -> str:
-    text = ""
-    for part in place:
-        text += f"[{part + 1}]" if isinstance(part, int) else f".{part}" if text else part
-    return text
+def _describe_mistakes(error: ValidationError, model: type[BaseModel]) -> list[str]:
+    return [_describe_mistake(details, model) for details in error.errors(include_url=False)]
 
 
-def keys_at(model: Any, place: tuple[int | str, ...]) -> list[str]:
-    """The keys that the table at this place has."""
-    for part in place:
-        if isinstance(part, str) and isinstance(model, type) and issubclass(model, BaseModel):
+def _describe_mistake(details: Any, model: type[BaseModel]) -> str:
+    location: KeyPath = details["loc"]
+    path = _format_path(location)
+    match details["type"]:
+        case "extra_forbidden":
+            return f"{path}: no such key{_suggest_key(model, location)}"
+        case "missing":
+            return f"{path}: missing"
+        case "value_error":
+            reason = str(details["ctx"]["error"])
+            return f"{path}: {reason}" if path else reason
+    return f"{path}: {_describe_expected(details['msg'])}, found {details['input']!r:.60}"
+
+
+def _suggest_key(model: type[BaseModel], location: KeyPath) -> str:
+    keys = _keys_of_table(model, location[:-1])
+    nearest = difflib.get_close_matches(str(location[-1]), keys, n=1, cutoff=MIN_KEY_SIMILARITY)
+    if nearest:
+        return f"; did you mean {nearest[0]!r}?"
+    return f"; expected one of {', '.join(keys)}"
+
+
+def _describe_expected(message: str) -> str:
+    return message.replace("Input should be", "expected").replace("String should match pattern", "expected")
+
+
+def _format_path(location: KeyPath) -> str:
+    path = ""
+    for part in location:
+        if isinstance(part, int):
+            path += f"[{part + 1}]"
+        elif path:
+            path += f".{part}"
+        else:
+            path = part
+    return path
+
+
+def _keys_of_table(model: Any, location: KeyPath) -> list[str]:
+    """Returns the keys that the table at a location may have; none where it is no table."""
+    for part in location:
+        if isinstance(part, str) and _is_table(model):
             model = model.model_fields[part].annotation
-        model = inner(model)
-    return list(model.model_fields) if isinstance(model, type) and issubclass(model, BaseModel) else []
+        model = _strip_containers(model)
+    return list(model.model_fields) if _is_table(model) else []
+
+
+def _is_table(annotation: Any) -> bool:
+    return isinstance(annotation, type) and issubclass(annotation, BaseModel)
 
 
-def inner(kind: Any) -> Any:
-    """The table within a list of tables, or one that may be left out."""
-    while (origin := get_origin(kind)) is not None:
+def _strip_containers(annotation: Any) -> Any:
+    """Returns the table within a list of tables, or within one that may be left out."""
+    while (origin := get_origin(annotation)) is not None:
         if origin not in (tuple, list, Union, types.UnionType):
             return origin
-        kind = next(a for a in get_args(kind) if a is not type(None))
-    return kind
+        annotation = next(argument for argument in get_args(annotation) if argument is not type(None))
+    return annotation
--- a/drumgw/config/host_file.py
+++ b/drumgw/config/host_file.py
@@ -1,47 +1,63 @@
-"""The operator's file of a host (version 1), and what a tenant is made of; the API takes the same in JSON."""
+"""The operator's file of a host (version 1) and the spec of a tenant, which the API takes in JSON."""
 
 from __future__ import annotations
 
 import dataclasses
 import secrets
-from typing import Annotated, Any, Literal
+from typing import Annotated, Literal
 
 from pydantic import Field, model_validator
 
-from drumgw.config.file_reader import read
-from drumgw.config.gateway_file import Address, KnownEndpointSection, LimitsSection, LogSection, known
+from drumgw.config.file_reader import read_file
+from drumgw.config.platform_settings import (
+    GatewayPlacement,
+    JsonObject,
+    known_endpoint_list,
+    platform_settings,
+)
 from drumgw.config.sections import (
+    Address,
     AllowedSection,
     Count,
+    KnownEndpointSection,
+    LimitsSection,
+    LogSection,
     Name,
     PlanSection,
     RequestClassSection,
     RulesSection,
     Section,
-    settings,
-    twice,
+    require_unique,
 )
 from drumgw.gateway.process_config import GatewayConfig, parse_config
 
 VERSION = 1
-Host = Annotated[str, Field(pattern=r"^([a-z0-9_-]{1,63}(\.[a-z0-9_-]{1,63}){0,9})?$")]
-Prefix = Annotated[str, Field(pattern=r"^(/[A-Za-z0-9._~-]{1,64}){0,8}$")]
+SEED_BYTES = 8
+MIN_ENDPOINT_CONNECTIONS = 2
+
+HostName = Annotated[str, Field(pattern=r"^([a-z0-9_-]{1,63}(\.[a-z0-9_-]{1,63}){0,9})?$")]
+PathPrefix = Annotated[str, Field(pattern=r"^(/[A-Za-z0-9._~-]{1,64}){0,8}$")]
 TenantName = Annotated[str, Field(pattern=r"^[a-z0-9]([a-z0-9-]{0,22}[a-z0-9])?$")]
 
-# A short pace for each of hundreds of tenants would take the whole loop: an agent that is silent for less
-# than this, and answers no call that was out, is heard late (docs/hosting.md)
-TENANT_WATCH_MS = 1000.0
+# How long discovery may hold a tenant's watch. The shorter polls that one gateway uses would take the whole
+# event loop with hundreds of tenants; the price is that a shorter outage of discovery is noticed late
+# (docs/hosting.md).
+TENANT_WATCH_TIMEOUT_MS = 1000.0
+
+# A tenant's service listens nowhere: the host's listener serves all tenants.
+NO_LISTENER = "127.0.0.1:0"
+TENANT_SOCKETS = 1024
 
 
 class RouteSection(Section):
-    """A route: any host where it is empty, all paths where that is."""
+    """`[[tenant.route]]`: any host where `host` is empty, all paths where `path` is."""
 
-    host: Host = ""
-    path: Prefix = ""
+    host: HostName = ""
+    path: PathPrefix = ""
 
 
 class TenantSpec(Section):
-    """What a tenant is made of."""
+    """What an operator or a tenant says of a tenant. Its fields are the file's and the API's keys."""
 
     route: Annotated[list[RouteSection], Field(min_length=1, max_length=64)]
     weight: Annotated[float, Field(gt=0, le=1000)] = 1.0
@@ -56,28 +72,30 @@
     worker: Annotated[list[KnownEndpointSection], Field(max_length=4096)] = []
 
     @model_validator(mode="after")
-    def fits(self) -> TenantSpec:
-        twice([each.name for each in self.product], "product")
-        twice([each.name for each in self.plan], "plan")
-        twice([each.id for each in self.worker], "worker")
-        twice([f"{each.host}{each.path}" for each in self.route], "route")
+    def check_consistency(self) -> TenantSpec:
+        """Raises ValueError where a name is given twice or the zone is not listed."""
+        require_unique((request_class.name for request_class in self.product), "product")
+        require_unique((plan.name for plan in self.plan), "plan")
+        require_unique((endpoint.id for endpoint in self.worker), "worker")
+        require_unique((f"{route.host}{route.path}" for route in self.route), "route")
         if self.zone not in self.zones:
             raise ValueError(f"zone {self.zone!r} is none of zones")
         return self
 
 
 class NamedTenantSpec(TenantSpec):
-    """A tenant as a file or a create gives it."""
+    """`[[tenant]]`, or the body of a create: a spec with the tenant's name."""
 
     name: TenantName
 
-    def spec(self) -> dict[str, Any]:
-        told = self.model_dump(mode="json")
-        del told["name"]
-        return told
+    def spec(self) -> JsonObject:
+        """Returns the spec without the name, as the registry stores it."""
+        return self.model_dump(mode="json", exclude={"name"})
 
 
 class HostSection(Section):
+    """`[host]`: the addresses and limits of the host itself."""
+
     name: Name
     listen: Address
     api: Address = "127.0.0.1:9090"
@@ -85,31 +103,37 @@
     state: str | None = None  # a folder that lasts; none: tenants come from this file, the API reads only
     ordinal: Annotated[int, Field(ge=0)] = 0
     gatekeepers: Count = 1
-    txns: Annotated[int, Field(ge=2, le=10**6)] | None = None  # open at once; none: a third of the sockets
+    txns: Annotated[int, Field(ge=2, le=10**6)] | None = None  # in flight; none: a third of the sockets
 
     @model_validator(mode="after")
-    def fits(self) -> HostSection:
+    def check_consistency(self) -> HostSection:
+        """Raises ValueError for an ordinal beyond the gateways, or an API that would leak its tokens."""
         if self.ordinal >= self.gatekeepers:
-            raise ValueError(f"ordinal {self.ordinal} counts from 0 and there are {self.gatekeepers}")
+            raise ValueError(f"ordinal {self.ordinal} counts from 0 and gatekeepers is {self.gatekeepers}")
         if not self.api_beyond_loopback and not self.api.startswith("127."):
             raise ValueError("api is beyond loopback: tokens pass in the clear; see api_beyond_loopback")
         return self
 
 
 class TokenSection(Section):
+    """`[[token]]`: an administrator's token, known by its hash."""
+
     id: Name
     role: Literal["operator", "tenant"]
     tenant: TenantName | None = None
     sha256: Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
 
     @model_validator(mode="after")
-    def fits(self) -> TokenSection:
+    def check_consistency(self) -> TokenSection:
+        """Raises ValueError where the role and the tenant contradict each other."""
         if (self.role == "tenant") != (self.tenant is not None):
             raise ValueError("role tenant names its tenant, role operator none")
         return self
 
 
 class HostFile(Section):
+    """The whole file. Its fields are the file's keys."""
+
     version: Literal[1]
     host: HostSection
     limits: LimitsSection = LimitsSection()
@@ -118,45 +142,47 @@
     tenant: list[NamedTenantSpec] = []
 
     @model_validator(mode="after")
-    def fits(self) -> HostFile:
-        twice([each.name for each in self.tenant], "tenant")
-        twice([each.id for each in self.token], "token")
+    def check_consistency(self) -> HostFile:
+        """Raises ValueError where a name is given twice."""
+        require_unique((tenant.name for tenant in self.tenant), "tenant")
+        require_unique((token.id for token in self.token), "token")
         return self
 
 
 def read_host_file(path: str) -> HostFile:
-    return read(path, HostFile, VERSION)
-
-
-def tenant_config(house: HostFile, name: str, serial: int, spec: TenantSpec, lines: int) -> GatewayConfig:
-    """A gatekeeper's charter, without a front of its own. Its counts bear its serial number: a name that is
-    removed and made anew, or two tenants with customers of one number, share none."""
-    told = {
+    """Reads and checks the file; raises FileError with every mistake in it."""
+    return read_file(path, HostFile, VERSION)
+
+
+def tenant_config(
+    file: HostFile, name: str, serial: int, spec: TenantSpec, max_endpoint_connections: int
+) -> GatewayConfig:
+    """Returns the configuration of a tenant's service.
+
+    The names of its counters start with the tenant's name and serial number. So tenants with customers of one
+    number share no count, nor does a tenant share one with a removed tenant of its name.
+    """
+    placement = GatewayPlacement(
+        zone=spec.zone,
+        zones=spec.zones,
+        gateway_count=file.host.gatekeepers,
+        ordinal=file.host.ordinal,
+        has_counter=spec.counter is not None,
+    )
+    configuration = {
         "name": name,
-        "listen": "127.0.0.1:0",
+        "listen": NO_LISTENER,
         "discovery": spec.discovery,
         "counter": spec.counter,
-        "seed": secrets.token_hex(8),
-        "limits": {"sockets": 1024},
-        "known": known(spec.worker),
-        "settings": settings(
-            list(spec.product),
-            list(spec.plan),
-            spec.rules,
-            spec.allowed,
-            list(spec.zones),
-            spec.zone,
-            house.host.gatekeepers,
-            house.host.ordinal,
-            spec.counter is not None,
-        ),
+        "seed": secrets.token_hex(SEED_BYTES),
+        "limits": {"sockets": TENANT_SOCKETS},
+        "known": known_endpoint_list(spec.worker),
+        "settings": platform_settings(spec.product, spec.plan, spec.rules, spec.allowed, placement),
     }
-    config = parse_config(told, {}, name)
-    prefix, said = f"{name}-{serial}-", f"tenant {name}: "
     return dataclasses.replace(
-        config,
-        max_endpoint_connections=max(2, lines),
-        counter_key_prefix=prefix,
-        log_prefix=said,
-        watch_timeout_ms=TENANT_WATCH_MS,
+        parse_config(configuration, {}, name),
+        max_endpoint_connections=max(MIN_ENDPOINT_CONNECTIONS, max_endpoint_connections),
+        counter_key_prefix=f"{name}-{serial}-",
+        log_prefix=f"tenant {name}: ",
+        watch_timeout_ms=TENANT_WATCH_TIMEOUT_MS,
     )
--- a/drumgw/config/quota_bounds.py
+++ b/drumgw/config/quota_bounds.py
@@ -1,8 +1,8 @@
-"""How far quotas can be passed while the counter is lost: worked out from the settings alone, with no I/O.
+"""How far quotas can be passed while the shared counter is lost: worked out from a plan alone, without I/O.
 
-Each gatekeeper of a customer's set then decides by books of its own: a store of the whole quota that fills at
-the plan's rate (docs/quota-bounds.md has the proof sketch). A ceiling is held without the counter, so no plan
-that has one passes that, whatever happens.
+Each gateway of a customer's set then decides by a quota account of its own, which holds the whole quota and
+refills at the plan's rate (docs/quota-bounds.md has the proof sketch). A ceiling is held without the counter:
+no plan that has one passes it, whatever happens.
 """
 
 from __future__ import annotations
@@ -12,49 +12,69 @@
 from drumgw.config.sections import PlanSection
 from drumgw.policy.engine import IDLE_MS
 
-USEFUL = 2.0  # a bound above so many times what the quota allows says nothing that an operator can use
+MAX_USEFUL_RATIO = 2.0  # a bound of more times the quota says nothing that an operator can use
 
+HELD_BY_ACCOUNTS = "the gateways' own quota accounts"
+HELD_BY_CEILING = "its ceiling"
 
-class Bound(NamedTuple):
-    """Of one customer, over all its gatekeepers, from the moment the counter is lost."""
+
+class SendingBound(NamedTuple):
+    """What one customer can have forwarded by all its gateways from the moment the counter is lost."""
 
     plan: str
-    sent: float  # units at most
-    quota: float  # units that the quota lets through in that time, from a full store
-    held_by: str  # what holds the sum: its ceiling, or the gatekeepers' own books
+    max_units: float
+    quota_units: float  # what the quota lets through in that time, from a full account
+    held_by: str  # what holds the sum: HELD_BY_ACCOUNTS or HELD_BY_CEILING
 
     @property
-    def beyond(self) -> float:
-        return max(0.0, self.sent - self.quota)
+    def units_beyond_quota(self) -> float:
+        """Units that can be forwarded beyond the quota."""
+        return max(0.0, self.max_units - self.quota_units)
 
     @property
-    def times(self) -> float:
-        return self.sent / self.quota
+    def ratio_to_quota(self) -> float:
+        """How many times the quota can be forwarded."""
+        return self.max_units / self.quota_units
 
     @property
-    def useful(self) -> bool:
-        return self.times <= USEFUL
+    def is_useful(self) -> bool:
+        """Whether an operator can plan with the bound."""
+        return self.ratio_to_quota <= MAX_USEFUL_RATIO
+
+
+def sending_bound(
+    plan: PlanSection, gateway_count: int, seconds: float, restarts: int = 0
+) -> SendingBound | None:
+    """Returns the bound for a customer of a plan; None for a plan without a quota.
 
+    A counter that is split or replaced adds nothing to it.
 
-def bound(plan: PlanSection, gatekeepers: int, seconds: float, restarts: int = 0) -> Bound | None:
-    """None for a plan without a quota. Of each gatekeeper: restarts. Split, replaced counters add nothing."""
+    Args:
+        plan: the customer's plan.
+        gateway_count: how many gateways serve the customer.
+        seconds: how long the counter is lost.
+        restarts: how often each gateway is started anew meanwhile; each start begins with a full account.
+    """
     if not plan.units_per_s:
         return None
-    quota = plan.burst_units + plan.units_per_s * seconds
-    # Idle books are dropped: where a store takes longer than that to fill, new ones give it away at once
-    fills = max(plan.units_per_s, plan.burst_units * 1000.0 / IDLE_MS)
-    sent = gatekeepers * (plan.burst_units * (1 + restarts) + fills * seconds)
-    held_by = "the gatekeepers' own books"
-    if plan.ceiling_per_s and (most := plan.ceiling_burst + plan.ceiling_per_s * seconds) < sent:
-        sent, held_by = most, "its ceiling"
-    return Bound(plan.name, sent, quota, held_by)
-
-
-def said(b: Bound, gatekeepers: int, seconds: float) -> str:
-    """A line for operators."""
+    quota_units = plan.burst_units + plan.units_per_s * seconds
+    # An account that is not used for IDLE_MS is dropped, and a new one is full at once: where an account
+    # takes longer than that to refill, this is the faster rate.
+    refill_per_s = max(plan.units_per_s, plan.burst_units * 1000.0 / IDLE_MS)
+    max_units = gateway_count * (plan.burst_units * (1 + restarts) + refill_per_s * seconds)
+    ceiling_units = plan.ceiling_burst + plan.ceiling_per_s * seconds
+    if plan.ceiling_per_s and ceiling_units < max_units:
+        return SendingBound(plan.name, ceiling_units, quota_units, HELD_BY_CEILING)
+    return SendingBound(plan.name, max_units, quota_units, HELD_BY_ACCOUNTS)
+
+
+def describe_bound(bound: SendingBound, gateway_count: int, seconds: float) -> str:
+    """Returns the bound as a line for operators."""
     line = (
-        f"plan {b.plan}, counter lost for {seconds:g} s: through {gatekeepers} gatekeeper(s) a customer "
-        f"sends {b.sent:.0f} units at most, {b.beyond:.0f} beyond its quota ({b.times:.1f} times it), "
-        f"held by {b.held_by}"
+        f"plan {bound.plan}, counter lost for {seconds:g} s: through {gateway_count} gateway(s) a customer "
+        f"sends {bound.max_units:.0f} units at most, {bound.units_beyond_quota:.0f} beyond its quota "
+        f"({bound.ratio_to_quota:.1f} times it), held by {bound.held_by}"
     )
-    return line if b.useful else f"{line}; no useful bound: above {USEFUL:g} times, give the plan a ceiling"
+    if bound.is_useful:
+        return line
+    return f"{line}; no useful bound: above {MAX_USEFUL_RATIO:g} times, give the plan a ceiling"
--- a/drumgw/hosting/openapi.py
+++ b/drumgw/hosting/openapi.py
@@ -7,9 +7,14 @@
 
 from pydantic import BaseModel, TypeAdapter
 
-from drumgw.config.gateway_file import KnownEndpointSection
 from drumgw.config.host_file import NamedTenantSpec, RouteSection, TenantSpec
-from drumgw.config.sections import AllowedSection, PlanSection, RequestClassSection, RulesSection
+from drumgw.config.sections import (
+    AllowedSection,
+    KnownEndpointSection,
+    PlanSection,
+    RequestClassSection,
+    RulesSection,
+)
 from drumgw.hosting.admin_api import LIST, Action
 
 REF_PREFIX = "#/components/schemas/"
--- a/drumgw/testbed/environment.py
+++ b/drumgw/testbed/environment.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from drumgw.config.sections import settings
+from drumgw.config.platform_settings import GatewayPlacement, platform_settings
 from drumgw.testbed.clients import AttemptSender, ClientPopulation
 from drumgw.testbed.clocks import TestbedClock
 from drumgw.testbed.counter import EmulatedCounter
@@ -92,17 +92,14 @@
 
     def settings(self, gate: int) -> dict[str, Any]:
         day = self.day
-        return settings(
-            day.product,
-            day.plan,
-            day.rules,
-            day.allowed,
-            day.fleet.zones,
-            self.zone_of(gate),
-            day.fleet.gatekeepers,
-            gate,
-            self.counter is not None,
+        placement = GatewayPlacement(
+            zone=self.zone_of(gate),
+            zones=day.fleet.zones,
+            gateway_count=day.fleet.gatekeepers,
+            ordinal=gate,
+            has_counter=self.counter is not None,
         )
+        return platform_settings(day.product, day.plan, day.rules, day.allowed, placement)
 
     # Troubles
 
--- a/drumgw/testbed/metrics.py
+++ b/drumgw/testbed/metrics.py
@@ -7,7 +7,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from drumgw.config.quota_bounds import bound
+from drumgw.config.quota_bounds import sending_bound
 from drumgw.testbed.event_log import EventLog
 from drumgw.testbed.oracle import find_violations
 from drumgw.testbed.scenario import Scenario
@@ -228,7 +228,7 @@
         widths = {c.plan: c.gatekeepers for c in day.customers}
         for (customer, name), units in sorted(sent.items()):
             plan = plans[name]
-            if (b := bound(plan, widths[name], seconds)) is not None:
+            if (b := sending_bound(plan, widths[name], seconds)) is not None:
                 found.append(
                     {
                         "kind": kind,
@@ -236,9 +236,9 @@
                         "plan": name,
                         "seconds": seconds,
                         "sent": units,
-                        "quota": b.quota,
-                        "bound": b.sent,
-                        "share": round(units / b.sent, 4),
+                        "quota": b.quota_units,
+                        "bound": b.max_units,
+                        "share": round(units / b.max_units, 4),
                     }
                 )
     return found
--- a/drumgw/testbed/scenario.py
+++ b/drumgw/testbed/scenario.py
@@ -7,19 +7,19 @@
 
 from pydantic import Field, model_validator
 
-from drumgw.config.file_reader import read
+from drumgw.config.file_reader import read_file
 from drumgw.config.sections import (
     AllowedSection,
     Amount,
     Count,
+    Fraction,
     Name,
     PlanSection,
+    PositiveAmount,
     RequestClassSection,
     RulesSection,
     Section,
-    Share,
-    Some,
-    twice,
+    require_unique,
 )
 
 VERSION = 1
@@ -104,7 +104,7 @@
     at_s: Amount
     for_s: Amount = 0.0
     size: Amount | None = None  # a factor, a share, milliseconds or a count, as the kind says
-    part: Share | None = None
+    part: Fraction | None = None
     zone: Name | None = None
     worker: Annotated[int, Field(ge=0)] | None = None
     product: Name | None = None
@@ -146,8 +146,8 @@
 
 class EndpointSection(Section):
     cores: Annotated[int, Field(ge=1, le=256)] = 2
-    speed: Some = 1.0
-    speed_spread: Share = 0.1
+    speed: PositiveAmount = 1.0
+    speed_spread: Fraction = 0.1
     queue: Annotated[int, Field(ge=0, le=10**5)] = 40
     connections: Count = 1000
     handshake_ms: Amount = 1.0
@@ -158,7 +158,7 @@
 class CounterSection(Section):
     one_way_ms: Amount = 0.5
     call_ms: Amount = 0.5
-    calls_per_s: Some = 2000.0
+    calls_per_s: PositiveAmount = 2000.0
     line: Count = 500  # calls that wait their turn; beyond it they are turned away
 
 
@@ -174,7 +174,7 @@
     number: Count
     gatekeepers: Count = 2
     use: Annotated[float, Field(gt=0, le=100)] = 0.4
-    heavy: Share = 0.1  # that share asks heavy_x as much
+    heavy: Fraction = 0.1  # that share asks heavy_x as much
     heavy_x: Annotated[float, Field(ge=1, le=100)] = 3.0
 
 
@@ -186,17 +186,17 @@
 class ClientsSection(Section):
     retries: Annotated[int, Field(ge=0, le=10)] = 2
     backoff_ms: Amount = 100.0
-    observe: Share = 0.8  # that share of retries keeps to Retry-After
+    observe: Fraction = 0.8  # that share of retries keeps to Retry-After
     patience: Annotated[float, Field(gt=0, le=1)] = 0.5  # least part of the expiry that a try is given
-    leave: Share = 0.0  # that share of tries is left early
+    leave: Fraction = 0.0  # that share of tries is left early
 
 
 class WorkSection(Section):
     """What a txn of a product costs a worker of speed 1, and its share of the txns."""
 
     product: Name
-    share: Some
-    mean_ms: Some
+    share: PositiveAmount
+    mean_ms: PositiveAmount
     spread: Annotated[float, Field(ge=0, le=3)] = 0.7
 
 
@@ -211,7 +211,7 @@
     rules: RulesSection = RulesSection()
     allowed: AllowedSection = AllowedSection()
     clients: ClientsSection = ClientsSection()
-    units_spread: Share = 0.4  # true units around those guessed
+    units_spread: Fraction = 0.4  # true units around those guessed
     product: Annotated[list[RequestClassSection], Field(min_length=1)]
     plan: Annotated[list[PlanSection], Field(min_length=1)]
     work: Annotated[list[WorkSection], Field(min_length=1)]
@@ -221,9 +221,9 @@
 
     @model_validator(mode="after")
     def fits(self) -> Scenario:
-        twice([p.name for p in self.product], "product")
-        twice([p.name for p in self.plan], "plan")
-        twice(self.fleet.zones, "fleet.zones")
+        require_unique([p.name for p in self.product], "product")
+        require_unique([p.name for p in self.plan], "plan")
+        require_unique(self.fleet.zones, "fleet.zones")
         refuse([*self.mistakes(), *self.aimless()])
         if self.expected_txns() > MOST_TXNS:
             raise ValueError(f"the day would ask {self.expected_txns():.0f} txns, more than {MOST_TXNS}")
@@ -269,4 +269,4 @@
 
 
 def read_scenario(path: str) -> Scenario:
-    return read(path, Scenario, VERSION)
+    return read_file(path, Scenario, VERSION)
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -19,7 +19,7 @@
 from click.testing import CliRunner, Result
 
 from drumgw.cli.__main__ import main
-from drumgw.config.gateway_file import configuration, read_gateway_file
+from drumgw.config.gateway_file import gateway_configuration, read_gateway_file
 from drumgw.gateway.process_config import parse_config
 from drumgw.testbed.event_log import read_event_log
 from drumgw.testbed.oracle import find_violations
@@ -56,8 +56,10 @@
             (found.exit_code, "usable: n0 at 127.0.0.1:8080" in found.output), (0, True), found.output
         )
         bounds = self.drumgw("check", str(EXAMPLES / "drumgw.toml"), "--lost", "30").output
-        self.assertIn("lost for 30 s: through 1 gatekeeper(s) a customer sends 36 units at most", bounds)
-        gateway_config = parse_config(configuration(read_gateway_file(str(EXAMPLES / "drumgw.toml"))), {})
+        self.assertIn("lost for 30 s: through 1 gateway(s) a customer sends 36 units at most", bounds)
+        gateway_config = parse_config(
+            gateway_configuration(read_gateway_file(str(EXAMPLES / "drumgw.toml"))), {}
+        )
         self.assertEqual(
             [p.latency_objective_ms for p in gateway_config.settings.request_classes], [3000.0, 800.0]
         )
--- a/tests/test_hosting_openapi.py
+++ b/tests/test_hosting_openapi.py
@@ -20,7 +20,8 @@
     "routes": None,
 }
 PROPERTIES = {
-    "Allowed": "cancel connect_ms counter_wait_ms idle_ms most_units retry_after_ms second_copies submissions",
+    "Allowed": "cancel connect_ms counter_wait_ms idle_ms most_units retry_after_ms second_copies "
+    "submissions",
     "Plan": "burst_units ceiling_burst ceiling_per_s ceiling_slack name open_cap over_cost over_value price "
     "units_per_s",
     "Product": "expiry_ms group late_value name remember_ms repeat sla_ms value",
--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -7,7 +7,7 @@
 import unittest
 from typing import Any
 
-from drumgw.config.quota_bounds import bound, said
+from drumgw.config.quota_bounds import describe_bound, sending_bound
 from drumgw.config.sections import PlanSection
 from drumgw.model.actions import AddToCounter, ForwardRequest, RejectRequest
 from drumgw.model.events import (
@@ -180,9 +180,9 @@
             self.stores = [{n: total - self.common.get(n, 0.0) for n, total in both.items()}]
 
     def part_of_bound(self) -> float:
-        b = bound(self.plan, self.number, (self.now - self.since) / 1000.0, max(self.restarts))
+        b = sending_bound(self.plan, self.number, (self.now - self.since) / 1000.0, max(self.restarts))
         assert b is not None
-        return self.sent / b.sent
+        return self.sent / b.max_units
 
 
 def plan(**figures: Any) -> PlanSection:
@@ -308,24 +308,24 @@
             (4, 10, {}, 128, 4.0),
             (4, 10, {"restarts": 1}, 176, 5.5),
         ):
-            b = bound(plan(), gates, seconds, **more)
+            b = sending_bound(plan(), gates, seconds, **more)
             assert b
-            self.assertEqual((b.sent, b.times), (sent, times))
-        held = bound(PLANS[3], 6, 10.0)
+            self.assertEqual((b.max_units, b.ratio_to_quota), (sent, times))
+        held = sending_bound(PLANS[3], 6, 10.0)
         assert held
-        self.assertEqual((held.sent, held.held_by, held.useful), (150.0, "its ceiling", True))
-        self.assertIsNone(bound(plan(units_per_s=0.0, burst_units=0.0), 3, 10.0))
+        self.assertEqual((held.max_units, held.held_by, held.is_useful), (150.0, "its ceiling", True))
+        self.assertIsNone(sending_bound(plan(units_per_s=0.0, burst_units=0.0), 3, 10.0))
 
     def test_books_that_are_dropped_before_their_store_is_full_count(self) -> None:
-        slow = bound(PLANS[2], 2, 20.0)
+        slow = sending_bound(PLANS[2], 2, 20.0)
         assert slow
-        self.assertEqual(slow.sent, 2 * (60.0 + 60.0 * 20.0 / (IDLE_MS / 1000.0)))
+        self.assertEqual(slow.max_units, 2 * (60.0 + 60.0 * 20.0 / (IDLE_MS / 1000.0)))
 
     def test_where_no_useful_bound_can_be_had_it_says_so(self) -> None:
-        far, near = bound(plan(), 10, 10.0), bound(PLANS[3], 10, 10.0)
+        far, near = sending_bound(plan(), 10, 10.0), sending_bound(PLANS[3], 10, 10.0)
         assert far and near
-        self.assertIn("no useful bound", said(far, 10, 10.0))
-        self.assertNotIn("no useful bound", said(near, 10, 10.0))
+        self.assertIn("no useful bound", describe_bound(far, 10, 10.0))
+        self.assertNotIn("no useful bound", describe_bound(near, 10, 10.0))
 
 
 class Played(unittest.TestCase):
