--- a/drumgw/gateway/dispatcher.py
+++ b/drumgw/gateway/dispatcher.py
@@ -1,6 +1,8 @@
-"""The module's actor: the only caller of the core, and so of the module. Carries its effects to the adapters.
+"""The only caller of the request lifecycle, and so of the policy engine; carries out what it returns.
 
-Whoever posts while it is idle drains the mailbox at once, so a txn takes no extra turn of the event loop.
+The lifecycle must not be called from inside one of its own calls, though carrying out a command may bring a
+result at once. So results are posted to a mailbox. Whoever posts while nobody is emptying the mailbox empties
+it at once: a request takes no extra turn of the event loop.
 """
 
 from __future__ import annotations
@@ -9,181 +11,232 @@
 from collections import deque
 from collections.abc import Callable
 from functools import partial
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol, TypeVarTuple, Unpack
 
 from loguru import logger
 
 from drumgw.gateway.clock import StallAwareClock, Timer
-from drumgw.gateway.invariants import invariant
-from drumgw.gateway.request_lifecycle import (
+from drumgw.gateway.commands import (
     AbortAttempt,
     Command,
     ReportFault,
-    RequestLifecycle,
     ScheduleDeadline,
     SendResponse,
     StartAttempt,
 )
+from drumgw.gateway.invariants import invariant
+from drumgw.gateway.request_lifecycle import RequestLifecycle
 from drumgw.gateway.request_parsing import ClientRequest
 from drumgw.model.actions import AddToCounter, LogMessage, SetTimer
 
+Arguments = TypeVarTuple("Arguments")
+
 
 class AttemptTransport(Protocol):
-    def start_attempt(self, order: StartAttempt, request: ClientRequest) -> None: ...
+    """Carries attempts to endpoints, and posts `attempt_ended` for each that was not aborted."""
 
-    def abort_attempt(self, order: AbortAttempt) -> None: ...
+    def start_attempt(self, command: StartAttempt, request: ClientRequest, /) -> None:
+        """Starts an attempt. Its end may be posted before this returns."""
 
-    def withdraw_unsent(self, txn: int, submission: int) -> None: ...
+    def abort_attempt(self, command: AbortAttempt, /) -> None:
+        """Closes the attempt's connection at once."""
+
+    def withdraw_unsent(self, request_id: int, attempt: int, /) -> None:
+        """Ends the attempt as not sent, unless all of it has been written."""
 
 
 class CounterTransport(Protocol):
-    def call(self, order: AddToCounter) -> None: ...
+    """Carries calls to the shared counter, and posts `counter_replied` for each."""
+
+    def call(self, command: AddToCounter, /) -> None:
+        """Starts a call."""
+
+
+class MailboxEntry(NamedTuple):
+    """A call of the lifecycle that is to be made."""
+
+    method: Callable[..., list[Command]]
+    """A method of `RequestLifecycle`; takes the time, then the arguments."""
+    arguments: tuple[Any, ...]
+
+
+class PendingRequest(NamedTuple):
+    """A request whose client waits."""
+
+    request: ClientRequest
+    response: asyncio.Future[SendResponse]
 
 
 class Dispatcher:
+    """Calls the request lifecycle and carries out its commands.
+
+    Args:
+        lifecycle: the requests in flight.
+        clock: tells the time, and how long this process was stalled.
+        max_mailbox_entries: what the mailbox may hold. What is posted is bounded by what is in flight, as
+            each attempt, counter call and timer ends once; more shows a defect.
+        log_prefix: stands before each log message.
+    """
+
     def __init__(
-        self, lifecycle: RequestLifecycle, clock: StallAwareClock, most: int, said: str = ""
+        self,
+        lifecycle: RequestLifecycle,
+        clock: StallAwareClock,
+        max_mailbox_entries: int,
+        log_prefix: str = "",
     ) -> None:
-        self.lifecycle, self.clock, self.loop, self.log_prefix = lifecycle, clock, clock.loop, said
-        self.attempts: AttemptTransport | None = None  # set before the first txn
+        self.lifecycle = lifecycle
+        self.clock = clock
+        self.loop = clock.loop
+        self.log_prefix = log_prefix
+        self.attempts: AttemptTransport | None = None
+        """Set before the first request."""
         self.counter: CounterTransport | None = None
-        self.most = most
-        self.mailbox: deque[tuple[Callable[..., list[Command]], tuple[Any, ...]]] = (
-            deque()
-        )  # emptied by drain
-        self.draining = False
-        self.waiting: dict[
-            int, tuple[ClientRequest, asyncio.Future[SendResponse]]
-        ] = {}  # emptied by the replies
-        self.alarms: dict[int, Timer] = {}  # expiries; emptied as txns leave the hand
-        self.wakes: dict[int, asyncio.TimerHandle] = {}  # by label, of which there are few
-        self.routes: dict[type, Callable[[Any], None]] = {
-            StartAttempt: self.on_send,
-            AbortAttempt: self.on_stop,
-            SendResponse: self.on_reply,
-            ScheduleDeadline: self.on_alarm,
-            ReportFault: self.on_fault,
-            AddToCounter: self.on_add,
-            SetTimer: self.on_wake,
-            LogMessage: self.on_say,
+        """None for a service without a shared counter."""
+        self.pending_requests: dict[int, PendingRequest] = {}  # an entry goes with its response or its client
+        self.request_deadlines: dict[int, Timer] = {}  # an entry goes as its request leaves the lifecycle
+        self._timers: dict[int, asyncio.TimerHandle] = {}  # by timer_id; the engine uses a few
+        self._max_mailbox_entries = max_mailbox_entries
+        self._mailbox: deque[MailboxEntry] = deque()
+        self._is_calling_lifecycle = False
+        self._handlers: dict[type, Callable[[Any], None]] = {
+            StartAttempt: self._start_attempt,
+            AbortAttempt: self._abort_attempt,
+            SendResponse: self._send_response,
+            ScheduleDeadline: self._schedule_deadline,
+            ReportFault: self._report_fault,
+            AddToCounter: self._add_to_counter,
+            SetTimer: self._set_timer,
+            LogMessage: self._log_message,
         }
 
-    # The mailbox
+    def close(self) -> None:
+        """Cancels its timers; the event loop may go on with other services."""
+        for timer in self._timers.values():
+            timer.cancel()
+        for deadline in self.request_deadlines.values():
+            deadline.cancel()
+        self._timers.clear()
+        self.request_deadlines.clear()
+
+    # Calls of the lifecycle
+
+    def post(
+        self,
+        method: Callable[[float, Unpack[Arguments]], list[Command]],
+        *arguments: Unpack[Arguments],
+    ) -> None:
+        """Calls a method of the lifecycle, now or once the present call is over, and does what it returns."""
+        self._mailbox.append(MailboxEntry(method, arguments))
+        invariant(len(self._mailbox) <= self._max_mailbox_entries, "the dispatcher's mailbox is bounded")
+        if not self._is_calling_lifecycle:
+            self._empty_mailbox()
 
-    def post(self, call: Callable[..., list[Command]], *args: Any) -> None:
-        """What comes from inside is bounded by what is out: each submission, call and alarm ends once."""
-        self.mailbox.append((call, args))
-        invariant(len(self.mailbox) <= self.most, "the module's mailbox is within its bound")
-        if not self.draining:
-            self.drain()
+    def submit(self, request: ClientRequest) -> asyncio.Future[SendResponse]:
+        """Takes a client's request in, and sets its `request_id`.
+
+        Returns:
+            The response, often there already as this returns.
+        """
+        invariant(not self._is_calling_lifecycle, "a request is submitted from a turn of its own")
+        response: asyncio.Future[SendResponse] = self.loop.create_future()
+        self._is_calling_lifecycle = True
+        try:
+            request.request_id, commands = self.lifecycle.request_received(
+                self._read_clock(), request.received, self.clock.recent_stall_ms
+            )
+            self.pending_requests[request.request_id] = PendingRequest(request, response)
+            self._execute(commands)
+        finally:
+            self._is_calling_lifecycle = False
+        self._empty_mailbox()
+        return response
+
+    def client_disconnected(self, request_id: int) -> None:
+        """The client has gone. What has not been sent is withdrawn, also where cancelling is not allowed."""
+        self.pending_requests.pop(request_id, None)
+        self.post(self.lifecycle.client_disconnected, request_id)
+        in_flight = self.lifecycle.in_flight.get(request_id)
+        if in_flight is not None and self.attempts is not None:
+            for attempt in list(in_flight.attempts):
+                self.attempts.withdraw_unsent(request_id, attempt)
+        self._cancel_deadline_if_finished(request_id)
 
-    def drain(self) -> None:
-        self.draining = True
+    def log_fault(self, error: Exception, where: str) -> None:
+        """Logs an exception that nobody expected, with its trace."""
+        logger.opt(exception=error).error("{}fault in {}: {!r}", self.log_prefix, where, error)
+
+    def _empty_mailbox(self) -> None:
+        self._is_calling_lifecycle = True
         try:
-            while self.mailbox:
-                call, args = self.mailbox.popleft()
+            while self._mailbox:
+                entry = self._mailbox.popleft()
                 try:
-                    self.execute(call(self.now(), *args))
-                except Exception as error:  # the txn it was for ends at its expiry, by its alarm
-                    self.log_fault(error, "the core")
+                    self._execute(entry.method(self._read_clock(), *entry.arguments))
+                except Exception as error:  # the request concerned is answered at its deadline
+                    self.log_fault(error, "the request lifecycle")
         finally:
-            self.draining = False
+            self._is_calling_lifecycle = False
 
-    def now(self) -> float:
+    def _read_clock(self) -> float:
         now = self.clock.now()
         self.lifecycle.stalled_ms = self.clock.stalled_ms
         return now
 
-    def execute(self, commands: list[Command]) -> None:
+    def _execute(self, commands: list[Command]) -> None:
         for command in commands:
             try:
-                self.routes[type(command)](command)
-            except Exception as error:  # an adapter's failure: its txn is answered, the process lives
-                self.log_fault(error, "an adapter")
-                txn = getattr(command, "request_id", None)
-                if txn is not None:
-                    self.mailbox.append((self.lifecycle.abandon_request, (txn,)))
-
-    # Txns, from the front
-
-    def submit(self, request: ClientRequest) -> asyncio.Future[SendResponse]:
-        """Hands a txn to the module; the future is its answer, often there at once."""
-        invariant(not self.draining, "the front calls from its own turn")
-        reply: asyncio.Future[SendResponse] = self.loop.create_future()
-        self.draining = True
-        try:
-            now = self.now()
-            request.request_id, commands = self.lifecycle.request_received(
-                now, request.received, self.clock.recent_stall_ms
-            )
-            self.waiting[request.request_id] = request, reply
-            self.execute(commands)
-        finally:
-            self.draining = False
-        self.drain()
-        return reply
-
-    def client_disconnected(self, txn: int) -> None:
-        self.waiting.pop(txn, None)
-        self.post(self.lifecycle.client_disconnected, txn)
-        if (h := self.lifecycle.in_flight.get(txn)) is not None and self.attempts is not None:
-            for submission in list(h.out):  # where nothing may be called off: what was not sent can be
-                self.attempts.withdraw_unsent(txn, submission)
-        self.disarm(txn)
+                self._handlers[type(command)](command)
+            except Exception as error:  # the command's request is answered, and the process lives
+                self.log_fault(error, f"carrying out {type(command).__name__}")
+                request_id = getattr(command, "request_id", None)
+                if request_id is not None:
+                    self._mailbox.append(MailboxEntry(self.lifecycle.abandon_request, (request_id,)))
 
-    # Effects
+    # Carrying out commands
 
-    def on_send(self, order: StartAttempt) -> None:
+    def _start_attempt(self, command: StartAttempt) -> None:
         assert self.attempts is not None
-        self.attempts.start_attempt(order, self.waiting[order.request_id][0])
+        self.attempts.start_attempt(command, self.pending_requests[command.request_id].request)
 
-    def on_stop(self, order: AbortAttempt) -> None:
+    def _abort_attempt(self, command: AbortAttempt) -> None:
         assert self.attempts is not None
-        self.attempts.abort_attempt(order)
-
-    def on_reply(self, reply: SendResponse) -> None:
-        _, waiting = self.waiting.pop(reply.request_id, (None, None))
-        if waiting is not None and not waiting.done():
-            waiting.set_result(reply)
-        self.disarm(reply.request_id)
-
-    def disarm(self, txn: int) -> None:
-        if txn not in self.lifecycle.in_flight and (alarm := self.alarms.pop(txn, None)) is not None:
-            alarm.cancel()
-
-    def on_alarm(self, alarm: ScheduleDeadline) -> None:
-        handle = self.clock.at(alarm.at_ms, partial(self.ring, alarm))
-        if alarm.attempt < 0:
-            self.alarms[alarm.request_id] = handle
-
-    def ring(self, alarm: ScheduleDeadline) -> None:
-        if alarm.attempt < 0:
-            self.alarms.pop(alarm.request_id, None)
-        self.post(self.lifecycle.deadline_reached, alarm.request_id, alarm.attempt)
-
-    def on_add(self, order: AddToCounter) -> None:
+        self.attempts.abort_attempt(command)
+
+    def _send_response(self, command: SendResponse) -> None:
+        pending = self.pending_requests.pop(command.request_id, None)
+        if pending is not None and not pending.response.done():
+            pending.response.set_result(command)
+        self._cancel_deadline_if_finished(command.request_id)
+
+    def _cancel_deadline_if_finished(self, request_id: int) -> None:
+        if request_id in self.lifecycle.in_flight:
+            return
+        deadline = self.request_deadlines.pop(request_id, None)
+        if deadline is not None:
+            deadline.cancel()
+
+    def _schedule_deadline(self, command: ScheduleDeadline) -> None:
+        timer = self.clock.at(command.at_ms, partial(self._deadline_reached, command))
+        if command.attempt is None:
+            self.request_deadlines[command.request_id] = timer
+
+    def _deadline_reached(self, command: ScheduleDeadline) -> None:
+        if command.attempt is None:
+            self.request_deadlines.pop(command.request_id, None)
+        self.post(self.lifecycle.deadline_reached, command.request_id, command.attempt)
+
+    def _add_to_counter(self, command: AddToCounter) -> None:
         assert self.counter is not None
-        self.counter.call(order)
+        self.counter.call(command)
 
-    def on_wake(self, order: SetTimer) -> None:
-        self.wakes[order.timer_id] = self.loop.call_later(
-            order.delay_ms / 1000.0, self.post, self.lifecycle.timer_fired, order.timer_id
+    def _set_timer(self, command: SetTimer) -> None:
+        self._timers[command.timer_id] = self.loop.call_later(
+            command.delay_ms / 1000.0, self.post, self.lifecycle.timer_fired, command.timer_id
         )
 
-    def close(self) -> None:
-        """Its ticks end; a process may go on with other desks."""
-        for wake in self.wakes.values():
-            wake.cancel()
-        for alarm in self.alarms.values():
-            alarm.cancel()
-        self.wakes.clear()
-        self.alarms.clear()
-
-    def on_fault(self, fault: ReportFault) -> None:
-        self.log_fault(fault.error, "the module")
-
-    def log_fault(self, error: Exception, where: str) -> None:
-        logger.opt(exception=error).error("{}fault in {}: {!r}", self.log_prefix, where, error)
+    def _report_fault(self, command: ReportFault) -> None:
+        self.log_fault(command.error, "the policy engine")
 
-    def on_say(self, line: LogMessage) -> None:
-        logger.info("{}{}", self.log_prefix, line.text)
+    def _log_message(self, command: LogMessage) -> None:
+        logger.info("{}{}", self.log_prefix, command.text)
--- a/drumgw/gateway/endpoint_clients.py
+++ b/drumgw/gateway/endpoint_clients.py
@@ -9,12 +9,12 @@
 
 import aiohttp
 
+from drumgw.gateway.commands import AbortAttempt, StartAttempt
 from drumgw.gateway.connection_pool import ConnectionPool
 from drumgw.gateway.dispatcher import Dispatcher
 from drumgw.gateway.peer_connection import Exchange
 from drumgw.gateway.peer_errors import CONNECTION_ERRORS, WriteDeadlineError
 from drumgw.gateway.process_config import GatewayConfig
-from drumgw.gateway.request_lifecycle import AbortAttempt, StartAttempt
 from drumgw.gateway.request_parsing import ClientRequest, read_number
 from drumgw.model.events import Outcome
 from drumgw.model.settings_reader import LOAD_REPORT_FIELDS
--- a/drumgw/gateway/process.py
+++ b/drumgw/gateway/process.py
@@ -55,7 +55,9 @@
     async def close(self) -> None:
         """Still serves what comes for a while, then finishes what is in hand."""
         self.http_server.withdraw_readiness()
-        logger.info("{} was told to end: {} txns in hand", self.config.name, len(self.dispatcher.waiting))
+        logger.info(
+            "{} was told to end: {} txns in hand", self.config.name, len(self.dispatcher.pending_requests)
+        )
         await asyncio.sleep(SHUTDOWN_LINGER_MS / 1000)
         await self.http_server.drain(self.clock.now() + self.config.longest_deadline_ms)
         await self.service.return_reservations()
@@ -66,7 +68,7 @@
             "{} ends: {} txns taken, {} left open, invariants broken: {}",
             self.config.name,
             self.dispatcher.lifecycle.received_count,
-            len(self.dispatcher.waiting),
+            len(self.dispatcher.pending_requests),
             dict(broken) or "none",
         )
 
--- a/drumgw/gateway/request_lifecycle.py
+++ b/drumgw/gateway/request_lifecycle.py
@@ -1,16 +1,32 @@
-"""The txns in hand: what the module is told, what it answers, and how each txn ends. No I/O, no clock.
+"""The requests in flight: what the policy engine is told of them, and how each of them ends.
 
-Every call takes the time and returns the effects, in order, for the adapters to carry out. The endings are
-the wire's: the first settled submission ends its txn, a cancelled or overdue one is told at once, each
-submission is told exactly once, and a txn that the module leaves open at its expiry is ended here.
+This is the gateway's core. It does no I/O and reads no clock: every public method takes the current time and
+returns typed commands (`commands.py`), in the order in which they are to be carried out. Four rules hold
+here, whatever the policy engine does:
+
+* The first attempt that succeeds ends its request; its response goes to the client.
+* The end of an attempt is told to the engine exactly once, also where the attempt was cancelled or timed out.
+* A request is answered exactly once. One that the engine leaves open is answered here, at its deadline.
+* An answer of this module's own says "nothing was done" (503) only where no attempt may have run.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from math import inf
+from dataclasses import dataclass, field
 from typing import Any, NamedTuple, Protocol
 
+from drumgw.gateway.commands import (
+    STATUS_FAILED,
+    STATUS_REJECTED,
+    STATUS_SUCCEEDED,
+    AbortAttempt,
+    Command,
+    ReportFault,
+    ScheduleDeadline,
+    SendResponse,
+    StartAttempt,
+)
 from drumgw.gateway.invariants import invariant
 from drumgw.model.actions import (
     Action,
@@ -36,265 +52,312 @@
 from drumgw.model.settings import GatewaySettings
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
-OK, FAILED, REFUSED = 200, 500, 503
+"""Outcomes after which the request cannot have run at the endpoint; after all others it may have."""
 
 
-class StartAttempt(NamedTuple):
-    request_id: int
-    attempt: int
-    endpoint_id: int
-    deadline_ms: float
-    write_by_ms: float = inf
+class PolicyEngineProtocol(Protocol):
+    """The policy engine, as the lifecycle calls it."""
 
+    def start(self, now: float) -> list[Action]:
+        """Called once, before any event."""
 
-class AbortAttempt(NamedTuple):
-    """Give up a submission: its connection is closed; nothing more is told of it."""
+    def handle(self, now: float, event: Event) -> list[Action]:
+        """Takes one event and returns what is to be done, in order."""
 
-    request_id: int
-    attempt: int
 
+class InFlightAttempt(NamedTuple):
+    """An attempt that has not ended."""
 
-class SendResponse(NamedTuple):
-    """The final answer; answer is the worker's, for OK."""
+    endpoint_id: int
+    started_at_ms: float
+    """On a clock that stands still while this process is stalled."""
 
-    request_id: int
-    status: int
-    retry_after_ms: float
-    response: Any
 
+@dataclass(slots=True)
+class InFlightRequest:
+    """A request from its arrival until it is answered and each of its attempts has ended.
 
-class ScheduleDeadline(NamedTuple):
-    """Call core.alarm then; submission -1 is the txn's expiry."""
+    Written by `RequestLifecycle` only.
+    """
 
-    at_ms: float
     request_id: int
-    attempt: int
-
-
-class ReportFault(NamedTuple):
-    """The module failed; its error, for the log."""
-
-    error: Exception
-
-
-Command = (
-    StartAttempt
-    | AbortAttempt
-    | SendResponse
-    | ScheduleDeadline
-    | ReportFault
-    | AddToCounter
-    | SetTimer
-    | LogMessage
-)
-
-
-class PolicyEngineProtocol(Protocol):
-    """The decision module."""
-
-    def start(self, now: float) -> list[Action]: ...
-
-    def handle(self, now: float, event: Event) -> list[Action]: ...
-
+    deadline_ms: float
+    is_answer_owed: bool = True
+    """False once the client has been answered, or has gone."""
+    started_attempts: int = 0
+    """How many attempts the engine asked for; the next attempt's number."""
+    attempts: dict[int, InFlightAttempt] = field(default_factory=dict)
+    """Attempts in flight, by number."""
+    ended_attempt_may_have_run: bool = False
 
-class InFlightRequest:
-    """A txn taken. Dropped once it is answered and each submission has ended."""
+    @property
+    def may_have_run(self) -> bool:
+        """Whether some attempt may have run; one in flight may."""
+        return self.ended_attempt_may_have_run or bool(self.attempts)
 
-    __slots__ = ("expiry", "owed", "ran", "tries", "out")
 
-    def __init__(self, expiry: float) -> None:
-        self.expiry, self.owed, self.ran, self.tries = expiry, True, False, 0
-        self.out: dict[int, tuple[int, float]] = {}  # submission: worker, sent at (less our stalls)
+class RequestLifecycle:
+    """Turns what the gateway's clients report into the engine's events, and its actions into commands.
 
+    Args:
+        policy: the policy engine; nobody else calls it.
+        settings: how many attempts a request may have, and whether two may be in flight.
+    """
 
-class RequestLifecycle:
     def __init__(self, policy: PolicyEngineProtocol, settings: GatewaySettings) -> None:
-        self.policy, self.most, self.copies = policy, settings.max_attempts, settings.hedging_allowed
-        self.in_flight: dict[int, InFlightRequest] = {}  # emptied by answers and ended submissions
-        self.ticks: dict[int, float] = {}  # label: interval; the module's few labels
-        self.events: deque[Event] = deque()  # emptied by each call
-        self.commands: list[Command] = []
+        self.policy = policy
+        self.in_flight: dict[int, InFlightRequest] = {}
         self.received_count = 0
-        self.stalled_ms = 0.0  # ms in which our own loop stood; they are in no submission's time
-
-    def start(self, now: float, listed: EndpointsUpdated) -> list[Command]:
+        """Requests received since the start; the last one's number."""
+        self.stalled_ms = 0.0
+        """For how long this process was stalled since its start; that time counts for no attempt."""
+        self._max_attempts = settings.max_attempts
+        self._hedging_allowed = settings.hedging_allowed
+        self._timer_delays: dict[int, float] = {}  # by timer_id; the engine uses a few
+        self._pending_events: deque[Event] = deque()  # emptied by each call of _process
+        self._commands: list[Command] = []  # emptied by each call of _process
+
+    def start(self, now: float, endpoints: EndpointsUpdated) -> list[Command]:
+        """Starts the engine, with the endpoints that are known so far."""
         for action in self.policy.start(now):
-            self.act(now, action)
-        return self.tell(now, listed)
+            self._apply(now, action)
+        return self._process(now, endpoints)
 
     def request_received(
-        self, now: float, asked: RequestReceived, waited_ms: float = 0.0
+        self, now: float, received: RequestReceived, waited_ms: float = 0.0
     ) -> tuple[int, list[Command]]:
-        """A request that came while our loop stood has less time left than it says."""
+        """Takes a request in.
+
+        Args:
+            now: the current time.
+            received: the request; its number is assigned here.
+            waited_ms: how long it may have waited unread while this process was stalled. Its client has
+                waited as well, so the request has that much less time left than it says.
+
+        Returns:
+            The request's number, and the commands.
+        """
         self.received_count += 1
-        txn, left_ms = self.received_count, max(0.0, asked.time_left_ms - waited_ms)
-        self.in_flight[txn] = InFlightRequest(now + left_ms)
-        self.commands.append(ScheduleDeadline(now + left_ms, txn, -1))
-        return txn, self.tell(now, asked._replace(request_id=txn, time_left_ms=left_ms))
+        request_id = self.received_count
+        time_left_ms = max(0.0, received.time_left_ms - waited_ms)
+        deadline_ms = now + time_left_ms
+        self.in_flight[request_id] = InFlightRequest(request_id, deadline_ms)
+        self._commands.append(ScheduleDeadline(deadline_ms, request_id, None))
+        event = received._replace(request_id=request_id, time_left_ms=time_left_ms)
+        return request_id, self._process(now, event)
 
     def attempt_ended(
         self,
         now: float,
-        txn: int,
-        submission: int,
-        end: Outcome,
-        units: float,
-        load: dict[str, float],
-        answer: Any,
+        request_id: int,
+        attempt: int,
+        outcome: Outcome,
+        billed_units: float,
+        load_report: dict[str, float],
+        response: Any,
     ) -> list[Command]:
-        """A submission ended by itself. One that was given up meanwhile is told no second time."""
-        h = self.in_flight.get(txn)
-        if h is None or submission not in h.out:
+        """An attempt ended by itself. Ignored if it was aborted meanwhile: its end has been told already."""
+        request = self.in_flight.get(request_id)
+        if request is None or attempt not in request.attempts:
             return []
-        first = h.owed and end is Outcome.SUCCEEDED
-        if first:
-            self.reply(txn, h, OK, 0.0, answer)
-        self.close(now, txn, h, submission, end, units if first else 0.0, load)
-        return self.tell(now)
-
-    def client_disconnected(self, now: float, txn: int) -> list[Command]:
-        h = self.in_flight.get(txn)
-        if h is None or not h.owed:
+        is_answer = request.is_answer_owed and outcome is Outcome.SUCCEEDED
+        if is_answer:
+            self._answer(request, STATUS_SUCCEEDED, 0.0, response)
+        units = billed_units if is_answer else 0.0
+        self._end_attempt(now, request, attempt, outcome, units, load_report)
+        return self._process(now)
+
+    def client_disconnected(self, now: float, request_id: int) -> list[Command]:
+        """The client has gone. Ignored if it was answered before."""
+        request = self.in_flight.get(request_id)
+        if request is None or not request.is_answer_owed:
             return []
-        h.owed = False
-        self.drop(txn, h)
-        return self.tell(now, ClientDisconnected(txn))
-
-    def deadline_reached(self, now: float, txn: int, submission: int) -> list[Command]:
-        h = self.in_flight.get(txn)
-        if h is None:
+        request.is_answer_owed = False
+        self._drop_if_finished(request)
+        return self._process(now, ClientDisconnected(request_id))
+
+    def deadline_reached(self, now: float, request_id: int, attempt: int | None) -> list[Command]:
+        """The deadline of an attempt has come or, where `attempt` is None, that of the request."""
+        request = self.in_flight.get(request_id)
+        if request is None:
             return []
-        for n in list(h.out) if submission < 0 else [submission] if submission in h.out else []:
-            self.commands.append(AbortAttempt(txn, n))
-            self.close(now, txn, h, n, Outcome.TIMED_OUT, 0.0, {})
-        commands = self.tell(now)  # its answers come first, and are kept
-        if submission < 0 and h.owed:  # guards clients against a module that forgot the txn
-            self.end_by_self(now, txn, h)
-        return commands + self.tell(now)
-
-    def endpoints_updated(self, now: float, listed: EndpointsUpdated) -> list[Command]:
-        return self.tell(now, listed)
+        is_request_deadline = attempt is None
+        overdue_attempts = list(request.attempts) if attempt is None else [attempt]
+        for overdue in overdue_attempts:
+            self._abort_attempt(now, request, overdue, Outcome.TIMED_OUT)
+        commands = self._process(now)  # the engine may answer now that it is told
+        if is_request_deadline and request.is_answer_owed:
+            # Guards the client against an engine that lost its request: it would wait for ever.
+            self._answer_without_engine(now, request)
+        return commands + self._process(now)
+
+    def endpoints_updated(self, now: float, endpoints: EndpointsUpdated) -> list[Command]:
+        """The endpoint list has changed."""
+        return self._process(now, endpoints)
 
     def gateway_stopping(self, now: float) -> list[Command]:
-        return self.tell(now, GatewayStopping())
+        """All requests are finished, and the gateway is about to exit."""
+        return self._process(now, GatewayStopping())
 
-    def timer_fired(self, now: float, label: int) -> list[Command]:
-        return self.tell(now, TimerFired(label))
+    def timer_fired(self, now: float, timer_id: int) -> list[Command]:
+        """A timer that the engine set has fired."""
+        return self._process(now, TimerFired(timer_id))
 
     def counter_replied(
-        self, now: float, name: int, end: Outcome, total: float, took_ms: float
+        self, now: float, counter_key: int, outcome: Outcome, total: float, duration_ms: float
     ) -> list[Command]:
-        return self.tell(now, CounterReplied(name, end, total, took_ms))
-
-    def abandon_request(self, now: float, txn: int) -> list[Command]:
-        """An adapter failed at this txn: it is answered here."""
-        h = self.in_flight.get(txn)
-        if h is not None and h.owed:
-            self.end_by_self(now, txn, h)
-        return self.tell(now)
-
-    # Telling the module and carrying its actions over
-
-    def tell(self, now: float, *events: Event) -> list[Command]:
-        """Returns all effects since the last call's; what acting brings about is told after them."""
-        self.events.extend(events)
-        while self.events:
-            event = self.events.popleft()
+        """A call to the shared counter has ended."""
+        return self._process(now, CounterReplied(counter_key, outcome, total, duration_ms))
+
+    def abandon_request(self, now: float, request_id: int) -> list[Command]:
+        """A command for this request could not be carried out: it is answered here."""
+        request = self.in_flight.get(request_id)
+        if request is not None and request.is_answer_owed:
+            self._answer_without_engine(now, request)
+        return self._process(now)
+
+    # The policy engine: events to it, actions from it
+
+    def _process(self, now: float, *events: Event) -> list[Command]:
+        """Tells the engine these events, and then those that its actions cause.
+
+        Returns:
+            All commands since the last call.
+        """
+        self._pending_events.extend(events)
+        while self._pending_events:
+            event = self._pending_events.popleft()
             try:
                 actions = self.policy.handle(now, event)
-            except Exception as error:  # the module's own failure, whatever it is
-                self.fault(now, event, error)
+            except Exception as error:  # a defect of the engine's must not end the process
+                self._recover_from_fault(now, event, error)
                 continue
             for action in actions:
-                self.act(now, action)
-        commands, self.commands = self.commands, []
+                self._apply(now, action)
+        commands, self._commands = self._commands, []
         return commands
 
-    def act(self, now: float, action: Action) -> None:
+    def _apply(self, now: float, action: Action) -> None:
         match action:
             case ForwardRequest():
-                self.submit(now, action)
+                self._forward(now, action)
             case RejectRequest():
-                self.finish(action.request_id, REFUSED, action.retry_after_ms)
+                self._answer_for_engine(action.request_id, STATUS_REJECTED, action.retry_after_ms)
             case FailRequest():
-                self.finish(action.request_id, FAILED, 0.0)
+                self._answer_for_engine(action.request_id, STATUS_FAILED, 0.0)
             case CancelAttempt():
-                h = self.in_flight.get(action.request_id)
-                if h is not None and action.attempt in h.out:
-                    self.commands.append(AbortAttempt(action.request_id, action.attempt))
-                    self.close(now, action.request_id, h, action.attempt, Outcome.CANCELLED, 0.0, {})
+                request = self.in_flight.get(action.request_id)
+                if request is not None:
+                    self._abort_attempt(now, request, action.attempt, Outcome.CANCELLED)
             case SetTimer():
-                self.ticks[action.timer_id] = action.delay_ms
-                self.commands.append(action)
+                self._timer_delays[action.timer_id] = action.delay_ms
+                self._commands.append(action)
             case AddToCounter() | LogMessage():
-                self.commands.append(action)
+                self._commands.append(action)
 
-    def submit(self, now: float, a: ForwardRequest) -> None:
-        h = self.in_flight.get(a.request_id)
-        invariant(h is not None and h.owed, "a txn is submitted only while in hand")
-        if h is None or not h.owed:
+    def _forward(self, now: float, action: ForwardRequest) -> None:
+        request = self.in_flight.get(action.request_id)
+        is_open = request is not None and request.is_answer_owed
+        invariant(is_open, "a request is forwarded only while its client waits")
+        if request is None or not request.is_answer_owed:
             return
-        n, stop_at = h.tries, min(a.deadline_ms or h.expiry, h.expiry)
-        h.tries += 1
-        if n >= self.most or min(stop_at, a.write_by_ms) <= now or h.out and not self.copies:
-            self.events.append(
-                AttemptEnded(a.request_id, n, a.endpoint_id, Outcome.NOT_SENT, 0.0, False, 0.0, {})
+        number = request.started_attempts
+        request.started_attempts += 1
+        deadline_ms = min(action.deadline_ms or request.deadline_ms, request.deadline_ms)
+        if not self._may_start(now, request, number, min(deadline_ms, action.write_by_ms)):
+            self._pending_events.append(
+                AttemptEnded(
+                    request.request_id,
+                    number,
+                    action.endpoint_id,
+                    Outcome.NOT_SENT,
+                    duration_ms=0.0,
+                    is_final=False,
+                    billed_units=0.0,
+                    load_report={},
+                )
             )
             return
-        h.out[n] = a.endpoint_id, now - self.stalled_ms
-        self.commands.append(StartAttempt(a.request_id, n, a.endpoint_id, stop_at, a.write_by_ms))
-        if stop_at < h.expiry:
-            self.commands.append(ScheduleDeadline(stop_at, a.request_id, n))
-
-    def finish(self, txn: int, status: int, retry_after_ms: float) -> None:
-        h = self.in_flight.get(txn)
-        invariant(h is not None and h.owed, "a txn is answered once")
-        if h is not None and h.owed:
-            self.reply(txn, h, status, retry_after_ms, None)
-            self.drop(txn, h)
-
-    def reply(self, txn: int, h: InFlightRequest, status: int, retry_after_ms: float, answer: Any) -> None:
-        h.owed = False
-        self.commands.append(SendResponse(txn, status, retry_after_ms, answer))
-
-    def close(
+        request.attempts[number] = InFlightAttempt(action.endpoint_id, now - self.stalled_ms)
+        self._commands.append(
+            StartAttempt(request.request_id, number, action.endpoint_id, deadline_ms, action.write_by_ms)
+        )
+        if deadline_ms < request.deadline_ms:
+            self._commands.append(ScheduleDeadline(deadline_ms, request.request_id, number))
+
+    def _may_start(self, now: float, request: InFlightRequest, number: int, latest_start_ms: float) -> bool:
+        if number >= self._max_attempts or latest_start_ms <= now:
+            return False
+        return self._hedging_allowed or not request.attempts
+
+    # How requests and attempts end
+
+    def _answer_for_engine(self, request_id: int, status: int, retry_after_ms: float) -> None:
+        request = self.in_flight.get(request_id)
+        is_open = request is not None and request.is_answer_owed
+        invariant(is_open, "a request is answered once")
+        if request is not None and request.is_answer_owed:
+            self._answer(request, status, retry_after_ms, None)
+            self._drop_if_finished(request)
+
+    def _answer(self, request: InFlightRequest, status: int, retry_after_ms: float, response: Any) -> None:
+        request.is_answer_owed = False
+        self._commands.append(SendResponse(request.request_id, status, retry_after_ms, response))
+
+    def _abort_attempt(self, now: float, request: InFlightRequest, attempt: int, outcome: Outcome) -> None:
+        if attempt in request.attempts:
+            self._commands.append(AbortAttempt(request.request_id, attempt))
+            self._end_attempt(now, request, attempt, outcome, 0.0, {})
+
+    def _end_attempt(
         self,
         now: float,
-        txn: int,
-        h: InFlightRequest,
-        n: int,
-        end: Outcome,
-        units: float,
-        load: dict[str, float],
+        request: InFlightRequest,
+        number: int,
+        outcome: Outcome,
+        billed_units: float,
+        load_report: dict[str, float],
     ) -> None:
-        worker, sent = h.out.pop(n)
-        h.ran = h.ran or end not in NEVER_RAN
-        took = now - self.stalled_ms - sent
-        self.events.append(AttemptEnded(txn, n, worker, end, took, not h.owed, units, load))
-        self.drop(txn, h)
-
-    def drop(self, txn: int, h: InFlightRequest) -> None:
-        if not h.owed and not h.out:
-            self.in_flight.pop(txn, None)
-
-    # Failures of our own
-
-    def fault(self, now: float, event: Event, error: Exception) -> None:
-        """The txn at hand is answered; the others go on, and at worst end at their expiry."""
-        self.commands.append(ReportFault(error))
-        if isinstance(event, TimerFired):  # the tick must not die with one fault
-            self.commands.append(SetTimer(self.ticks.get(event.timer_id, 0.0), event.timer_id))
+        attempt = request.attempts.pop(number)
+        if outcome not in NEVER_RAN:
+            request.ended_attempt_may_have_run = True
+        self._pending_events.append(
+            AttemptEnded(
+                request.request_id,
+                number,
+                attempt.endpoint_id,
+                outcome,
+                now - self.stalled_ms - attempt.started_at_ms,
+                not request.is_answer_owed,
+                billed_units,
+                load_report,
+            )
+        )
+        self._drop_if_finished(request)
+
+    def _drop_if_finished(self, request: InFlightRequest) -> None:
+        if not request.is_answer_owed and not request.attempts:
+            self.in_flight.pop(request.request_id, None)
+
+    # Faults of this program
+
+    def _recover_from_fault(self, now: float, event: Event, error: Exception) -> None:
+        """Answers the request that the engine failed at. Others go on, and end at their deadline at worst."""
+        self._commands.append(ReportFault(error))
+        if isinstance(event, TimerFired):
+            # Guards the engine's periodic work: it sets its timer anew as it handles this event.
+            delay_ms = self._timer_delays.get(event.timer_id, 0.0)
+            self._commands.append(SetTimer(delay_ms, event.timer_id))
         elif isinstance(event, RequestReceived | AttemptEnded):
-            h = self.in_flight.get(event.request_id)
-            if h is not None and h.owed:
-                self.end_by_self(now, event.request_id, h)
-
-    def end_by_self(self, now: float, txn: int, h: InFlightRequest) -> None:
-        """503 says that trying again is harmless: only where no submission may have run."""
-        ran = h.ran or bool(h.out)
-        self.reply(txn, h, FAILED if ran else REFUSED, 0.0, None)
-        for n in list(h.out):
-            self.commands.append(AbortAttempt(txn, n))
-            self.close(now, txn, h, n, Outcome.CANCELLED, 0.0, {})
-        self.drop(txn, h)
-        self.events.append(ClientDisconnected(txn))
+            request = self.in_flight.get(event.request_id)
+            if request is not None and request.is_answer_owed:
+                self._answer_without_engine(now, request)
+
+    def _answer_without_engine(self, now: float, request: InFlightRequest) -> None:
+        """Answers 503 only where no attempt may have run, as it promises that trying again is harmless."""
+        status = STATUS_FAILED if request.may_have_run else STATUS_REJECTED
+        self._answer(request, status, 0.0, None)
+        for attempt in list(request.attempts):
+            self._abort_attempt(now, request, attempt, Outcome.CANCELLED)
+        self._drop_if_finished(request)
+        self._pending_events.append(ClientDisconnected(request.request_id))
--- a/drumgw/testbed/virtual_runner.py
+++ b/drumgw/testbed/virtual_runner.py
@@ -11,19 +11,18 @@
 from typing import Any
 
 from drumgw.gateway.clock import STALL_THRESHOLD_MS
-from drumgw.gateway.discovery import MAX_POLL_INTERVAL_MS
-from drumgw.gateway.membership import STATUS_BY_LIFECYCLE, endpoint_id_of
-from drumgw.gateway.process import SHUTDOWN_LINGER_MS
-from drumgw.gateway.request_lifecycle import (
+from drumgw.gateway.commands import (
     AbortAttempt,
     Command,
-    PolicyEngineProtocol,
     ReportFault,
-    RequestLifecycle,
     ScheduleDeadline,
     SendResponse,
     StartAttempt,
 )
+from drumgw.gateway.discovery import MAX_POLL_INTERVAL_MS
+from drumgw.gateway.membership import STATUS_BY_LIFECYCLE, endpoint_id_of
+from drumgw.gateway.process import SHUTDOWN_LINGER_MS
+from drumgw.gateway.request_lifecycle import PolicyEngineProtocol, RequestLifecycle
 from drumgw.model.actions import AddToCounter, LogMessage, SetTimer
 from drumgw.model.events import EndpointInfo, EndpointStatus, EndpointsUpdated, Outcome, RequestReceived
 from drumgw.model.settings import GatewaySettings
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -5,7 +5,7 @@
 import tempfile
 from typing import Any
 
-from drumgw.gateway.request_lifecycle import SendResponse
+from drumgw.gateway.commands import SendResponse
 from drumgw.model.actions import RejectRequest
 from drumgw.model.events import EndpointsUpdated, Outcome
 from drumgw.policy.engine import OUT, TXN_TABLE, Endpoint, PendingRequest, PolicyEngine, Table
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -638,8 +638,8 @@
             held
             or out
             or dispatcher.lifecycle.in_flight
-            or dispatcher.waiting
-            or dispatcher.alarms
+            or dispatcher.pending_requests
+            or dispatcher.request_deadlines
             or self.gateway.http_server.open_request_ids
         )
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -339,7 +339,7 @@
         writer.close()
         await asyncio.wait_for(worker.left.wait(), 10)
         self.assertEqual(
-            (self.gateway.dispatcher.lifecycle.in_flight, self.gateway.dispatcher.waiting), ({}, {})
+            (self.gateway.dispatcher.lifecycle.in_flight, self.gateway.dispatcher.pending_requests), ({}, {})
         )
 
     async def test_expiry_voids_at_once_and_closes_the_submission(self) -> None:
