--- a/drumgw/__main__.py
+++ b/drumgw/__main__.py
@@ -25,7 +25,7 @@
     logger.add(sys.stderr, level="INFO", format="{time:HH:mm:ss.SSS} {level: <7} {message}")
     try:
         uvloop.run(
-            serve(read_config(os.environ), partial(read_config, os.environ, again=True), early_signals)
+            serve(read_config(os.environ), partial(read_config, os.environ, is_reload=True), early_signals)
         )
     except ConfigError as bad:
         print(f"drumgw: {bad}", file=sys.stderr)
--- a/drumgw/gateway/connection_pool.py
+++ b/drumgw/gateway/connection_pool.py
@@ -146,7 +146,7 @@
             raise aiohttp.ServerDisconnectedError
         exchange.written = True
         if exchange.write_by_ms < inf and connection.writing_paused:
-            exchange.timer = self.clock.at(exchange.write_by_ms, partial(self._stop_writing, connection))
+            exchange.timer = self.clock.call_at(exchange.write_by_ms, partial(self._stop_writing, connection))
         return response
 
     def _stop_writing(self, connection: PeerConnection) -> None:
@@ -181,7 +181,7 @@
     def _start_response_timer(self, on_timeout: Callable[[], None]) -> Timer | None:
         if not self._connect_timeout_ms:
             return None
-        return self.clock.at(self.clock.now() + self._connect_timeout_ms, on_timeout)
+        return self.clock.call_at(self.clock.now() + self._connect_timeout_ms, on_timeout)
 
 
 def _set_result(future: asyncio.Future[RawResponse], response: RawResponse) -> None:
--- a/drumgw/gateway/counter_client.py
+++ b/drumgw/gateway/counter_client.py
@@ -141,7 +141,7 @@
         if lane is None or self.waiting > self.most:
             self.ended(call, Outcome.UNREACHABLE, 0.0)
             return
-        call.timer = self.clock.at(now + self.wait_ms, partial(self.overdue, call, lane))
+        call.timer = self.clock.call_at(now + self.wait_ms, partial(self.overdue, call, lane))
         lane.put(call)
 
     def choose_connection(self, now: float) -> CounterConnection | None:
--- a/drumgw/gateway/dispatcher.py
+++ b/drumgw/gateway/dispatcher.py
@@ -217,7 +217,7 @@
             deadline.cancel()
 
     def _schedule_deadline(self, command: ScheduleDeadline) -> None:
-        timer = self.clock.at(command.at_ms, partial(self._deadline_reached, command))
+        timer = self.clock.call_at(command.at_ms, partial(self._deadline_reached, command))
         if command.attempt is None:
             self.request_deadlines[command.request_id] = timer
 
--- a/drumgw/gateway/process.py
+++ b/drumgw/gateway/process.py
@@ -12,7 +12,7 @@
 
 from drumgw.gateway.clock import MonotonicClock, StallAwareClock
 from drumgw.gateway.http_server import HttpServer
-from drumgw.gateway.invariants import broken
+from drumgw.gateway.invariants import violations
 from drumgw.gateway.membership import READY_MS
 from drumgw.gateway.process_config import ConfigError, GatewayConfig
 from drumgw.gateway.service import GatewayService
@@ -69,7 +69,7 @@
             self.config.name,
             self.dispatcher.lifecycle.received_count,
             len(self.dispatcher.pending_requests),
-            dict(broken) or "none",
+            dict(violations) or "none",
         )
 
     def reload(self, read: Callable[[], GatewayConfig]) -> None:
--- a/drumgw/hosting/host_process.py
+++ b/drumgw/hosting/host_process.py
@@ -12,7 +12,7 @@
 from drumgw.config.host_file import HostFile
 from drumgw.gateway.clock import MonotonicClock, StallAwareClock
 from drumgw.gateway.process import GC_THRESHOLD, SHUTDOWN_LINGER_MS, handle_signal, ignore_signals
-from drumgw.gateway.process_config import RESERVED_DESCRIPTORS, ConfigError, address
+from drumgw.gateway.process_config import RESERVED_DESCRIPTORS, ConfigError, parse_address
 from drumgw.hosting.admin_api import MOST_CALLS, AdminApi
 from drumgw.hosting.authentication import Authenticator, Token
 from drumgw.hosting.http_server import HostHttpServer, ListenerConfig
@@ -30,7 +30,7 @@
         clients = house.limits.sockets - RESERVED_DESCRIPTORS - 2 * MOST_CALLS - self.hosting.most
         if clients < 1:
             raise ConfigError(f"limits.sockets is {house.limits.sockets}, too few")
-        doorway = ListenerConfig(address(house.host.listen, "listen"), clients, clients * 3 // 4)
+        doorway = ListenerConfig(parse_address(house.host.listen, "listen"), clients, clients * 3 // 4)
         self.http_server = HostHttpServer(doorway, self.hosting)
         self.api = AdminApi(
             self.hosting, Authenticator(Token(t.id, t.role, t.tenant, t.sha256) for t in house.token)
@@ -63,7 +63,7 @@
         await self.http_server.bind()
         self.hosting.open()
         try:
-            api = await self.api.open(address(self.house.host.api, "api"))
+            api = await self.api.open(parse_address(self.house.host.api, "api"))
         except OSError as error:
             raise ConfigError(f"cannot listen at {self.house.host.api}: {error}") from error
         place = await self.http_server.open()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -837,12 +837,12 @@
         at, loop, rang = [1000.0], mock.Mock(), list[float]()
         with mock.patch("time.time", lambda: 1.0), mock.patch("time.monotonic", lambda: at[0]):
             clock = StallAwareClock(MonotonicClock(), loop)
-            timer = clock.at(clock.now() + 150.0, lambda: rang.append(at[0]))
+            timer = clock.call_at(clock.now() + 150.0, lambda: rang.append(at[0]))
             at[0] += 0.1
             clock.start_heartbeat()
             self.assertEqual((clock.stalled_ms, clock.recent_stall_ms), (0.0, 0.0))
             at[0] += 0.6  # 500 ms later than the beat was due
-            timer.ring()
+            timer.fire()
             self.assertEqual((round(clock.stalled_ms), round(clock.recent_stall_ms), rang), (500, 500, []))
             (_, past, stood), (_, call) = (c.args for c in loop.call_later.call_args_list[-2:])
             call()
@@ -850,7 +850,7 @@
             self.assertEqual((rang, round(clock.stalled_ms), clock.recent_stall_ms), ([at[0]], 500, 0.0))
             clock.start_heartbeat()
             at[0] += 0.1
-            clock.at(clock.now(), lambda: rang.append(at[0])).ring()
+            clock.call_at(clock.now(), lambda: rang.append(at[0])).fire()
             self.assertEqual((len(rang), round(clock.stalled_ms)), (2, 500))
 
     def test_an_invariant_asserts_in_debug_and_is_counted_in_release(self) -> None:
@@ -859,7 +859,7 @@
             invariant(False, "what")
         story = (
             "from drumgw.gateway import invariants as i; [i.invariant(False, 'odd') for _ in range(3)];"
-            " print(dict(i.broken))"
+            " print(dict(i.violations))"
         )
         out = subprocess.run([sys.executable, "-O", "-c", story], capture_output=True, text=True, check=True)
         self.assertEqual((out.stdout.strip(), out.stderr.count("invariant broken")), ("{'odd': 3}", 2))
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -170,7 +170,7 @@
         async with asyncio.timeout(20):  # the last of them may still be on their way
             while {name.split("-")[0] for name in totals} != set(names):
                 await asyncio.sleep(0.001)
-        lines = [line for line in said if not line.startswith(("host ", "stood still"))]
+        lines = [line for line in said if not line.startswith(("host ", "process stalled"))]
         self.assertTrue(all(re.match(r"tenant t\d+: ", line) for line in lines), lines)
         self.assertEqual({line.split()[1].rstrip(":") for line in lines}, set(names))
 
