--- a/drumgw/testbed/clocks.py
+++ b/drumgw/testbed/clocks.py
@@ -20,40 +20,40 @@
 
     def now(self) -> float: ...
 
-    def at(self, at_ms: float, call: Call) -> Handle: ...
+    def call_at(self, at_ms: float, call: Call) -> Handle: ...
 
 
 class Event:
-    __slots__ = ("call",)
+    __slots__ = ("callback",)
 
     def __init__(self, call: Call) -> None:
-        self.call: Call | None = call
+        self.callback: Call | None = call
 
     def cancel(self) -> None:
-        self.call = None
+        self.callback = None
 
 
 class VirtualClock:
     """Events fall due in the order of their times, and of their making where these are equal."""
 
     def __init__(self, start_ms: float) -> None:
-        self.time, self.made = start_ms, 0
-        self.heap: list[tuple[float, int, Event]] = []  # emptied as time goes on
+        self.now_ms, self.scheduled_count = start_ms, 0
+        self.calls: list[tuple[float, int, Event]] = []  # emptied as time goes on
 
     def now(self) -> float:
-        return self.time
+        return self.now_ms
 
-    def at(self, at_ms: float, call: Call) -> Event:
-        event, self.made = Event(call), self.made + 1
-        heapq.heappush(self.heap, (max(at_ms, self.time), self.made, event))
+    def call_at(self, at_ms: float, call: Call) -> Event:
+        event, self.scheduled_count = Event(call), self.scheduled_count + 1
+        heapq.heappush(self.calls, (max(at_ms, self.now_ms), self.scheduled_count, event))
         return event
 
-    def run(self, until_ms: float) -> None:
-        while self.heap and self.heap[0][0] <= until_ms:
-            self.time, _, event = heapq.heappop(self.heap)
-            if event.call is not None:
-                event.call()
-        self.time = until_ms
+    def run_until(self, until_ms: float) -> None:
+        while self.calls and self.calls[0][0] <= until_ms:
+            self.now_ms, _, event = heapq.heappop(self.calls)
+            if event.callback is not None:
+                event.callback()
+        self.now_ms = until_ms
 
 
 class LoopClock:
@@ -66,5 +66,5 @@
     def now(self) -> float:
         return self.anchor + self.loop.time() * 1000.0
 
-    def at(self, at_ms: float, call: Call) -> Handle:
+    def call_at(self, at_ms: float, call: Call) -> Handle:
         return self.loop.call_at((at_ms - self.anchor) / 1000.0, call)
--- a/drumgw/testbed/endpoint.py
+++ b/drumgw/testbed/endpoint.py
@@ -26,11 +26,17 @@
 class ReceivedAttempt:
     """One submission that came whole to a worker. Told once, unless it was given up or its answer is lost."""
 
-    __slots__ = ("number", "name", "asked", "gate", "tell", "worker", "state", "timer")
+    __slots__ = ("number", "attempt_id", "client_attempt", "gateway", "on_end", "endpoint", "state", "timer")
 
     def __init__(self, number: int, name: str, asked: ClientAttempt | None, gate: int, tell: Tell) -> None:
-        self.number, self.name, self.asked, self.gate, self.tell = number, name, asked, gate, tell
-        self.worker: EmulatedEndpoint | None = None
+        self.number, self.attempt_id, self.client_attempt, self.gateway, self.on_end = (
+            number,
+            name,
+            asked,
+            gate,
+            tell,
+        )
+        self.endpoint: EmulatedEndpoint | None = None
         self.state: Literal["queued", "running", "over"] = "queued"
         self.timer: Handle | None = None
 
@@ -39,30 +45,32 @@
 class ActiveFaults:
     """What is wrong with a worker now; troubles change it and put it back."""
 
-    slow: float = 1.0
-    failing: set[str | None] = field(default_factory=set)  # products; none: all
-    silent: bool = False  # takes connections and says nothing
-    resets: float = 0.0  # share of submissions whose connection breaks
-    lost: float = 0.0  # share whose answer never comes, though they ran
-    late_ms: float = 0.0
-    spoilt: float = 0.0
-    connections: int | None = None
+    slowdown: float = 1.0
+    failing_classes: set[str | None] = field(default_factory=set)  # products; none: all
+    is_silent: bool = False  # takes connections and says nothing
+    reset_share: float = 0.0  # share of submissions whose connection breaks
+    lost_share: float = 0.0  # share whose answer never comes, though they ran
+    delay_ms: float = 0.0
+    corrupt_share: float = 0.0
+    max_connections: int | None = None
 
 
 class DeduplicationStore:
     """Referenced txns that groups of workers remember; emptied by time."""
 
     def __init__(self, clock: TestbedClock) -> None:
-        self.clock, self.seen = clock, dict[tuple[str, object], float]()
+        self.clock, self.remembered_until = clock, dict[tuple[str, object], float]()
 
-    def repeats(self, name: str, group: object, for_ms: float) -> bool:
+    def is_repeat(self, name: str, group: object, for_ms: float) -> bool:
         now = self.clock.now()
-        self.seen = (
-            {k: until for k, until in self.seen.items() if until > now} if len(self.seen) > 999 else self.seen
+        self.remembered_until = (
+            {k: until for k, until in self.remembered_until.items() if until > now}
+            if len(self.remembered_until) > 999
+            else self.remembered_until
         )
-        known = self.seen.get((name, group), 0.0) > now
+        known = self.remembered_until.get((name, group), 0.0) > now
         if not known:
-            self.seen[name, group] = now + for_ms
+            self.remembered_until[name, group] = now + for_ms
         return known
 
 
@@ -84,18 +92,24 @@
         memory: DeduplicationStore,
         chance: random.Random,
     ) -> None:
-        self.name, self.number, self.zone, self.cell, self.born = name, number, zone, cell, born_ms
-        self.kind, self.rules, self.clock, self.record, self.memory = kind, rules, clock, record, memory
-        self.chance, self.ills = chance, ActiveFaults()
+        self.name, self.number, self.zone, self.cell, self.started_at_ms = name, number, zone, cell, born_ms
+        self.section, self.rules, self.clock, self.event_log, self.deduplication = (
+            kind,
+            rules,
+            clock,
+            record,
+            memory,
+        )
+        self.random, self.faults = chance, ActiveFaults()
         self.speed = kind.speed * chance.uniform(1 - kind.speed_spread, 1 + kind.speed_spread)
-        self.up, self.draining = True, False
+        self.is_up, self.is_draining = True, False
         self.running: dict[int, ReceivedAttempt] = {}  # emptied as they end
         self.queue: deque[ReceivedAttempt] = deque()  # bounded by the kind's queue
-        self.lines: dict[int, int] = {}  # connections by gatekeeper; emptied as they close
-        self.lately: deque[tuple[float, float]] = deque()  # work that came within the falling time
+        self.connections: dict[int, int] = {}  # connections by gatekeeper; emptied as they close
+        self.recent_work: deque[tuple[float, float]] = deque()  # work that came within the falling time
         self.service_ms = 0.0
-        self.went_down: Callable[[], None] = nothing  # what its machine does then, where it is on sockets
-        self.came_back: Callable[[], None] = nothing
+        self.on_down: Callable[[], None] = nothing  # what its machine does then, where it is on sockets
+        self.on_up: Callable[[], None] = nothing
         record.add(
             clock.now(),
             "worker",
@@ -110,127 +124,145 @@
 
     # Connections
 
-    def takes(self, gate: int) -> bool:
+    def accept_connection(self, gate: int) -> bool:
         """A new connection; the machine refuses it when it is down or holds as many as it can."""
-        most = self.ills.connections if self.ills.connections is not None else self.kind.connections
-        if not self.up or sum(self.lines.values()) >= most:
+        most = (
+            self.faults.max_connections
+            if self.faults.max_connections is not None
+            else self.section.connections
+        )
+        if not self.is_up or sum(self.connections.values()) >= most:
             return False
-        self.lines[gate] = self.lines.get(gate, 0) + 1
+        self.connections[gate] = self.connections.get(gate, 0) + 1
         return True
 
-    def closed(self, gate: int) -> None:
-        self.lines[gate] = self.lines.get(gate, 0) - 1
-        if self.lines[gate] <= 0:
-            del self.lines[gate]
+    def connection_closed(self, gate: int) -> None:
+        self.connections[gate] = self.connections.get(gate, 0) - 1
+        if self.connections[gate] <= 0:
+            del self.connections[gate]
 
     # Submissions
 
-    def warmth(self) -> float:
-        if self.born is None:
+    def warm_up_fraction(self) -> float:
+        if self.started_at_ms is None:
             return 1.0
-        age = (self.clock.now() - self.born) / max(1.0, self.rules.cold_ms)
+        age = (self.clock.now() - self.started_at_ms) / max(1.0, self.rules.cold_ms)
         return min(1.0, self.rules.cold_from + (1 - self.rules.cold_from) * age)
 
-    def come(self, ticket: ReceivedAttempt, first_ms: float | None = None) -> None:
+    def receive(self, ticket: ReceivedAttempt, first_ms: float | None = None) -> None:
         """Its last byte is here. The work of what is turned away presses a cold worker too."""
-        now, asked = self.clock.now(), ticket.asked
-        ticket.worker = self
+        now, asked = self.clock.now(), ticket.client_attempt
+        ticket.endpoint = self
         work = asked.work_ms if asked else 0.0
-        self.sight(ticket, now if first_ms is None else first_ms, work)
-        if not self.up:
-            return self.end(ticket, "reset", ran=False)
+        self.log_received(ticket, now if first_ms is None else first_ms, work)
+        if not self.is_up:
+            return self.end_attempt(ticket, "reset", ran=False)
         if self.press(now, work):
             return None
-        if self.ills.silent:
+        if self.faults.is_silent:
             return None  # it may stay out until it is given up
-        if self.chance.random() < self.ills.resets:
+        if self.random.random() < self.faults.reset_share:
             return self.begin(ticket, "reset")
-        if self.draining or len(self.running) >= self.kind.cores and len(self.queue) >= self.kind.queue:
-            return self.end(ticket, "full", ran=False)
-        if len(self.running) >= self.kind.cores:
+        if (
+            self.is_draining
+            or len(self.running) >= self.section.cores
+            and len(self.queue) >= self.section.queue
+        ):
+            return self.end_attempt(ticket, "full", ran=False)
+        if len(self.running) >= self.section.cores:
             self.queue.append(ticket)
             return None
         return self.begin(ticket)
 
-    def sight(self, ticket: ReceivedAttempt, first_ms: float, work: float = 0.0) -> None:
+    def log_received(self, ticket: ReceivedAttempt, first_ms: float, work: float = 0.0) -> None:
         """It came whole, whatever becomes of it."""
-        self.record.add(
+        self.event_log.add(
             self.clock.now(),
             "came",
-            txn=ticket.name,
+            txn=ticket.attempt_id,
             ticket=ticket.number,
             worker=self.name,
-            gate=ticket.gate,
+            gate=ticket.gateway,
             first=round(first_ms, 3),
             work=round(work, 3),
         )
 
     def press(self, now: float, work: float) -> bool:
         """True where a cold worker falls over: more came within the window than it can bear."""
-        warmth = self.warmth()
+        warmth = self.warm_up_fraction()
         if warmth >= 1.0:
             return False
-        self.lately.append((now, work))
-        while self.lately[0][0] <= now - self.rules.fall_ms:
-            self.lately.popleft()
-        can = self.kind.cores * self.speed * warmth * self.rules.fall_ms
-        if sum(w for _, w in self.lately) <= self.rules.fall_multiple * can + 3 * work:  # a little for chance
+        self.recent_work.append((now, work))
+        while self.recent_work[0][0] <= now - self.rules.fall_ms:
+            self.recent_work.popleft()
+        can = self.section.cores * self.speed * warmth * self.rules.fall_ms
+        if (
+            sum(w for _, w in self.recent_work) <= self.rules.fall_multiple * can + 3 * work
+        ):  # a little for chance
             return False
-        self.record.add(now, "worker", worker=self.name, state="falls")
-        self.down(self.kind.down_ms)
+        self.event_log.add(now, "worker", worker=self.name, state="falls")
+        self.go_down(self.section.down_ms)
         return True
 
     def begin(self, ticket: ReceivedAttempt, ends: Says | None = None) -> None:
-        asked = ticket.asked
+        asked = ticket.client_attempt
         assert asked is not None
         ticket.state = "running"
         self.running[ticket.number] = ticket
-        product = asked.product
-        took = asked.work_ms / self.speed / self.warmth() * self.ills.slow
+        product = asked.request_class
+        took = asked.work_ms / self.speed / self.warm_up_fraction() * self.faults.slowdown
         if product.repeat == "referenced":
             group = {"all": None, "zone": self.zone, "cell": self.cell}[product.group]
-            if self.memory.repeats(asked.reference, group, product.remember_ms):
+            if self.deduplication.is_repeat(asked.idempotency_key, group, product.remember_ms):
                 took = 0.1  # known by its reference: answered without running again
             else:
-                self.record.add(
-                    self.clock.now(), "ran", txn=ticket.name, reference=asked.reference, worker=self.name
+                self.event_log.add(
+                    self.clock.now(),
+                    "ran",
+                    txn=ticket.attempt_id,
+                    reference=asked.idempotency_key,
+                    worker=self.name,
                 )
         self.service_ms += 0.1 * (took - self.service_ms)
-        ticket.timer = self.clock.at(
+        ticket.timer = self.clock.call_at(
             self.clock.now() + took, lambda: self.done(ticket, ends or self.says(asked))
         )
 
     def says(self, asked: ClientAttempt) -> Says:
-        if asked.product.name in self.ills.failing or None in self.ills.failing:
+        if asked.request_class.name in self.faults.failing_classes or None in self.faults.failing_classes:
             return "error"
-        return "spoilt" if self.chance.random() < self.ills.spoilt else "settled"
+        return "spoilt" if self.random.random() < self.faults.corrupt_share else "settled"
 
     def done(self, ticket: ReceivedAttempt, says: Says) -> None:
         self.running.pop(ticket.number, None)
-        if self.ills.lost and self.chance.random() < self.ills.lost:
-            self.record.add(self.clock.now(), "lost answer", txn=ticket.name, ticket=ticket.number)
-        elif self.ills.late_ms:
-            self.clock.at(self.clock.now() + self.ills.late_ms, lambda: self.end(ticket, says, ran=True))
+        if self.faults.lost_share and self.random.random() < self.faults.lost_share:
+            self.event_log.add(self.clock.now(), "lost answer", txn=ticket.attempt_id, ticket=ticket.number)
+        elif self.faults.delay_ms:
+            self.clock.call_at(
+                self.clock.now() + self.faults.delay_ms, lambda: self.end_attempt(ticket, says, ran=True)
+            )
         else:
-            self.end(ticket, says, ran=True)
+            self.end_attempt(ticket, says, ran=True)
         self.next()
 
     def next(self) -> None:
-        while self.queue and len(self.running) < self.kind.cores and self.up:
+        while self.queue and len(self.running) < self.section.cores and self.is_up:
             self.begin(self.queue.popleft())
 
-    def end(self, ticket: ReceivedAttempt, says: Says, ran: bool) -> None:
+    def end_attempt(self, ticket: ReceivedAttempt, says: Says, ran: bool) -> None:
         if ticket.state == "over":
             return
         ticket.state = "over"
-        self.record.add(self.clock.now(), "ended", txn=ticket.name, ticket=ticket.number, how=says, ran=ran)
-        ticket.tell(ticket, says)
+        self.event_log.add(
+            self.clock.now(), "ended", txn=ticket.attempt_id, ticket=ticket.number, how=says, ran=ran
+        )
+        ticket.on_end(ticket, says)
 
-    def give_up(self, ticket: ReceivedAttempt) -> None:
+    def abandon(self, ticket: ReceivedAttempt) -> None:
         """Its connection was closed by the gatekeeper. What runs goes on; what waits is dropped."""
         if ticket.state == "over":
             return
-        self.record.add(self.clock.now(), "given up", txn=ticket.name, ticket=ticket.number)
+        self.event_log.add(self.clock.now(), "given up", txn=ticket.attempt_id, ticket=ticket.number)
         if ticket.state == "queued" and ticket in self.queue:
             self.queue.remove(ticket)
         ticket.state = "over"
@@ -244,30 +276,30 @@
         for ticket in tickets:
             if ticket.timer is not None:
                 ticket.timer.cancel()
-            self.end(ticket, "reset", ran=ran and ticket.state == "running")
+            self.end_attempt(ticket, "reset", ran=ran and ticket.state == "running")
 
-    def down(self, for_ms: float | None) -> None:
+    def go_down(self, for_ms: float | None) -> None:
         """Its process dies; it is back after a time, cold, or not at all."""
-        self.up = False
-        self.lines.clear()
+        self.is_up = False
+        self.connections.clear()
         self.drop_all()
-        self.record.add(self.clock.now(), "worker", worker=self.name, state="down")
-        self.went_down()
+        self.event_log.add(self.clock.now(), "worker", worker=self.name, state="down")
+        self.on_down()
         if for_ms is not None:
-            self.clock.at(self.clock.now() + for_ms, self.back)
+            self.clock.call_at(self.clock.now() + for_ms, self.come_back)
 
-    def back(self) -> None:
-        self.up, self.draining, self.born = True, False, self.clock.now()
-        self.lately.clear()
-        self.record.add(
-            self.born,
+    def come_back(self) -> None:
+        self.is_up, self.is_draining, self.started_at_ms = True, False, self.clock.now()
+        self.recent_work.clear()
+        self.event_log.add(
+            self.started_at_ms,
             "worker",
             worker=self.name,
             state="starts",
             zone=self.zone,
             cell=self.cell,
             cold=True,
-            cores=self.kind.cores,
+            cores=self.section.cores,
             speed=round(self.speed, 4),
         )
-        self.came_back()
+        self.on_up()
--- a/drumgw/testbed/environment.py
+++ b/drumgw/testbed/environment.py
@@ -29,188 +29,188 @@
 
     def pause(self, gate: int, for_ms: float) -> None: ...
 
-    def moves(self) -> None: ...
+    def move_discovery(self) -> None: ...
 
 
 class Environment:
     def __init__(self, day: Scenario, seed: int, clock: TestbedClock, record: EventLog) -> None:
-        self.day, self.seed, self.clock, self.record = day, seed, clock, record
-        self.book = Workload(day, seed)
-        self.clients = ClientPopulation(day, self.book, clock, record)
+        self.scenario, self.seed, self.clock, self.event_log = day, seed, clock, record
+        self.workload = Workload(day, seed)
+        self.clients = ClientPopulation(day, self.workload, clock, record)
         self.counter = EmulatedCounter(day.counter, clock) if day.counter else None
-        self.registry = EmulatedDiscovery(
-            day.discovery, day.fleet.gatekeepers, clock, record, self.book.chance("registry")
+        self.discovery = EmulatedDiscovery(
+            day.discovery, day.fleet.gatekeepers, clock, record, self.workload.random_stream("registry")
         )
-        self.memory = DeduplicationStore(clock)
-        self.chance = self.book.chance("troubles")
-        self.workers: dict[
+        self.deduplication = DeduplicationStore(clock)
+        self.random = self.workload.random_stream("troubles")
+        self.endpoints: dict[
             str, EmulatedEndpoint
         ] = {}  # all that ever were; a day replaces each a few times at most
-        self.places: list[str] = []  # by number: the worker that stands there now
-        self.cut: set[str] = set()  # zones cut off from the others
-        self.tickets = 0
+        self.current_names: list[str] = []  # by number: the worker that stands there now
+        self.isolated_zones: set[str] = set()  # zones cut off from the others
+        self.attempt_count = 0
         self.gateways: GatewayControls | None = None
         for number in range(day.fleet.workers):
-            self.places.append(self.add_worker(number, 0, None).name)
+            self.current_names.append(self.add_endpoint(number, 0, None).name)
 
-    def add_worker(self, number: int, turn: int, born: float | None) -> EmulatedEndpoint:
-        zone = self.day.fleet.zones[number % len(self.day.fleet.zones)]
+    def add_endpoint(self, number: int, turn: int, born: float | None) -> EmulatedEndpoint:
+        zone = self.scenario.fleet.zones[number % len(self.scenario.fleet.zones)]
         name = f"w{number}" + (f".{turn}" if turn else "")
-        cell = number % len(self.day.fleet.zones) + len(self.day.fleet.zones) * (number // CELL)
+        cell = number % len(self.scenario.fleet.zones) + len(self.scenario.fleet.zones) * (number // CELL)
         worker = EmulatedEndpoint(
             name,
             number,
             zone,
             cell,
             born,
-            self.day.worker,
-            self.day.rules,
+            self.scenario.worker,
+            self.scenario.rules,
             self.clock,
-            self.record,
-            self.memory,
-            self.book.chance("worker", name),
+            self.event_log,
+            self.deduplication,
+            self.workload.random_stream("worker", name),
         )
-        self.workers[name] = worker
-        self.registry.put(name, zone, cell, born)
+        self.endpoints[name] = worker
+        self.discovery.put(name, zone, cell, born)
         return worker
 
-    def zone_of(self, gate: int) -> str:
-        return self.day.fleet.zones[gate % len(self.day.fleet.zones)]
+    def zone_of_gateway(self, gate: int) -> str:
+        return self.scenario.fleet.zones[gate % len(self.scenario.fleet.zones)]
 
-    def one_way(self, gate: int, worker: EmulatedEndpoint) -> float:
-        fleet = self.day.fleet
-        return fleet.same_zone_ms if self.zone_of(gate) == worker.zone else fleet.cross_zone_ms
+    def one_way_ms(self, gate: int, worker: EmulatedEndpoint) -> float:
+        fleet = self.scenario.fleet
+        return fleet.same_zone_ms if self.zone_of_gateway(gate) == worker.zone else fleet.cross_zone_ms
 
-    def parted(self, gate: int, zone: str) -> bool:
+    def is_partitioned(self, gate: int, zone: str) -> bool:
         """No packet passes between this gatekeeper and that zone."""
-        own = self.zone_of(gate)
-        return own != zone and (own in self.cut or zone in self.cut)
+        own = self.zone_of_gateway(gate)
+        return own != zone and (own in self.isolated_zones or zone in self.isolated_zones)
 
-    def ticket(self) -> int:
-        self.tickets += 1
-        return self.tickets
+    def next_attempt_number(self) -> int:
+        self.attempt_count += 1
+        return self.attempt_count
 
-    def settings(self, gate: int) -> dict[str, Any]:
-        day = self.day
+    def gateway_settings(self, gate: int) -> dict[str, Any]:
+        scenario = self.scenario
         placement = GatewayPlacement(
-            zone=self.zone_of(gate),
-            zones=day.fleet.zones,
-            gateway_count=day.fleet.gatekeepers,
+            zone=self.zone_of_gateway(gate),
+            zones=scenario.fleet.zones,
+            gateway_count=scenario.fleet.gatekeepers,
             ordinal=gate,
             has_counter=self.counter is not None,
         )
-        return platform_settings(day.product, day.plan, day.rules, day.allowed, placement)
+        return platform_settings(scenario.product, scenario.plan, scenario.rules, scenario.allowed, placement)
 
     # Troubles
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """From now on clients come and troubles happen."""
         now = self.clock.now()
-        self.record.add(now, "begins")
-        for number, trouble in enumerate(self.day.trouble):
-            self.clock.at(now + trouble.at_s * 1000.0, lambda t=trouble, n=number: self.strike(t, n))  # type: ignore[misc]
-        self.clients.begin()
+        self.event_log.add(now, "begins")
+        for number, trouble in enumerate(self.scenario.trouble):
+            self.clock.call_at(now + trouble.at_s * 1000.0, lambda t=trouble, n=number: self.strike(t, n))  # type: ignore[misc]
+        self.clients.start()
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """The last sightings: a record without them was cut off."""
         now = self.clock.now()
         if self.counter is not None:
-            self.record.add(now, "counter", calls=self.counter.calls)
-        self.record.add(now, "ends", sent=self.clients.sent, late=self.clients.late)
+            self.event_log.add(now, "counter", calls=self.counter.call_count)
+        self.event_log.add(now, "ends", sent=self.clients.sent_count, late=self.clients.sent_late_count)
 
-    def ends_at(self) -> float:
-        longest = max(p.expiry_ms for p in self.day.product)
-        return self.clients.start_ms + self.day.seconds * 1000.0 + longest + AFTER_MS
+    def end_time_ms(self) -> float:
+        longest = max(p.expiry_ms for p in self.scenario.product)
+        return self.clients.start_ms + self.scenario.seconds * 1000.0 + longest + AFTER_MS
 
     def strike(self, t: Fault, number: int) -> None:
         undo = FAULTS[t.kind](self, t)
         aims = {
             k: v for k in ("size", "part", "zone", "worker", "product") if (v := getattr(t, k)) is not None
         }
-        self.record.add(self.clock.now(), "trouble", number=number, kind=t.kind, **aims)
+        self.event_log.add(self.clock.now(), "trouble", number=number, kind=t.kind, **aims)
         if t.for_s:
 
             def over() -> None:
                 if undo is not None:
                     undo()
-                self.record.add(self.clock.now(), "trouble over", number=number, kind=t.kind)
+                self.event_log.add(self.clock.now(), "trouble over", number=number, kind=t.kind)
 
-            self.clock.at(self.clock.now() + t.for_s * 1000.0, over)
+            self.clock.call_at(self.clock.now() + t.for_s * 1000.0, over)
 
     def aimed(self, t: Fault) -> list[EmulatedEndpoint]:
         """The workers that it strikes, among those that stand now; none where they have gone."""
-        standing = [self.workers[name] for name in self.places]
+        standing = [self.endpoints[name] for name in self.current_names]
         if t.worker is not None:
             return [standing[t.worker]]
         if t.zone is not None:
             return [w for w in standing if w.zone == t.zone]
         return sorted(
-            self.chance.sample(standing, max(1, round((t.part or 0.0) * len(standing)))),
+            self.random.sample(standing, max(1, round((t.part or 0.0) * len(standing)))),
             key=lambda w: w.number,
         )
 
     def some_gates(self, t: Fault) -> list[int]:
-        number = self.day.fleet.gatekeepers
-        return sorted(self.chance.sample(range(number), max(1, round((t.part or 0.0) * number))))
+        number = self.scenario.fleet.gatekeepers
+        return sorted(self.random.sample(range(number), max(1, round((t.part or 0.0) * number))))
 
     def ill(self, t: Fault, **ills: Any) -> Undo:
-        return put([w.ills for w in self.aimed(t)], **ills)
+        return put([w.faults for w in self.aimed(t)], **ills)
 
     def fail(self, t: Fault) -> Undo:
         struck = self.aimed(t)
         for w in struck:
-            w.ills.failing.add(t.product)
+            w.faults.failing_classes.add(t.product)
 
         def undo() -> None:
             for w in struck:
-                w.ills.failing.discard(t.product)
+                w.faults.failing_classes.discard(t.product)
 
         return undo
 
     def crash(self, t: Fault) -> Undo:
         """Their processes die; the list lacks them later, and has them again when they are back, cold."""
-        struck = [w for w in self.aimed(t) if w.up]
+        struck = [w for w in self.aimed(t) if w.is_up]
         return self.lose(struck)
 
     def lose(self, struck: list[EmulatedEndpoint]) -> Undo:
         now = self.clock.now()
         for w in struck:
-            w.down(None)
-            self.clock.at(now + self.day.worker.dead_noticed_ms, lambda w=w: self.miss(w))  # type: ignore[misc]
+            w.go_down(None)
+            self.clock.call_at(now + self.scenario.worker.dead_noticed_ms, lambda w=w: self.miss(w))  # type: ignore[misc]
 
         def undo() -> None:
             for w in struck:
-                if w.name in self.places:
-                    w.back()
-                    self.registry.put(w.name, w.zone, w.cell, w.born)
+                if w.name in self.current_names:
+                    w.come_back()
+                    self.discovery.put(w.name, w.zone, w.cell, w.started_at_ms)
 
         return undo
 
     def miss(self, w: EmulatedEndpoint) -> None:
-        if not w.up:
-            self.registry.state(w.name, "removed")
+        if not w.is_up:
+            self.discovery.set_lifecycle(w.name, "removed")
 
     def replace(self, t: Fault) -> None:
         """Drained in turn; a new one, cold and under a new name, stands in its place."""
         for w in self.aimed(t):
             self.drain_one(w)
             turn = int(w.name.partition(".")[2] or 0) + 1
-            self.places[w.number] = self.add_worker(w.number, turn, self.clock.now()).name
+            self.current_names[w.number] = self.add_endpoint(w.number, turn, self.clock.now()).name
 
     def begin_drain(self, w: EmulatedEndpoint) -> None:
-        w.draining = True
-        self.record.add(self.clock.now(), "worker", worker=w.name, state="drains")
-        self.registry.state(w.name, "draining")
+        w.is_draining = True
+        self.event_log.add(self.clock.now(), "worker", worker=w.name, state="drains")
+        self.discovery.set_lifecycle(w.name, "draining")
 
     def drain_one(self, w: EmulatedEndpoint) -> None:
         self.begin_drain(w)
-        gone = self.day.discovery.delay_ms + self.day.discovery.spread_ms + 3000.0
-        self.clock.at(self.clock.now() + gone, lambda: self.retire(w))
+        gone = self.scenario.discovery.delay_ms + self.scenario.discovery.spread_ms + 3000.0
+        self.clock.call_at(self.clock.now() + gone, lambda: self.retire(w))
 
     def retire(self, w: EmulatedEndpoint) -> None:
-        if w.draining:
-            w.down(None)
-            self.registry.state(w.name, "removed")
+        if w.is_draining:
+            w.go_down(None)
+            self.discovery.set_lifecycle(w.name, "removed")
 
     def drain(self, t: Fault) -> Undo | None:
         struck = self.aimed(t)
@@ -219,19 +219,19 @@
 
         def undo() -> None:
             for w in struck:
-                if w.name in self.places and w.up:
-                    w.draining = False
-                    self.registry.put(w.name, w.zone, w.cell, w.born)
+                if w.name in self.current_names and w.is_up:
+                    w.is_draining = False
+                    self.discovery.put(w.name, w.zone, w.cell, w.started_at_ms)
 
         return undo
 
     def zone_lost(self, t: Fault) -> Undo:
-        return self.lose([w for w in self.workers.values() if w.zone == t.zone and w.up])
+        return self.lose([w for w in self.endpoints.values() if w.zone == t.zone and w.is_up])
 
     def zone_cut(self, t: Fault) -> Undo:
         assert t.zone is not None
-        self.cut.add(t.zone)
-        return lambda: self.cut.discard(t.zone or "")
+        self.isolated_zones.add(t.zone)
+        return lambda: self.isolated_zones.discard(t.zone or "")
 
     def split(self, _t: Fault) -> Undo:
         assert self.counter is not None
@@ -240,11 +240,11 @@
 
     def empty(self, _t: Fault) -> None:
         assert self.counter is not None
-        self.counter.empty()
+        self.counter.clear()
 
     def older(self, t: Fault) -> None:
         assert self.counter is not None
-        self.counter.older(t.size or 0.0)
+        self.counter.scale_totals(t.size or 0.0)
 
     def gates(self, t: Fault, act: Callable[[GatewayControls, int], None]) -> None:
         assert self.gateways is not None
@@ -253,7 +253,7 @@
 
     def moves(self, _t: Fault) -> None:
         assert self.gateways is not None
-        self.gateways.moves()
+        self.gateways.move_discovery()
 
 
 def put(things: list[Any], **values: Any) -> Undo:
@@ -275,31 +275,31 @@
 
 
 FAULTS: dict[str, Callable[[Environment, Fault], Undo | None]] = {
-    "slow": lambda w, t: w.ill(t, slow=t.size),
+    "slow": lambda w, t: w.ill(t, slowdown=t.size),
     "failing": Environment.fail,
-    "silent": lambda w, t: w.ill(t, silent=True),
-    "resets": lambda w, t: w.ill(t, resets=t.size),
-    "answers lost": lambda w, t: w.ill(t, lost=t.size),
-    "answers late": lambda w, t: w.ill(t, late_ms=t.size),
-    "answers spoilt": lambda w, t: w.ill(t, spoilt=t.size),
-    "few connections": lambda w, t: w.ill(t, connections=int(t.size or 0)),
+    "silent": lambda w, t: w.ill(t, is_silent=True),
+    "resets": lambda w, t: w.ill(t, reset_share=t.size),
+    "answers lost": lambda w, t: w.ill(t, lost_share=t.size),
+    "answers late": lambda w, t: w.ill(t, delay_ms=t.size),
+    "answers spoilt": lambda w, t: w.ill(t, corrupt_share=t.size),
+    "few connections": lambda w, t: w.ill(t, max_connections=int(t.size or 0)),
     "crash": Environment.crash,
     "replace": Environment.replace,
     "drain": Environment.drain,
     "zone lost": Environment.zone_lost,
     "zone cut": Environment.zone_cut,
-    "counter slow": lambda w, t: put([w.counter], slow=t.size),
-    "counter silent": lambda w, t: put([w.counter], silent=True),
-    "counter refuses": lambda w, t: put([w.counter], refuses=True),
+    "counter slow": lambda w, t: put([w.counter], slowdown=t.size),
+    "counter silent": lambda w, t: put([w.counter], is_silent=True),
+    "counter refuses": lambda w, t: put([w.counter], rejects_calls=True),
     "counter empty": Environment.empty,
     "counter older": Environment.older,
     "counter split": Environment.split,
-    "list late": lambda w, t: put([w.registry], late_ms=t.size),
-    "list lost": lambda w, t: put([w.registry], lost=True),
+    "list late": lambda w, t: put([w.discovery], extra_delay_ms=t.size),
+    "list lost": lambda w, t: put([w.discovery], is_silent=True),
     "list moves": Environment.moves,
     "restart": lambda w, t: w.gates(t, lambda keepers, gate: keepers.restart(gate)),
     "kill": lambda w, t: w.gates(t, lambda keepers, gate: keepers.kill(gate)),
     "pause": lambda w, t: w.gates(t, lambda keepers, gate: keepers.pause(gate, t.for_s * 1000.0)),
     "rush": lambda w, t: None,  # the book knows of it
-    "leave": lambda w, t: put([w.clients], leaving=t.size),
+    "leave": lambda w, t: put([w.clients], leave_share=t.size),
 }
--- a/drumgw/testbed/metrics.py
+++ b/drumgw/testbed/metrics.py
@@ -56,8 +56,8 @@
     """Each order's tries, value and end. Latencies run from when it should have been sent."""
 
     def __init__(self, record: EventLog, day: Scenario) -> None:
-        self.day = day
-        self.products = {p.name: p for p in day.product}
+        self.scenario = day
+        self.request_classes = {p.name: p for p in day.product}
         self.plans = {p.name: p for p in day.plan}
         self.wanted: dict[int, Row] = {}
         self.by_try: dict[str, Row] = {}
@@ -79,7 +79,7 @@
         """Order, end, value, earned, time taken."""
         found = []
         for number, row in self.wanted.items():
-            product, plan = self.products[row["product"]], self.plans[row["plan"]]
+            product, plan = self.request_classes[row["product"]], self.plans[row["plan"]]
             value = product.value * plan.price * row["units"]
             end, earned, took = self.ending(number, row, product)
             found.append((row, end, value, value * earned, took))
--- a/drumgw/testbed/oracle.py
+++ b/drumgw/testbed/oracle.py
@@ -47,10 +47,10 @@
     """The sightings, sorted by what they are about."""
 
     def __init__(self, record: EventLog, day: Scenario, sockets: bool) -> None:
-        self.rows, self.day = record.rows, day
+        self.rows, self.scenario = record.rows, day
         self.slack = SLACK_MS if sockets else 0.0
         self.ceiling_ms = CEILING_MS if sockets else 0.0
-        self.products = {p.name: p for p in day.product}
+        self.request_classes = {p.name: p for p in day.product}
         self.plans = {p.name: p for p in day.plan}
         self.cases: dict[str, AttemptHistory] = {}
         self.strays: list[Row] = []
@@ -97,7 +97,10 @@
     """Each txn taken has one final answer in time, made for it by a worker."""
     for name, case in bench.cases.items():
         asked = case.asked
-        gate, due = asked["gate"], asked["t"] + asked["left"] + bench.day.rules.answer_slack_ms + bench.slack
+        gate, due = (
+            asked["gate"],
+            asked["t"] + asked["left"] + bench.scenario.rules.answer_slack_ms + bench.slack,
+        )
         touched = (gate,)
         if len(case.answers) > 1:
             yield Violation("lost", case.answers[1]["t"], name, touched, "answered twice")
@@ -136,11 +139,11 @@
     for row in bench.strays:
         yield Violation("doubled", row["t"], row["txn"], (row["gate"],), "a submission of no client's txn")
     for name, case in bench.cases.items():
-        product, touched = bench.products[case.asked["product"]], (case.asked["gate"],)
+        product, touched = bench.request_classes[case.asked["product"]], (case.asked["gate"],)
         for n, came in enumerate(case.came):
             for earlier in case.came[:n]:
                 over = case.over.get(earlier["ticket"])
-                if not bench.day.allowed.second_copies and (
+                if not bench.scenario.allowed.second_copies and (
                     over is None or over["t"] > came["t"] + bench.slack
                 ):
                     yield Violation("doubled", came["t"], name, touched, "a second copy while one was out")
@@ -177,7 +180,7 @@
 
 def drains(bench: Observations) -> Iterator[Violation]:
     """Nothing new to a worker once the grace is over, after it was told that the worker drains or is gone."""
-    grace = bench.day.rules.drain_grace_ms + bench.slack
+    grace = bench.scenario.rules.drain_grace_ms + bench.slack
     told: dict[tuple[int, str], tuple[str, float]] = {}
     for row in bench.rows:
         if row["what"] == "told":
@@ -199,7 +202,7 @@
 
 def pushed(bench: Observations) -> Iterator[Violation]:
     """A cold worker is not sent more than a multiple of what it can do, by those told that it is cold."""
-    rules = bench.day.rules
+    rules = bench.scenario.rules
     cold: dict[str, tuple[float, float]] = {}  # worker: started, work it can do in a ms when warm
     came: dict[str, deque[Row]] = {}
     known: dict[str, set[int]] = defaultdict(set)  # who was told of this start
--- a/drumgw/testbed/socket_runner.py
+++ b/drumgw/testbed/socket_runner.py
@@ -40,7 +40,7 @@
     """A gatekeeper's process, its addresses and its log."""
 
     def __init__(self, lab: SocketRunner, number: int) -> None:
-        self.lab, self.number = lab, number
+        self.runner, self.number = lab, number
         self.process: asyncio.subprocess.Process | None = None
         self.port = free_port()
         self.discovery = self.counter = ""
@@ -51,13 +51,13 @@
 
     @property
     def path(self) -> pathlib.Path:
-        return self.lab.folder / f"n{self.number}.json"
+        return self.runner.folder / f"n{self.number}.json"
 
     def configure(self) -> None:
-        world = self.lab.world
-        known = self.lab.known
+        world = self.runner.environment
+        known = self.runner.initial_list
         rows = [
-            {**row, "hostPort": self.lab.address(self.number, row["instanceId"])}
+            {**row, "hostPort": self.runner.address(self.number, row["instanceId"])}
             for row in known["instances"]
         ]
         told = {
@@ -65,10 +65,10 @@
             "listen": f"{HOST}:{self.port}",
             "discovery": self.discovery,
             "counter": self.counter or None,
-            "seed": f"{self.lab.chance.getrandbits(64):016x}",
+            "seed": f"{self.runner.random.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {**known, "instances": rows},
-            "settings": world.settings(self.number),
+            "settings": world.gateway_settings(self.number),
         }
         fresh = self.path.with_suffix(".new")
         fresh.write_text(json.dumps(told))
@@ -77,7 +77,7 @@
     async def start(self) -> None:
         self.configure()
         self.expected = self.ready = False
-        with open(self.lab.folder / f"n{self.number}.log", "ab") as log:
+        with open(self.runner.folder / f"n{self.number}.log", "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 *RUN,
                 env={**os.environ, "GW_CONFIG": str(self.path)},
@@ -86,18 +86,18 @@
                 stdin=asyncio.subprocess.DEVNULL,
                 start_new_session=True,
             )
-        self.lab.record.add(self.lab.clock.now(), "gate", gate=self.number, state="starts")
-        self.lab.world.registry.starts(self.number)
-        self.lab.spawn(self.watch(self.process))
+        self.runner.event_log.add(self.runner.clock.now(), "gate", gate=self.number, state="starts")
+        self.runner.environment.discovery.gateway_started(self.number)
+        self.runner.spawn(self.watch(self.process))
         self.ready = await self.wait_ready(self.process)
         if self.ready:
-            self.lab.world.clients.front(self.number, True)
+            self.runner.environment.clients.set_in_rotation(self.number, True)
         elif not self.expected:
-            self.lab.record.add(self.lab.clock.now(), "gate", gate=self.number, state="never ready")
+            self.runner.event_log.add(self.runner.clock.now(), "gate", gate=self.number, state="never ready")
 
     async def wait_ready(self, process: asyncio.subprocess.Process) -> bool:
-        end = self.lab.clock.now() + READY_S * 1000.0
-        while self.lab.clock.now() < end and process.returncode is None:
+        end = self.runner.clock.now() + READY_S * 1000.0
+        while self.runner.clock.now() < end and process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.TimeoutError):
                 async with asyncio.timeout(2.0):
                     reader, writer = await asyncio.open_connection(HOST, self.port)
@@ -113,8 +113,10 @@
     async def watch(self, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
         if not self.expected:
-            self.lab.record.add(self.lab.clock.now(), "gate", gate=self.number, state="crashed", code=code)
-            self.lab.world.clients.front(self.number, False)
+            self.runner.event_log.add(
+                self.runner.clock.now(), "gate", gate=self.number, state="crashed", code=code
+            )
+            self.runner.environment.clients.set_in_rotation(self.number, False)
 
     def send(self, number: int) -> None:
         if self.process is not None and self.process.returncode is None:
@@ -122,29 +124,33 @@
 
     async def end(self, number: int) -> None:
         """Told to end or killed; back after the fleet's time."""
-        process, lab = self.process, self.lab
+        process, lab = self.process, self.runner
         if process is None or process.returncode is not None or self.expected:
             return
         self.expected = True
         killed = number is signal.SIGKILL
-        lab.record.add(lab.clock.now(), "gate", gate=self.number, state="killed" if killed else "told to end")
+        lab.event_log.add(
+            lab.clock.now(), "gate", gate=self.number, state="killed" if killed else "told to end"
+        )
         self.send(number)
-        notices = lab.day.fleet.front_notices_ms if killed else TERM_SEEN_MS
-        lab.clock.at(lab.clock.now() + notices, partial(self.notice, process))
+        notices = lab.scenario.fleet.front_notices_ms if killed else TERM_SEEN_MS
+        lab.clock.call_at(lab.clock.now() + notices, partial(self.notice, process))
         try:
-            async with asyncio.timeout((lab.longest_ms + KILL_MS + 500.0) / 1000.0):
+            async with asyncio.timeout((lab.longest_deadline_ms + KILL_MS + 500.0) / 1000.0):
                 await process.wait()
         except TimeoutError:
             self.send(signal.SIGKILL)
             await process.wait()
         if not killed:
-            lab.record.add(lab.clock.now(), "gate", gate=self.number, state="ended", code=process.returncode)
-        await asyncio.sleep(lab.day.fleet.restart_ms / 1000.0)
+            lab.event_log.add(
+                lab.clock.now(), "gate", gate=self.number, state="ended", code=process.returncode
+            )
+        await asyncio.sleep(lab.scenario.fleet.restart_ms / 1000.0)
         await self.start()
 
     def notice(self, process: asyncio.subprocess.Process) -> None:
         if self.process is process and (not self.ready or self.expected):
-            self.lab.world.clients.front(self.number, False)
+            self.runner.environment.clients.set_in_rotation(self.number, False)
 
 
 def free_port() -> int:
@@ -157,20 +163,20 @@
     def __init__(
         self, day: Scenario, seed: int, folder: pathlib.Path, record: EventLog | None = None
     ) -> None:
-        self.day, self.folder = day, folder
+        self.scenario, self.folder = day, folder
         self.clock = LoopClock()
         self.loop = self.clock.loop
-        self.record = record or EventLog({"day": day.name, "seed": seed, "clock": "sockets"})
-        self.world = Environment(day, seed, self.clock, self.record)
-        self.world.gateways = self.world.clients.gates = self
-        self.chance = self.world.book.chance("gatekeepers")
-        self.longest_ms = max(p.expiry_ms for p in day.product)
+        self.event_log = record or EventLog({"day": day.name, "seed": seed, "clock": "sockets"})
+        self.environment = Environment(day, seed, self.clock, self.event_log)
+        self.environment.gateways = self.environment.clients.sender = self
+        self.random = self.environment.workload.random_stream("gatekeepers")
+        self.longest_deadline_ms = max(p.expiry_ms for p in day.product)
         self.ports: dict[tuple[int, str], int] = {}  # where a gatekeeper reaches a worker
         self.listening: dict[str, list[asyncio.Server]] = {}  # of a worker, while it is up
         self.servers: list[asyncio.Server] = []
-        self.worker_lines: set[WorkerLine] = set()  # open ones; emptied as they close
+        self.endpoint_connections: set[WorkerLine] = set()  # open ones; emptied as they close
         self.tasks: set[asyncio.Task[Any]] = set()  # emptied as they end
-        self.known: dict[str, Any] = {}
+        self.initial_list: dict[str, Any] = {}
         self.gateways = [GatewaySubprocess(self, n) for n in range(day.fleet.gatekeepers)]
 
     def spawn(self, work: Any) -> None:
@@ -181,20 +187,20 @@
     async def run(self) -> EventLog:
         try:
             await self.open()
-            self.world.begin()
-            await asyncio.sleep((self.world.ends_at() - self.clock.now()) / 1000.0)
-            self.world.end()
-            return self.record
+            self.environment.start()
+            await asyncio.sleep((self.environment.end_time_ms() - self.clock.now()) / 1000.0)
+            self.environment.finish()
+            return self.event_log
         finally:
             await self.close()
 
     async def open(self) -> None:
-        self.known = self.world.registry.first()
-        for worker in self.world.workers.values():
+        self.initial_list = self.environment.discovery.publish_initial_list()
+        for worker in self.environment.endpoints.values():
             await self.listen(worker)
         for gateway in self.gateways:
             await self.settle(gateway)
-        for worker in self.world.workers.values():
+        for worker in self.environment.endpoints.values():
             self.mind(worker)
         await asyncio.gather(*(gateway.start() for gateway in self.gateways))
         if not all(gateway.ready for gateway in self.gateways):
@@ -205,7 +211,7 @@
     async def settle(self, gateway: GatewaySubprocess) -> None:
         """Addresses of discovery and counter, its own."""
         made: list[tuple[str, Any]] = [("discovery", RegistryLine)]
-        if self.world.counter is not None:
+        if self.environment.counter is not None:
             made.append(("counter", CounterLine))
         for name, line in made:
             server = await self.loop.create_server(partial(line, self, gateway.number), HOST, 0)
@@ -215,7 +221,7 @@
     async def listen(self, worker: EmulatedEndpoint) -> None:
         """At the addresses it had, if it had any."""
         made = []
-        for gate in range(self.day.fleet.gatekeepers):
+        for gate in range(self.scenario.fleet.gatekeepers):
             server = await self.loop.create_server(
                 partial(WorkerLine, self, worker, gate),
                 HOST,
@@ -233,17 +239,17 @@
         def goes_down() -> None:
             for server in self.listening.pop(worker.name, []):
                 server.close()
-            for line in [x for x in self.worker_lines if x.worker is worker]:
+            for line in [x for x in self.endpoint_connections if x.worker is worker]:
                 line.abort()
 
-        worker.went_down = goes_down
-        worker.came_back = lambda: self.spawn(self.listen(worker))
+        worker.on_down = goes_down
+        worker.on_up = lambda: self.spawn(self.listen(worker))
 
     def address(self, gate: int, name: str) -> str:
         """Of a worker, for a gatekeeper; a new worker listens before anyone is told of it."""
         if (gate, name) not in self.ports:
-            worker = self.world.workers[name]
-            for other in range(self.day.fleet.gatekeepers):
+            worker = self.environment.endpoints[name]
+            for other in range(self.scenario.fleet.gatekeepers):
                 taken = socket.socket()
                 taken.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 taken.bind((HOST, 0))
@@ -275,7 +281,7 @@
     # The clients' port
 
     def send(self, one: ClientAttempt, again: bool = False) -> None:
-        gateway = self.gateways[one.gate]
+        gateway = self.gateways[one.gateway]
         while gateway.idle and not again:
             asker = gateway.idle.pop()
             if asker.open:
@@ -287,39 +293,39 @@
         try:
             _, asker = await self.loop.create_connection(lambda: Asker(self.clock.now), HOST, gateway.port)
         except OSError:
-            self.world.clients.unreached(one)
+            self.environment.clients.connect_failed(one)
             return
-        if one.over:
+        if one.is_closed:
             asker.leave()
             return
         self.ask(gateway, one, asker, fresh=True)
 
     def ask(self, gateway: GatewaySubprocess, one: ClientAttempt, asker: Asker, fresh: bool) -> None:
-        gateway.busy[one.name] = asker
+        gateway.busy[one.attempt_id] = asker
 
         def heard(head: bytes, body: bytes) -> None:
-            gateway.busy.pop(one.name, None)
+            gateway.busy.pop(one.attempt_id, None)
             told, status = headers(head), int(head.split(b" ", 2)[1])
             if told.get("connection", "").lower() == "close":
                 asker.leave()
             else:
                 gateway.idle.append(asker)
             wait = float(told.get("retry-after", 0.0)) * 1000.0
-            self.world.clients.answered(
+            self.environment.clients.response_received(
                 one, status, body.decode("latin-1")[:32] if status == 200 else "", wait
             )
 
         def lost(began: bool) -> None:
-            gateway.busy.pop(one.name, None)
+            gateway.busy.pop(one.attempt_id, None)
             if fresh or began:
-                self.world.clients.closed(one)
-            elif not one.over:
+                self.environment.clients.connection_closed(one)
+            elif not one.is_closed:
                 self.send(one, again=True)  # the close crossed it: once more, on a new connection
 
         asker.ask(request(one), heard, lost)
 
-    def leave(self, one: ClientAttempt) -> None:
-        asker = self.gateways[one.gate].busy.pop(one.name, None)
+    def cancel(self, one: ClientAttempt) -> None:
+        asker = self.gateways[one.gateway].busy.pop(one.attempt_id, None)
         if asker is not None:
             asker.leave()
 
@@ -333,11 +339,11 @@
 
     def pause(self, number: int, for_ms: float) -> None:
         gateway = self.gateways[number]
-        self.record.add(self.clock.now(), "gate", gate=number, state="paused", ms=for_ms)
+        self.event_log.add(self.clock.now(), "gate", gate=number, state="paused", ms=for_ms)
         gateway.send(signal.SIGSTOP)
-        self.clock.at(self.clock.now() + for_ms, lambda: gateway.send(signal.SIGCONT))
+        self.clock.call_at(self.clock.now() + for_ms, lambda: gateway.send(signal.SIGCONT))
 
-    def moves(self) -> None:
+    def move_discovery(self) -> None:
         """Discovery and counter have new addresses; the old ones close after a while."""
         old, self.servers = self.servers, []
 
@@ -355,15 +361,15 @@
 
 
 def request(one: ClientAttempt) -> bytes:
-    a = one.order.arrival
-    method = "GET" if a.product.repeat == "inquiry-like" else "POST"
+    a = one.request.arrival
+    method = "GET" if a.request_class.repeat == "inquiry-like" else "POST"
     lines = [
-        f"{method} /{a.product.name}?account={a.customer.number:016x} HTTP/1.1",
+        f"{method} /{a.request_class.name}?account={a.customer.number:016x} HTTP/1.1",
         "Host: lab",
-        f"Request-Id: {one.name}",
+        f"Request-Id: {one.attempt_id}",
         f"Plan: {a.customer.plan.name}",
-        f"Request-Timeout: {one.left_ms:.0f}m",
-        f"Quota-Info: units={a.units},spread={len(a.customer.gates)},first={a.customer.gates[0]}",
+        f"Request-Timeout: {one.time_left_ms:.0f}m",
+        f"Quota-Info: units={a.units},spread={len(a.customer.gateways)},first={a.customer.gateways[0]}",
     ]
     if method == "POST":
         lines.append("Content-Length: 0")
--- a/drumgw/testbed/socket_servers.py
+++ b/drumgw/testbed/socket_servers.py
@@ -39,41 +39,41 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.held = self.worker.takes(self.gate)
-        self.lab.worker_lines.add(self)
+        self.held = self.worker.accept_connection(self.gate)
+        self.lab.endpoint_connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.lab.worker_lines.discard(self)
+        self.lab.endpoint_connections.discard(self)
         if self.held:
-            self.worker.closed(self.gate)
+            self.worker.connection_closed(self.gate)
         if self.ticket is not None and self.ticket.state != "over":
-            self.worker.give_up(self.ticket)
+            self.worker.abandon(self.ticket)
 
     def message(self, head: bytes, body: bytes, first_at: float) -> None:
-        world, name = self.lab.world, headers(head).get("request-id", "")
-        if world.parted(self.gate, self.worker.zone):
+        world, name = self.lab.environment, headers(head).get("request-id", "")
+        if world.is_partitioned(self.gate, self.worker.zone):
             return
-        asked = world.clients.works.get(name)
-        self.ticket = ReceivedAttempt(world.ticket(), name, asked, self.gate, self.told)
+        asked = world.clients.known_attempts.get(name)
+        self.ticket = ReceivedAttempt(world.next_attempt_number(), name, asked, self.gate, self.told)
         if asked is None:
-            self.worker.sight(self.ticket, first_at)
+            self.worker.log_received(self.ticket, first_at)
             self.write(answer(400 if name else 404))
         elif not self.held:
-            self.worker.sight(self.ticket, first_at)
-            self.worker.end(self.ticket, "full", ran=False)
+            self.worker.log_received(self.ticket, first_at)
+            self.worker.end_attempt(self.ticket, "full", ran=False)
         else:
-            self.worker.come(self.ticket, first_at)
+            self.worker.receive(self.ticket, first_at)
 
     def told(self, ticket: ReceivedAttempt, says: Says) -> None:
-        if self.lab.world.parted(self.gate, self.worker.zone):
+        if self.lab.environment.is_partitioned(self.gate, self.worker.zone):
             return
         if says == "settled":
-            assert ticket.asked is not None
+            assert ticket.client_attempt is not None
             self.write(
                 answer(
                     200,
-                    ticket.name.encode(),
-                    Billed_Units=str(ticket.asked.order.arrival.true_units),
+                    ticket.attempt_id.encode(),
+                    Billed_Units=str(ticket.client_attempt.request.arrival.true_units),
                     Server_Load=f"TEXT mean_ms={self.worker.service_ms:.1f}",
                 )
             )
@@ -95,7 +95,7 @@
         self.turns = Turns(self.write)
 
     def message(self, head: bytes, body: bytes, first_at: float) -> None:
-        ready, counter = self.turns.take(), self.lab.world.counter
+        ready, counter = self.turns.take(), self.lab.environment.counter
         called = read_call(head)
         if called is None or counter is None:
             ready(answer(400))
@@ -133,28 +133,32 @@
         query = parse_qs(urlsplit(target).query)
         since = int(query["since"][0]) if "since" in query else None
         wait = float(query["timeout_ms"][0]) if "timeout_ms" in query else 0.0
-        registry = self.lab.world.registry
-        if registry.lost:
+        registry = self.lab.environment.discovery
+        if registry.is_silent:
             return  # the agent says nothing while discovery is down
-        told = registry.news(self.gate, since)
+        told = registry.updates_since(self.gate, since)
         if told is not None:
             self.tell(told)
             return
-        timer = self.lab.clock.at(self.clock() + min(wait, 60000.0), lambda: self.wake(since))
+        timer = self.lab.clock.call_at(self.clock() + min(wait, 60000.0), lambda: self.wake(since))
 
         def woken() -> None:
             timer.cancel()
             self.wake(since)
 
-        registry.waiting[self.gate] = woken
+        registry.watchers[self.gate] = woken
 
     def wake(self, since: int | None) -> None:
-        registry = self.lab.world.registry
-        registry.waiting[self.gate] = None
-        if not registry.lost:
+        registry = self.lab.environment.discovery
+        registry.watchers[self.gate] = None
+        if not registry.is_silent:
             self.tell(
-                registry.news(self.gate, since)
-                or {"generation": since or registry.seen[self.gate], "reset": False, "instances": []}
+                registry.updates_since(self.gate, since)
+                or {
+                    "generation": since or registry.seen_generations[self.gate],
+                    "reset": False,
+                    "instances": [],
+                }
             )
 
     def tell(self, told: dict[str, Any]) -> None:
--- a/drumgw/testbed/virtual_runner.py
+++ b/drumgw/testbed/virtual_runner.py
@@ -50,51 +50,58 @@
 class ForwardedAttempt:
     """A submission on its way, out, or coming back."""
 
-    __slots__ = ("worker", "ticket", "written", "over")
+    __slots__ = ("endpoint", "received", "is_written", "is_aborted")
 
     def __init__(self, worker: EmulatedEndpoint) -> None:
-        self.worker, self.written, self.over = worker, False, False
-        self.ticket: ReceivedAttempt | None = None
+        self.endpoint, self.is_written, self.is_aborted = worker, False, False
+        self.received: ReceivedAttempt | None = None
 
 
 class VirtualGateway:
     """One gatekeeper: a core, and its adapters as far as they decide nothing."""
 
     def __init__(self, runner: VirtualRunner, number: int, seed: int) -> None:
-        self.runner, self.world, self.clock, self.number = runner, runner.world, runner.clock, number
-        settings, self.names = read_settings(self.world.settings(number))
-        self.lifecycle = RequestLifecycle(runner.make(seed, settings), settings)
-        self.listed: dict[int, EmulatedEndpoint] = {}  # by the module's number; emptied by the list
-        self.closed: set[int] = set()  # of them, those that drain
-        self.idle: dict[str, list[float]] = {}  # kept connections: since when idle; emptied as they age
-        self.sent: dict[tuple[int, int], ForwardedAttempt] = {}  # emptied by ends and stops
-        self.tries: dict[int, ClientAttempt] = {}  # txns in hand; emptied by replies
-        self.txns: dict[str, int] = {}  # the same, by name
-        self.alive, self.closing, self.paused_until = True, False, 0.0
-        self.generation: int | None = None  # none: its agent was not heard yet
-        self.carry(self.lifecycle.start(self.clock.now(), EndpointsUpdated(True, ())))
+        self.runner, self.environment, self.clock, self.number = (
+            runner,
+            runner.environment,
+            runner.clock,
+            number,
+        )
+        settings, self.names = read_settings(self.environment.gateway_settings(number))
+        self.lifecycle = RequestLifecycle(runner.make_engine(seed, settings), settings)
+        self.listed_endpoints: dict[int, EmulatedEndpoint] = {}  # by the module's number; emptied by the list
+        self.not_ready_ids: set[int] = set()  # of them, those that drain
+        self.idle_connections: dict[
+            str, list[float]
+        ] = {}  # kept connections: since when idle; emptied as they age
+        self.forwarded: dict[tuple[int, int], ForwardedAttempt] = {}  # emptied by ends and stops
+        self.client_attempts: dict[int, ClientAttempt] = {}  # txns in hand; emptied by replies
+        self.request_ids: dict[str, int] = {}  # the same, by name
+        self.is_alive, self.is_stopping, self.paused_until_ms = True, False, 0.0
+        self.list_generation: int | None = None  # none: its agent was not heard yet
+        self.execute(self.lifecycle.start(self.clock.now(), EndpointsUpdated(True, ())))
 
     # Time: what reaches a gatekeeper that stands waits until it runs again
 
     def at(self, at_ms: float, call: Callable[[], None]) -> Handle:
-        return self.clock.at(at_ms, partial(self.when_running, call))
+        return self.clock.call_at(at_ms, partial(self.when_running, call))
 
     def after(self, ms: float, call: Callable[[], None]) -> Handle:
         return self.at(self.clock.now() + ms, call)
 
     def when_running(self, call: Callable[[], None]) -> None:
-        if self.paused_until > self.clock.now():
-            self.clock.at(self.paused_until, partial(self.when_running, call))
-        elif self.alive:
+        if self.paused_until_ms > self.clock.now():
+            self.clock.call_at(self.paused_until_ms, partial(self.when_running, call))
+        elif self.is_alive:
             call()
 
     def pause(self, for_ms: float) -> None:
-        self.paused_until = self.clock.now() + for_ms
+        self.paused_until_ms = self.clock.now() + for_ms
         self.lifecycle.stalled_ms += for_ms
 
     # The list
 
-    def heed(self, told: dict[str, Any]) -> EndpointsUpdated:
+    def apply_update(self, told: dict[str, Any]) -> EndpointsUpdated:
         entries, named = [], set[int]()
         for row in told["instances"]:
             number, health = endpoint_id_of(row["instanceId"]), STATUS_BY_LIFECYCLE[row["lifecycle"]]
@@ -111,46 +118,46 @@
                 )
             )
             if health is EndpointStatus.READY:
-                self.listed[number] = self.world.workers[row["instanceId"]]
-                self.closed.discard(number)
-            elif number in self.listed:
+                self.listed_endpoints[number] = self.environment.endpoints[row["instanceId"]]
+                self.not_ready_ids.discard(number)
+            elif number in self.listed_endpoints:
                 self.drain(number, health is EndpointStatus.REMOVED)
-        for number in set(self.listed) - named if told["reset"] else ():
+        for number in set(self.listed_endpoints) - named if told["reset"] else ():
             self.drain(number, gone=True)
-        self.generation = told["generation"]
+        self.list_generation = told["generation"]
         return EndpointsUpdated(told["reset"], tuple(entries))
 
     def drain(self, number: int, gone: bool) -> None:
-        worker = self.listed[number]
-        self.closed.add(number)
-        self.idle.pop(worker.name, None)
-        for key in [k for k, s in self.sent.items() if s.worker is worker and not s.written]:
+        worker = self.listed_endpoints[number]
+        self.not_ready_ids.add(number)
+        self.idle_connections.pop(worker.name, None)
+        for key in [k for k, s in self.forwarded.items() if s.endpoint is worker and not s.is_written]:
             self.give_up(key)
-            self.after(0.0, partial(self.ended, key, Outcome.NOT_SENT))
+            self.after(0.0, partial(self.attempt_ended, key, Outcome.NOT_SENT))
         if gone:
-            del self.listed[number]
+            del self.listed_endpoints[number]
 
-    def hear(self) -> None:
+    def watch(self) -> None:
         """The watch: answered when there is news, and at once asked again; a silent agent is asked anew."""
-        if not self.alive:
+        if not self.is_alive:
             return
-        registry = self.world.registry
-        if registry.lost:
-            self.after(MAX_POLL_INTERVAL_MS, self.hear)
+        registry = self.environment.discovery
+        if registry.is_silent:
+            self.after(MAX_POLL_INTERVAL_MS, self.watch)
             return
-        self.look()
-        registry.waiting[self.number] = partial(self.when_running, self.hear)
+        self.read_update()
+        registry.watchers[self.number] = partial(self.when_running, self.watch)
 
-    def look(self) -> None:
+    def read_update(self) -> None:
         """What the agent has is read before anything is sent."""
-        registry = self.world.registry
-        told = None if registry.lost else registry.news(self.number, self.generation)
+        registry = self.environment.discovery
+        told = None if registry.is_silent else registry.updates_since(self.number, self.list_generation)
         if told is not None:
-            self.carry(self.lifecycle.endpoints_updated(self.clock.now(), self.heed(told)))
+            self.execute(self.lifecycle.endpoints_updated(self.clock.now(), self.apply_update(told)))
 
     # Effects
 
-    def carry(self, commands: list[Command]) -> None:
+    def execute(self, commands: list[Command]) -> None:
         for command in commands:
             match command:
                 case StartAttempt():
@@ -158,7 +165,7 @@
                 case AbortAttempt():
                     self.give_up((command.request_id, command.attempt))
                 case SendResponse():
-                    self.reply(command)
+                    self.respond(command)
                 case ScheduleDeadline():
                     self.at(command.at_ms, partial(self.ring, command))
                 case SetTimer():
@@ -166,67 +173,73 @@
                 case AddToCounter():
                     self.add(command)
                 case ReportFault():
-                    self.world.record.add(
+                    self.environment.event_log.add(
                         self.clock.now(), "fault", gate=self.number, error=repr(command.error)
                     )
                 case LogMessage():
-                    self.world.record.add(self.clock.now(), "says", gate=self.number, text=command.text)
+                    self.environment.event_log.add(
+                        self.clock.now(), "says", gate=self.number, text=command.text
+                    )
 
     def ring(self, alarm: ScheduleDeadline) -> None:
-        self.carry(self.lifecycle.deadline_reached(self.clock.now(), alarm.request_id, alarm.attempt))
+        self.execute(self.lifecycle.deadline_reached(self.clock.now(), alarm.request_id, alarm.attempt))
 
     def due(self, label: int) -> None:
-        self.carry(self.lifecycle.timer_fired(self.clock.now(), label))
+        self.execute(self.lifecycle.timer_fired(self.clock.now(), label))
 
     # Clients
 
-    def take(self, one: ClientAttempt) -> None:
-        a, now = one.order.arrival, self.clock.now()
+    def receive(self, one: ClientAttempt) -> None:
+        a, now = one.request.arrival, self.clock.now()
         waited = (
-            now - one.sent_at if now - one.sent_at > STALL_THRESHOLD_MS else 0.0
+            now - one.sent_at_ms if now - one.sent_at_ms > STALL_THRESHOLD_MS else 0.0
         )  # read late, after a stall
         asked = RequestReceived(
             0,
-            one.left_ms,
+            one.time_left_ms,
             self.names.plans[a.customer.plan.name],
             a.customer.number,
-            self.names.request_classes[a.product.name],
+            self.names.request_classes[a.request_class.name],
             float(a.units),
             False,
-            len(a.customer.gates),
-            a.customer.gates[0],
+            len(a.customer.gateways),
+            a.customer.gateways[0],
         )
         txn = self.lifecycle.received_count + 1
-        self.tries[txn], self.txns[one.name] = one, txn
+        self.client_attempts[txn], self.request_ids[one.attempt_id] = one, txn
         _, commands = self.lifecycle.request_received(now, asked, waited)
-        self.carry(commands)
+        self.execute(commands)
 
-    def left(self, one: ClientAttempt) -> None:
-        txn = self.txns.pop(one.name, None)
+    def client_disconnected(self, one: ClientAttempt) -> None:
+        txn = self.request_ids.pop(one.attempt_id, None)
         if txn is not None:
-            self.tries.pop(txn, None)
-            self.carry(self.lifecycle.client_disconnected(self.clock.now(), txn))
+            self.client_attempts.pop(txn, None)
+            self.execute(self.lifecycle.client_disconnected(self.clock.now(), txn))
 
-    def reply(self, reply: SendResponse) -> None:
-        one = self.tries.pop(reply.request_id, None)
+    def respond(self, reply: SendResponse) -> None:
+        one = self.client_attempts.pop(reply.request_id, None)
         if one is not None:
-            self.txns.pop(one.name, None)
-            self.clock.at(
-                self.clock.now() + self.world.day.fleet.client_ms,
+            self.request_ids.pop(one.attempt_id, None)
+            self.clock.call_at(
+                self.clock.now() + self.environment.scenario.fleet.client_ms,
                 partial(
-                    self.world.clients.answered, one, reply.status, reply.response or "", reply.retry_after_ms
+                    self.environment.clients.response_received,
+                    one,
+                    reply.status,
+                    reply.response or "",
+                    reply.retry_after_ms,
                 ),
             )
 
     # Workers
 
     def send(self, order: StartAttempt) -> None:
-        key, worker = (order.request_id, order.attempt), self.listed.get(order.endpoint_id)
-        if worker is None or order.endpoint_id in self.closed:
-            self.after(0.0, partial(self.ended, key, Outcome.NOT_SENT))
+        key, worker = (order.request_id, order.attempt), self.listed_endpoints.get(order.endpoint_id)
+        if worker is None or order.endpoint_id in self.not_ready_ids:
+            self.after(0.0, partial(self.attempt_ended, key, Outcome.NOT_SENT))
             return
-        sent = self.sent[key] = ForwardedAttempt(worker)
-        way = self.world.one_way(self.number, worker)
+        sent = self.forwarded[key] = ForwardedAttempt(worker)
+        way = self.environment.one_way_ms(self.number, worker)
         if self.kept(worker):
             self.write(key, sent, way)
         else:
@@ -234,91 +247,95 @@
 
     def kept(self, worker: EmulatedEndpoint) -> bool:
         """A connection that is idle, not for longer than half of its worker's limit."""
-        idle = self.idle.get(worker.name, [])
-        oldest = self.clock.now() - self.world.day.allowed.idle_ms / 2
+        idle = self.idle_connections.get(worker.name, [])
+        oldest = self.clock.now() - self.environment.scenario.allowed.idle_ms / 2
         fresh = [at for at in idle if at > oldest]
         for _ in range(len(idle) - len(fresh)):
-            worker.closed(self.number)
-        self.idle[worker.name] = fresh[:-1]
+            worker.connection_closed(self.number)
+        self.idle_connections[worker.name] = fresh[:-1]
         return bool(fresh)
 
     def connect(self, key: tuple[int, int], sent: ForwardedAttempt, way: float) -> None:
-        day, worker = self.world.day, sent.worker
-        if self.world.parted(self.number, worker.zone):
-            self.after(day.allowed.connect_ms, partial(self.ended, key, Outcome.UNREACHABLE))
+        day, worker = self.environment.scenario, sent.endpoint
+        if self.environment.is_partitioned(self.number, worker.zone):
+            self.after(day.allowed.connect_ms, partial(self.attempt_ended, key, Outcome.UNREACHABLE))
             return
 
         def arrives() -> None:
-            if not worker.takes(self.number):
-                self.after(way, partial(self.ended, key, Outcome.UNREACHABLE))
+            if not worker.accept_connection(self.number):
+                self.after(way, partial(self.attempt_ended, key, Outcome.UNREACHABLE))
                 return
-            self.clock.at(self.clock.now() + day.worker.handshake_ms + way, up)
+            self.clock.call_at(self.clock.now() + day.worker.handshake_ms + way, up)
 
         def up() -> None:
-            if self.sent.get(key) is sent and self.alive:
+            if self.forwarded.get(key) is sent and self.is_alive:
                 self.when_running(partial(self.write, key, sent, way))
             else:
-                worker.closed(self.number)
+                worker.connection_closed(self.number)
 
-        self.clock.at(self.clock.now() + way, arrives)
+        self.clock.call_at(self.clock.now() + way, arrives)
 
     def write(self, key: tuple[int, int], sent: ForwardedAttempt, way: float) -> None:
-        self.look()
-        if self.sent.get(key) is not sent:
-            sent.worker.closed(self.number)
+        self.read_update()
+        if self.forwarded.get(key) is not sent:
+            sent.endpoint.connection_closed(self.number)
             return
-        one = self.tries.get(key[0])
-        name = one.name if one is not None else ""
-        first, sent.written = self.clock.now(), True
-        ticket = sent.ticket = ReceivedAttempt(
-            self.world.ticket(), name, one, self.number, partial(self.told, key, sent, way)
+        one = self.client_attempts.get(key[0])
+        name = one.attempt_id if one is not None else ""
+        first, sent.is_written = self.clock.now(), True
+        ticket = sent.received = ReceivedAttempt(
+            self.environment.next_attempt_number(), name, one, self.number, partial(self.told, key, sent, way)
         )
-        if not self.world.parted(self.number, sent.worker.zone):
-            self.clock.at(first + way, lambda: self.come(ticket, sent, first))
+        if not self.environment.is_partitioned(self.number, sent.endpoint.zone):
+            self.clock.call_at(first + way, lambda: self.come(ticket, sent, first))
 
     def come(self, ticket: ReceivedAttempt, sent: ForwardedAttempt, first: float) -> None:
-        if not sent.over:
-            sent.worker.come(ticket, first)
+        if not sent.is_aborted:
+            sent.endpoint.receive(ticket, first)
 
     def told(
         self, key: tuple[int, int], sent: ForwardedAttempt, way: float, ticket: ReceivedAttempt, says: Says
     ) -> None:
-        if self.world.parted(self.number, sent.worker.zone):
+        if self.environment.is_partitioned(self.number, sent.endpoint.zone):
             return
-        units = float(ticket.asked.order.arrival.true_units) if ticket.asked and says == "settled" else 0.0
-        self.clock.at(
+        units = (
+            float(ticket.client_attempt.request.arrival.true_units)
+            if ticket.client_attempt and says == "settled"
+            else 0.0
+        )
+        self.clock.call_at(
             self.clock.now() + way,
-            partial(self.when_running, partial(self.back, key, sent, says, units, ticket.name)),
+            partial(self.when_running, partial(self.back, key, sent, says, units, ticket.attempt_id)),
         )
 
     def back(self, key: tuple[int, int], sent: ForwardedAttempt, says: Says, units: float, mark: str) -> None:
-        if self.sent.get(key) is not sent:
+        if self.forwarded.get(key) is not sent:
             return
         if says in ("reset", "spoilt"):
-            sent.worker.closed(self.number)
+            sent.endpoint.connection_closed(self.number)
         else:
-            self.idle.setdefault(sent.worker.name, []).append(self.clock.now())
-        self.ended(key, ENDS[says], units, mark)
+            self.idle_connections.setdefault(sent.endpoint.name, []).append(self.clock.now())
+        self.attempt_ended(key, ENDS[says], units, mark)
 
-    def ended(self, key: tuple[int, int], end: Outcome, units: float = 0.0, mark: str = "") -> None:
-        self.sent.pop(key, None)
-        self.carry(self.lifecycle.attempt_ended(self.clock.now(), *key, end, units, {}, mark))
+    def attempt_ended(self, key: tuple[int, int], end: Outcome, units: float = 0.0, mark: str = "") -> None:
+        self.forwarded.pop(key, None)
+        self.execute(self.lifecycle.attempt_ended(self.clock.now(), *key, end, units, {}, mark))
 
     def give_up(self, key: tuple[int, int]) -> None:
         """Its connection is closed at once."""
-        sent = self.sent.pop(key, None)
+        sent = self.forwarded.pop(key, None)
         if sent is None:
             return
-        sent.over = True
-        if sent.written:
-            sent.worker.closed(self.number)
-            if sent.ticket is not None and sent.ticket.worker is not None:
-                sent.worker.give_up(sent.ticket)
+        sent.is_aborted = True
+        if sent.is_written:
+            sent.endpoint.connection_closed(self.number)
+            if sent.received is not None and sent.received.endpoint is not None:
+                sent.endpoint.abandon(sent.received)
 
     # The counter
 
     def add(self, order: AddToCounter) -> None:
-        counter, kind = self.world.counter, self.world.day.counter
+        counter, kind = self.environment.counter, self.environment.scenario.counter
         assert counter is not None and kind is not None
         way = kind.one_way_ms
         asked, done = self.clock.now(), [False]
@@ -326,14 +343,14 @@
         def finish(end: Outcome, total: float) -> None:
             if not done[0]:
                 done[0] = True
-                self.carry(
+                self.execute(
                     self.lifecycle.counter_replied(
                         self.clock.now(), order.counter_key, end, total, self.clock.now() - asked
                     )
                 )
 
         def answer(says: str, total: float) -> None:
-            self.clock.at(
+            self.clock.call_at(
                 self.clock.now() + way,
                 partial(
                     self.when_running,
@@ -341,131 +358,138 @@
                 ),
             )
 
-        self.clock.at(
+        self.clock.call_at(
             asked + way,
             lambda: counter.call(self.number, str(order.counter_key), order.amount, order.ttl_ms, answer),
         )
-        self.after(self.world.day.allowed.counter_wait_ms, partial(finish, Outcome.TIMED_OUT, 0.0))
+        self.after(self.environment.scenario.allowed.counter_wait_ms, partial(finish, Outcome.TIMED_OUT, 0.0))
 
     # Its end
 
-    def die(self) -> None:
+    def stop(self) -> None:
         """Killed, or ended: its connections are reset."""
-        self.alive = False
-        for key in list(self.sent):
+        self.is_alive = False
+        for key in list(self.forwarded):
             self.give_up(key)
-        for worker in self.world.workers.values():
-            worker.lines.pop(self.number, None)
-        self.world.registry.waiting[self.number] = None
-        for one in list(self.tries.values()):
-            self.clock.at(
-                self.clock.now() + self.world.day.fleet.client_ms, partial(self.world.clients.closed, one)
+        for worker in self.environment.endpoints.values():
+            worker.connections.pop(self.number, None)
+        self.environment.discovery.watchers[self.number] = None
+        for one in list(self.client_attempts.values()):
+            self.clock.call_at(
+                self.clock.now() + self.environment.scenario.fleet.client_ms,
+                partial(self.environment.clients.connection_closed, one),
             )
 
 
 class VirtualRunner:
     """All gatekeepers of the day, and how tries reach them."""
 
-    gate_kind: type[VirtualGateway] = VirtualGateway  # tests put broken ones in its place
+    gateway_class: type[VirtualGateway] = VirtualGateway  # tests put broken ones in its place
 
     def __init__(
         self, day: Scenario, seed: int, make: MakePolicyEngine = PolicyEngine, record: EventLog | None = None
     ) -> None:
-        self.day, self.make = day, make
+        self.scenario, self.make_engine = day, make
         self.clock = VirtualClock(START_MS)
-        self.record = record or EventLog({"day": day.name, "seed": seed, "clock": "virtual"})
-        self.world = Environment(day, seed, self.clock, self.record)
-        self.world.gateways = self.world.clients.gates = self
-        self.chance = self.world.book.chance("gatekeepers")
-        self.world.registry.first()
-        self.gates = [self.new(number) for number in range(day.fleet.gatekeepers)]
+        self.event_log = record or EventLog({"day": day.name, "seed": seed, "clock": "virtual"})
+        self.environment = Environment(day, seed, self.clock, self.event_log)
+        self.environment.gateways = self.environment.clients.sender = self
+        self.random = self.environment.workload.random_stream("gatekeepers")
+        self.environment.discovery.publish_initial_list()
+        self.gateways = [self.new(number) for number in range(day.fleet.gatekeepers)]
 
     def run(self) -> EventLog:
-        for gate in self.gates:
-            gate.hear()
-        self.clock.run(START_MS + READY_MS)
-        self.world.begin()
-        self.clock.run(self.world.ends_at())
-        self.world.end()
-        return self.record
+        for gate in self.gateways:
+            gate.watch()
+        self.clock.run_until(START_MS + READY_MS)
+        self.environment.start()
+        self.clock.run_until(self.environment.end_time_ms())
+        self.environment.finish()
+        return self.event_log
 
     def new(self, number: int) -> VirtualGateway:
-        self.record.add(self.clock.now(), "gate", gate=number, state="starts")
-        self.world.registry.starts(number)
-        return self.gate_kind(self, number, self.chance.getrandbits(63))
+        self.event_log.add(self.clock.now(), "gate", gate=number, state="starts")
+        self.environment.discovery.gateway_started(number)
+        return self.gateway_class(self, number, self.random.getrandbits(63))
 
     # The clients' port
 
     def send(self, one: ClientAttempt) -> None:
-        self.clock.at(self.clock.now() + self.day.fleet.client_ms, partial(self.reach, one))
+        self.clock.call_at(self.clock.now() + self.scenario.fleet.client_ms, partial(self.reach, one))
 
     def reach(self, one: ClientAttempt) -> None:
-        gate = self.gates[one.gate]
-        if one.over:
+        gate = self.gateways[one.gateway]
+        if one.is_closed:
             return
-        if gate.alive:
-            gate.when_running(partial(gate.take, one))
+        if gate.is_alive:
+            gate.when_running(partial(gate.receive, one))
         else:
-            self.clock.at(
-                self.clock.now() + self.day.fleet.client_ms, partial(self.world.clients.unreached, one)
+            self.clock.call_at(
+                self.clock.now() + self.scenario.fleet.client_ms,
+                partial(self.environment.clients.connect_failed, one),
             )
 
-    def leave(self, one: ClientAttempt) -> None:
-        gate = self.gates[one.gate]
-        self.clock.at(
-            self.clock.now() + self.day.fleet.client_ms, partial(gate.when_running, partial(gate.left, one))
+    def cancel(self, one: ClientAttempt) -> None:
+        gate = self.gateways[one.gateway]
+        self.clock.call_at(
+            self.clock.now() + self.scenario.fleet.client_ms,
+            partial(gate.when_running, partial(gate.client_disconnected, one)),
         )
 
     # What troubles reach
 
     def restart(self, number: int) -> None:
         """Told to end: not ready for the front, it serves on for a while and finishes what it has."""
-        gate = self.gates[number]
-        if gate.closing or not gate.alive:
+        gate = self.gateways[number]
+        if gate.is_stopping or not gate.is_alive:
             return
-        gate.closing = True
-        self.record.add(self.clock.now(), "gate", gate=number, state="told to end")
-        self.clock.at(self.clock.now() + TERM_SEEN_MS, lambda: self.world.clients.front(number, False))
-        self.clock.at(self.clock.now() + SHUTDOWN_LINGER_MS, partial(self.finish, gate))
+        gate.is_stopping = True
+        self.event_log.add(self.clock.now(), "gate", gate=number, state="told to end")
+        self.clock.call_at(
+            self.clock.now() + TERM_SEEN_MS, lambda: self.environment.clients.set_in_rotation(number, False)
+        )
+        self.clock.call_at(self.clock.now() + SHUTDOWN_LINGER_MS, partial(self.finish, gate))
 
     def finish(self, gate: VirtualGateway) -> None:
-        if gate.alive and gate.tries:
-            self.clock.at(self.clock.now() + 10.0, partial(self.finish, gate))
-        elif gate.alive:
-            gate.carry(gate.lifecycle.gateway_stopping(self.clock.now()))
-            gate.die()
-            self.record.add(self.clock.now(), "gate", gate=gate.number, state="ended")
-            self.clock.at(self.clock.now() + self.day.fleet.restart_ms, partial(self.again, gate.number))
+        if gate.is_alive and gate.client_attempts:
+            self.clock.call_at(self.clock.now() + 10.0, partial(self.finish, gate))
+        elif gate.is_alive:
+            gate.execute(gate.lifecycle.gateway_stopping(self.clock.now()))
+            gate.stop()
+            self.event_log.add(self.clock.now(), "gate", gate=gate.number, state="ended")
+            self.clock.call_at(
+                self.clock.now() + self.scenario.fleet.restart_ms, partial(self.again, gate.number)
+            )
 
     def kill(self, number: int) -> None:
-        gate = self.gates[number]
-        if not gate.alive:
+        gate = self.gateways[number]
+        if not gate.is_alive:
             return
-        self.record.add(self.clock.now(), "gate", gate=number, state="killed")
-        gate.die()
-        fleet = self.day.fleet
-        self.clock.at(self.clock.now() + fleet.front_notices_ms, lambda: self.believe(number))
-        self.clock.at(self.clock.now() + fleet.restart_ms, partial(self.again, number))
+        self.event_log.add(self.clock.now(), "gate", gate=number, state="killed")
+        gate.stop()
+        fleet = self.scenario.fleet
+        self.clock.call_at(self.clock.now() + fleet.front_notices_ms, lambda: self.believe(number))
+        self.clock.call_at(self.clock.now() + fleet.restart_ms, partial(self.again, number))
 
     def believe(self, number: int) -> None:
-        if not self.gates[number].alive:
-            self.world.clients.front(number, False)
+        if not self.gateways[number].is_alive:
+            self.environment.clients.set_in_rotation(number, False)
 
     def again(self, number: int) -> None:
-        gate = self.gates[number] = self.new(number)
-        gate.hear()
-        self.clock.at(self.clock.now() + READY_MS, lambda: self.let_in(gate))
+        gate = self.gateways[number] = self.new(number)
+        gate.watch()
+        self.clock.call_at(self.clock.now() + READY_MS, lambda: self.let_in(gate))
 
     def let_in(self, gate: VirtualGateway) -> None:
         """Nobody before its agent has spoken."""
-        if gate.generation is None and gate.alive:
-            self.clock.at(self.clock.now() + MAX_POLL_INTERVAL_MS, lambda: self.let_in(gate))
-        elif gate.alive:
-            self.world.clients.front(gate.number, True)
+        if gate.list_generation is None and gate.is_alive:
+            self.clock.call_at(self.clock.now() + MAX_POLL_INTERVAL_MS, lambda: self.let_in(gate))
+        elif gate.is_alive:
+            self.environment.clients.set_in_rotation(gate.number, True)
 
     def pause(self, number: int, for_ms: float) -> None:
-        self.record.add(self.clock.now(), "gate", gate=number, state="paused", ms=for_ms)
-        self.gates[number].pause(for_ms)
+        self.event_log.add(self.clock.now(), "gate", gate=number, state="paused", ms=for_ms)
+        self.gateways[number].pause(for_ms)
 
-    def moves(self) -> None:
+    def move_discovery(self) -> None:
         """Discovery has no address here; on sockets it moves by SIGHUP."""
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -114,7 +114,7 @@
     of: Scenario, seed: int = 1, engine: Any = PolicyEngine, gate: type[VirtualGateway] = VirtualGateway
 ) -> tuple[EventLog, list[Violation]]:
     class Broken(VirtualRunner):
-        gate_kind = gate
+        gateway_class = gate
 
     record = Broken(of, seed, engine).run()
     return record, find_violations(record, of)
@@ -176,9 +176,9 @@
 class Deaf(VirtualGateway):
     """Takes draining workers for ready ones."""
 
-    def heed(self, told: dict[str, Any]) -> EndpointsUpdated:
+    def apply_update(self, told: dict[str, Any]) -> EndpointsUpdated:
         rows = [{**row, "lifecycle": "up"} for row in told["instances"]]
-        return super().heed({**told, "instances": rows, "reset": False})
+        return super().apply_update({**told, "instances": rows, "reset": False})
 
 
 class Eager(VirtualGateway):
@@ -187,24 +187,24 @@
     def __init__(self, runner: VirtualRunner, number: int, seed: int) -> None:
         super().__init__(runner, number, seed)
         self.eager_until = self.clock.now() + 1000.0
-        first = [row for row in self.world.registry.rows.values() if not row["startedAtMs"]]
+        first = [row for row in self.environment.discovery.rows.values() if not row["startedAtMs"]]
         rows = [{**row, "lifecycle": "up"} for row in first]
         told = {"generation": 0, "reset": True, "instances": rows}
-        self.carry(self.lifecycle.endpoints_updated(self.clock.now(), self.heed(told)))
+        self.execute(self.lifecycle.endpoints_updated(self.clock.now(), self.apply_update(told)))
 
-    def look(self) -> None:
+    def read_update(self) -> None:
         if self.clock.now() >= self.eager_until:
-            super().look()
+            super().read_update()
 
 
 class Loser(VirtualGateway):
     """Forgets to answer now and then."""
 
-    def reply(self, reply: SendResponse) -> None:
+    def respond(self, reply: SendResponse) -> None:
         if reply.request_id % 20:
-            super().reply(reply)
+            super().respond(reply)
         else:
-            self.txns.pop(self.tries.pop(reply.request_id).name)
+            self.request_ids.pop(self.client_attempts.pop(reply.request_id).attempt_id)
 
 
 class Mixer(VirtualGateway):
@@ -212,6 +212,6 @@
 
     last = ""
 
-    def ended(self, key: tuple[int, int], end: Outcome, units: float = 0.0, mark: str = "") -> None:
+    def attempt_ended(self, key: tuple[int, int], end: Outcome, units: float = 0.0, mark: str = "") -> None:
         mark, self.last = (self.last or mark, mark) if end is Outcome.SUCCEEDED else (mark, self.last)
-        super().ended(key, end, units, mark)
+        super().attempt_ended(key, end, units, mark)
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -257,7 +257,9 @@
     def ticket(
         self, number: int, worker: EmulatedEndpoint, product: int = 0, work: float = 100.0
     ) -> ReceivedAttempt:
-        arrival = next(a for a in self.world.book.arrivals() if a.product is self.day.product[product])
+        arrival = next(
+            a for a in self.world.workload.arrivals() if a.request_class is self.day.product[product]
+        )
         from drumgw.testbed.clients import ClientRequest
 
         one = ClientAttempt(
@@ -269,24 +271,24 @@
         )
         ticket = ReceivedAttempt(
             number,
-            one.name,
+            one.attempt_id,
             one,
             0,
             lambda t, says: self.said.append((round(self.clock.now() - 1000.0), t.number, says)),
         )
-        worker.come(ticket)
+        worker.receive(ticket)
         return ticket
 
     def worker(self, born: float | None = None, **kind: Any) -> EmulatedEndpoint:
-        worker = self.world.workers["w0"]
-        worker.kind, worker.speed, worker.born = worker.kind.model_copy(update=kind), 1.0, born
+        worker = self.world.endpoints["w0"]
+        worker.section, worker.speed, worker.started_at_ms = worker.section.model_copy(update=kind), 1.0, born
         return worker
 
     def test_cores_queue_and_full(self) -> None:
         w = self.worker(cores=2, queue=1)
         for n in range(4):
             self.ticket(n, w)
-        self.clock.run(1500.0)
+        self.clock.run_until(1500.0)
         self.assertEqual(
             self.said, [(0, 3, "full"), (100, 0, "settled"), (100, 1, "settled"), (200, 2, "settled")]
         )
@@ -294,31 +296,31 @@
     def test_cold_start_warms_evenly_and_falls_over(self) -> None:
         w = self.worker(born=1000.0, cores=1)
         self.ticket(1, w, work=20.0)
-        self.clock.run(1200.0)
+        self.clock.run_until(1200.0)
         self.assertEqual(self.said, [(100, 1, "settled")])  # a fifth of its speed
-        self.assertAlmostEqual(w.warmth(), 0.2 + 0.8 * 200 / 3000)
+        self.assertAlmostEqual(w.warm_up_fraction(), 0.2 + 0.8 * 200 / 3000)
         for n in range(2, 14):
             self.ticket(n, w, work=100.0)
-        self.assertEqual((w.up, self.said[-1][2]), (False, "reset"))
+        self.assertEqual((w.is_up, self.said[-1][2]), (False, "reset"))
         self.assertEqual(
             [r["state"] for r in self.record.rows if r["what"] == "worker"][-2:], ["falls", "down"]
         )
-        self.clock.run(9000.0)
-        self.assertTrue(w.up and w.born is not None and w.born > 5000.0)
+        self.clock.run_until(9000.0)
+        self.assertTrue(w.is_up and w.started_at_ms is not None and w.started_at_ms > 5000.0)
 
     def test_drained_it_finishes_and_takes_nothing_new(self) -> None:
         w = self.worker(cores=1)
         self.ticket(1, w)
-        w.draining = True
+        w.is_draining = True
         self.ticket(2, w)
-        self.clock.run(1500.0)
+        self.clock.run_until(1500.0)
         self.assertEqual(self.said, [(0, 2, "full"), (100, 1, "settled")])
 
     def test_repeats_of_a_referenced_txn_run_once_a_group_and_time(self) -> None:
-        w, other, far = self.worker(cores=9), self.world.workers["w2"], self.world.workers["w1"]
+        w, other, far = self.worker(cores=9), self.world.endpoints["w2"], self.world.endpoints["w1"]
         for n, at in enumerate((w, other, far)):
             self.ticket(n, at, product=2)
-        self.clock.run(2500.0)
+        self.clock.run_until(2500.0)
         self.ticket(9, w, product=2)
         ran = [r["worker"] for r in self.record.rows if r["what"] == "ran"]
         self.assertEqual(ran, ["w0", "w1", "w0"])  # w2 is of w0's zone; after its time it is forgotten
@@ -326,9 +328,9 @@
     def test_given_up_it_says_nothing_and_what_waits_never_runs(self) -> None:
         w = self.worker(cores=1)
         first, second = self.ticket(1, w), self.ticket(2, w)
-        w.give_up(first)
-        w.give_up(second)
-        self.clock.run(1500.0)
+        w.abandon(first)
+        w.abandon(second)
+        self.clock.run_until(1500.0)
         self.assertEqual((self.said, w.running, len(w.queue)), ([], {}, 0))
 
     def count(self, **kind: Any) -> EmulatedCounter:
@@ -337,17 +339,17 @@
 
     def call(self, c: EmulatedCounter, name: str, amount: float, gate: int = 0, lives: float = 9e9) -> Any:
         c.call(gate, name, amount, lives, lambda says, total: self.totals.append((says, total)))
-        self.clock.run(self.clock.now() + 50.0)
+        self.clock.run_until(self.clock.now() + 50.0)
         return self.totals[-1] if self.totals else None
 
     def test_the_counter_adds_forgets_and_turns_away(self) -> None:
         c = self.count()
         self.assertEqual([self.call(c, "a", 2.5)[1], self.call(c, "a", -1.0)[1]], [2.5, 1.5])
-        self.clock.run(self.clock.now() + 60000.0)
+        self.clock.run_until(self.clock.now() + 60000.0)
         self.assertEqual(self.call(c, "a", 1.0), ("added", 1.0))  # no name lives longer than a minute
-        c.refuses = True
+        c.rejects_calls = True
         self.assertEqual(self.call(c, "a", 1.0), ("turned away", 0.0))
-        c.refuses, c.silent = False, True
+        c.rejects_calls, c.is_silent = False, True
         before = len(self.totals)
         self.call(c, "a", 1.0)
         self.assertEqual(len(self.totals), before)
@@ -359,40 +361,40 @@
         self.assertEqual([self.call(c, "a", 1.0, 0)[1], self.call(c, "a", 10.0, 1)[1]], [6.0, 15.0])
         c.heal()
         self.assertEqual(self.call(c, "a", 0.0, 1)[1], 16.0)
-        c.older(0.25)
+        c.scale_totals(0.25)
         self.assertEqual(self.call(c, "a", 0.0)[1], 4.0)
-        c.empty()
+        c.clear()
         self.assertEqual(self.call(c, "a", 0.0)[1], 0.0)
 
     def test_a_counter_serves_in_turn_and_its_line_is_bounded(self) -> None:
         c = self.count(calls_per_s=100.0, line=2)
         for _ in range(5):
             c.call(0, "a", 1.0, 1e4, lambda says, total: self.totals.append((round(self.clock.now()), says)))
-        self.clock.run(1100.0)
+        self.clock.run_until(1100.0)
         self.assertEqual(
             self.totals, [(1000, "turned away")] * 2 + [(1010, "added"), (1020, "added"), (1030, "added")]
         )
 
     def test_the_list_comes_late_by_gatekeeper_and_whole_to_who_is_far_behind(self) -> None:
         r = EmulatedDiscovery(
-            DiscoverySection(delay_ms=100.0, spread_ms=0.0), 2, self.clock, self.record, self.world.chance
+            DiscoverySection(delay_ms=100.0, spread_ms=0.0), 2, self.clock, self.record, self.world.random
         )
         r.put("w0", "a", 0, None)
-        known = r.first()
-        self.assertIsNone(r.news(0, known["generation"]))
-        r.state("w0", "draining")
-        self.assertIsNone(r.news(0, known["generation"]))
-        self.clock.run(1100.0)
-        news = r.news(0, known["generation"])
+        known = r.publish_initial_list()
+        self.assertIsNone(r.updates_since(0, known["generation"]))
+        r.set_lifecycle("w0", "draining")
+        self.assertIsNone(r.updates_since(0, known["generation"]))
+        self.clock.run_until(1100.0)
+        news = r.updates_since(0, known["generation"])
         assert news
         self.assertEqual(
             [(row["instanceId"], row["lifecycle"]) for row in news["instances"]], [("w0", "draining")]
         )
         for n in range(KEPT + 1):
             r.put(f"x{n}", "a", 0, None)
-        r.state("w0", "removed")
-        self.clock.run(1300.0)
-        news = r.news(0, known["generation"])
+        r.set_lifecycle("w0", "removed")
+        self.clock.run_until(1300.0)
+        news = r.updates_since(0, known["generation"])
         assert news
         self.assertEqual((news["reset"], len(news["instances"])), (True, KEPT + 1))
 
@@ -420,7 +422,7 @@
             def send(self, one: ClientAttempt) -> None:
                 self.sent.append(one)
 
-            def leave(self, one: ClientAttempt) -> None: ...
+            def cancel(self, one: ClientAttempt) -> None: ...
 
         for product, status, tries in (
             ("preview", 500, 2),
@@ -431,13 +433,13 @@
         ):
             clock, of = VirtualClock(0.0), day()
             clients, port = ClientPopulation(of, Workload(of, 1), clock, EventLog({})), Port()
-            clients.gates = port
-            arrival = next(a for a in clients.book.arrivals() if a.product.name == product)
+            clients.sender = port
+            arrival = next(a for a in clients.workload.arrivals() if a.request_class.name == product)
             clients.arrive(arrival._replace(at_ms=0.0))
-            clients.answered(port.sent[0], status, "", 200.0)
-            clock.run(400.0)
+            clients.response_received(port.sent[0], status, "", 200.0)
+            clock.run_until(400.0)
             self.assertEqual(len(port.sent), tries, (product, status))
-            self.assertEqual(len({one.name for one in port.sent}), tries)  # each brings a new id
+            self.assertEqual(len({one.attempt_id for one in port.sent}), tries)  # each brings a new id
 
     def test_a_lab_that_falls_behind_says_so(self) -> None:
         """Guards figures: what the lab sent late must not pass for the gatekeepers' loss."""
