--- a/drumgw/cli/__main__.py
+++ b/drumgw/cli/__main__.py
@@ -68,9 +68,9 @@
 @main.command()
 def token() -> None:
     """Make an administrator's token: the first line is shown once, the second is for the host's file."""
-    from drumgw.hosting.authentication import new_token
+    from drumgw.hosting.authentication import create_token
 
-    text, digest = new_token()
+    text, digest = create_token()
     click.echo(f"token:  {text}\nsha256: {digest}")
 
 
--- a/drumgw/cli/host_command.py
+++ b/drumgw/cli/host_command.py
@@ -10,8 +10,9 @@
 from drumgw.cli.serve_command import TEXT
 from drumgw.config.host_file import HostFile, read_host_file, tenant_config
 from drumgw.gateway.process_config import ConfigError
+from drumgw.hosting.errors import ApiError
 from drumgw.hosting.host_process import serve
-from drumgw.hosting.tenant_registry import ChangeRejected, TenantRegistry
+from drumgw.hosting.tenant_registry import TenantRegistry
 
 
 def run(path: str) -> None:
@@ -35,8 +36,8 @@
     house, registry = read_host_file(path), TenantRegistry()
     for named in house.tenant:
         try:
-            tenant, _ = registry.create(named.name, named.spec())
-        except ChangeRejected as no:
+            tenant = registry.create(named.name, named.spec()).tenant
+        except ApiError as no:
             raise ConfigError(f"{path}: tenant {named.name}: {no.detail}") from no
         tenant_config(house, named.name, tenant.serial, named, 2)
     return house
--- a/drumgw/hosting/authentication.py
+++ b/drumgw/hosting/authentication.py
@@ -1,4 +1,7 @@
-"""Who may do what by the administration API. No I/O. Tokens are known by their hashes only."""
+"""Who calls the administration API, and what each role may do. No I/O.
+
+Tokens are known by their SHA-256 only: the operator's file, the memory and the log hold none.
+"""
 
 from __future__ import annotations
 
@@ -6,49 +9,110 @@
 import hmac
 import secrets
 from collections.abc import Iterable
-from typing import NamedTuple
+from dataclasses import dataclass
+from enum import Enum
+
+TOKEN_BYTES = 32
+
+
+class Role(Enum):
+    """What a token's holder administers; the value is what the operator's file says."""
+
+    OPERATOR = "operator"  # the host with all its tenants
+    TENANT = "tenant"  # one tenant
+
+
+class Permission(Enum):
+    """What a caller may be allowed to do; the value is the word of audit lines and refusals."""
 
-OPERATOR, TENANT = "operator", "tenant"
-# What a tenant may do, and only with itself; an operator may do all
-TENANTS_OWN = frozenset(
-    {"list", "read", "read part", "use", "replace", "replace part", "drain", "resume", "operation"}
-)
-NOT_ITS_OWN = ("route", "weight")  # of its own spec, what only an operator changes
+    DESCRIBE = "describe"
+    LIST = "list"
+    CREATE = "create"
+    READ = "read"
+    REPLACE = "replace"
+    REMOVE = "remove"
+    SUSPEND = "suspend"
+    RESUME = "resume"
+    DRAIN = "drain"
+    READ_USAGE = "use"
+    READ_OPERATION = "operation"
+    READ_PART = "read part"
+    REPLACE_PART = "replace part"
 
 
-class Token(NamedTuple):
+PERMISSIONS = {
+    Role.OPERATOR: frozenset(Permission),
+    # Only with itself: is_allowed compares the tenant's name too.
+    Role.TENANT: frozenset(
+        {
+            Permission.LIST,
+            Permission.READ,
+            Permission.READ_PART,
+            Permission.READ_USAGE,
+            Permission.REPLACE,
+            Permission.REPLACE_PART,
+            Permission.DRAIN,
+            Permission.RESUME,
+            Permission.READ_OPERATION,
+        }
+    ),
+}
+
+# Keys of a tenant's spec that only an operator changes: they decide what other tenants get.
+OPERATOR_ONLY_KEYS = ("route", "weight")
+
+
+@dataclass(frozen=True)
+class ApiToken:
+    """An administrator's token.
+
+    Attributes:
+        id: the name in audit lines.
+        role: what its holder administers.
+        tenant: the tenant of a holder with Role.TENANT.
+        sha256: the token's hash, in hexadecimal digits.
+    """
+
     id: str
-    role: str
+    role: Role
     tenant: str | None
     sha256: str
 
 
 class Authenticator:
-    def __init__(self, tokens: Iterable[Token]) -> None:
-        self.tokens = tuple(tokens)
+    """Finds the token that a call came with."""
+
+    def __init__(self, tokens: Iterable[ApiToken]) -> None:
+        self._tokens = tuple(tokens)
+
+    def authenticate(self, authorization: str | None) -> ApiToken | None:
+        """Returns the token of an Authorization header, or None where it has none of ours.
 
-    def who(self, header: str | None) -> Token | None:
-        """Compares with all tokens, in a time that tells nothing of which is near."""
-        scheme, _, text = (header or "").partition(" ")
-        told = hash_of(text.strip()) if scheme.lower() == "bearer" else ""
+        Compares with all tokens in constant time each: the time of an answer says nothing of which token
+        is near.
+        """
+        scheme, _, token = (authorization or "").partition(" ")
+        digest = hash_token(token.strip()) if scheme.lower() == "bearer" else ""
         found = None
-        for token in self.tokens:
-            if hmac.compare_digest(token.sha256, told):
-                found = token
+        for candidate in self._tokens:
+            if hmac.compare_digest(candidate.sha256, digest):
+                found = candidate
         return found
 
 
-def is_allowed(who: Token, action: str, tenant: str | None) -> bool:
-    if who.role == OPERATOR:
-        return True
-    return action in TENANTS_OWN and (tenant is None or tenant == who.tenant)
+def is_allowed(caller: ApiToken, permission: Permission, tenant: str | None) -> bool:
+    """Returns whether the caller may do this; tenant is the one that the call names, if it names one."""
+    if permission not in PERMISSIONS[caller.role]:
+        return False
+    return caller.role is Role.OPERATOR or tenant is None or tenant == caller.tenant
 
 
-def hash_of(text: str) -> str:
-    return hashlib.sha256(text.encode("utf-8", "surrogateescape")).hexdigest()
+def hash_token(token: str) -> str:
+    """Returns a token's SHA-256 in hexadecimal digits."""
+    return hashlib.sha256(token.encode("utf-8", "surrogateescape")).hexdigest()
 
 
-def new_token() -> tuple[str, str]:
-    """A token and its hash; the first is shown once."""
-    text = secrets.token_urlsafe(32)
-    return text, hash_of(text)
+def create_token() -> tuple[str, str]:
+    """Returns a new token and its hash. Only the hash is stored: the token is shown once."""
+    token = secrets.token_urlsafe(TOKEN_BYTES)
+    return token, hash_token(token)
--- a/drumgw/hosting/http_server.py
+++ b/drumgw/hosting/http_server.py
@@ -1,7 +1,12 @@
-"""The clients' side of a host: finds the tenant, then its desk; the connections are the gate's own."""
+"""The clients' side of a host: finds the tenant of each request, then forwards it through that service.
+
+Connections are the gateway's own (drumgw/gateway/http_server.py). They belong to no tenant for good: a client
+may reach several on one connection, so each counts for the tenant that was asked on it last.
+"""
 
 from __future__ import annotations
 
+from collections import Counter
 from dataclasses import dataclass
 from typing import Any, cast
 
@@ -16,68 +21,99 @@
 
 @dataclass(frozen=True)
 class ListenerConfig:
+    """What the listener needs of a gateway's configuration.
+
+    Attributes:
+        listen: host and port.
+        max_client_connections: connections at most.
+        max_requesting_clients: of them, those that have asked something.
+    """
+
     listen: tuple[str, int]
     max_client_connections: int
     max_requesting_clients: int
 
 
 class ListenerDispatcher:
-    """What the front needs of a desk beside the txns."""
+    """What the listener needs of a dispatcher beside the requests: the clock, the loop and the log."""
 
     def __init__(self, clock: StallAwareClock) -> None:
-        self.clock, self.loop = clock, clock.loop
+        self.clock = clock
+        self.loop = clock.loop
 
     def log_fault(self, error: Exception, where: str) -> None:
+        """Logs a fault of this program with its trace."""
         logger.opt(exception=error).error("fault in {}: {!r}", where, error)
 
 
 class HostHttpServer(HttpServer):
-    def __init__(self, doorway: ListenerConfig, hosting: TenantServices) -> None:
-        super().__init__(cast(Any, doorway), cast(Any, ListenerDispatcher(hosting.clock)))
-        self.hosting = hosting
-        self.held: dict[str, int] = {}  # connections by whom they asked last; emptied as they close
+    """The listener of a host.
 
-    # Connections
+    Attributes:
+        connection_counts: open connections by the key of the tenant that was asked on them last.
+    """
 
-    def own(self, client: ClientConnection, key: str) -> None:
-        if client.tenant_key != key:
-            self.connection_closed(client)
-            client.tenant_key, self.held[key] = key, self.held.get(key, 0) + 1
+    def __init__(self, config: ListenerConfig, services: TenantServices) -> None:
+        super().__init__(cast(Any, config), cast(Any, ListenerDispatcher(services.clock)))
+        self.connection_counts: Counter[str] = Counter()
+        self._services = services
+
+    # Connections
 
     def connection_closed(self, client: ClientConnection) -> None:
+        """Counts the connection for no tenant any more."""
         if client.tenant_key:
-            self.held[client.tenant_key] -= 1
-            if not self.held[client.tenant_key]:
-                del self.held[client.tenant_key]
+            self.connection_counts[client.tenant_key] -= 1
+            if not self.connection_counts[client.tenant_key]:
+                del self.connection_counts[client.tenant_key]
             client.tenant_key = ""
 
     def longest_idle(self) -> ClientConnection | None:
-        """Guards tenants whose clients keep few connections: who keeps more than its part loses one first."""
-        weights, now = self.hosting.weights, self.dispatcher.clock.now()
-        all_of_them = sum(weights.values()) or 1.0
+        """Returns the idle connection to close where one must go.
+
+        Guards tenants whose clients keep few connections against one whose clients keep hundreds: a tenant
+        that keeps more than its part by weight loses one first.
+        """
+        now_ms = self.dispatcher.clock.now()
+        weights = self._services.admission.weights
+        total_weight = sum(weights.values()) or 1.0
         for client in self.connections[ConnectionState.IDLE]:
-            if now - client.state_since_ms <= STALL_THRESHOLD_MS:
+            if now_ms - client.state_since_ms <= STALL_THRESHOLD_MS:
                 break
-            part = self.config.max_client_connections * weights.get(client.tenant_key, 0.0) / all_of_them
-            if self.held.get(client.tenant_key, 0) > part and self.is_resting(client):
+            weight = weights.get(client.tenant_key, 0.0)
+            fair_count = self.config.max_client_connections * weight / total_weight
+            if self.connection_counts[client.tenant_key] > fair_count and self.is_resting(client):
                 return client
         return super().longest_idle()
 
+    def _count_for_tenant(self, client: ClientConnection, tenant_key: str) -> None:
+        if client.tenant_key != tenant_key:
+            self.connection_closed(client)
+            client.tenant_key = tenant_key
+            self.connection_counts[tenant_key] += 1
+
     # Requests
 
     async def serve(self, request: BaseRequest, target: str, client: ClientConnection) -> CompleteResponse:
-        found = self.hosting.registry.routes.find(request.headers.get("Host"), target)
-        if found is None:
+        """Answers a request through the service of its tenant, or rejects it with a Retry-After."""
+        route = self._services.registry.routes.find(request.headers.get("Host"), target)
+        if route is None:
             raise BadRequestError(404, "no tenant is served there")
-        seat, wait_ms = self.hosting.take(found.tenant)
-        if seat is None:
+        service, retry_after_ms = self._services.admit(route.tenant)
+        if service is None:
             await self.read(request)
-            return CompleteResponse(503, b"", f"Retry-After: {wait_ms / 1000:.3f}\r\n")
-        self.own(client, seat.key)
+            return CompleteResponse(503, b"", f"Retry-After: {retry_after_ms / 1000:.3f}\r\n")
+        self._count_for_tenant(client, service.key)
+        gateway_service = service.gateway_service
         try:
-            service = seat.service
             return await self.forward(
-                request, target, found.path, client, service.config, service.dispatcher, seat.ids
+                request,
+                target,
+                route.path,
+                client,
+                gateway_service.config,
+                gateway_service.dispatcher,
+                service.open_request_ids,
             )
         finally:
-            self.hosting.give(seat)
+            self._services.release(service)
--- a/drumgw/hosting/openapi.py
+++ b/drumgw/hosting/openapi.py
@@ -1,4 +1,8 @@
-"""The OpenAPI document, made of the API's own table and of the models that check its bodies."""
+"""The OpenAPI document: made of the table of operations and of the models that check their bodies.
+
+The published names of the models are mapped here, in one table: clients generate their code from them, and no
+renamed class or docstring of ours may reach them.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +19,11 @@
     RequestClassSection,
     RulesSection,
 )
-from drumgw.hosting.admin_api import LIST, Action
+from drumgw.hosting.api_operations import OPERATIONS, ApiOperation, BodySchema, possible_responses
+from drumgw.hosting.authentication import Permission
 
 REF_PREFIX = "#/components/schemas/"
+JsonObject = dict[str, Any]
 
 
 @dataclass(frozen=True)
@@ -28,16 +34,6 @@
     description: str | None = None
 
 
-ANY_CALL = {401: "no token", 403: "not yours", 429: "too many calls", 500: "a fault of ours"}
-WITH_BODY = {
-    400: "not JSON",
-    405: "read only",
-    408: "too slow",
-    413: "too large",
-    415: "not JSON",
-    422: "unusable",
-}
-# The names and descriptions that the document publishes; our class names and docstrings stay out of it.
 PUBLISHED_SCHEMAS: dict[type[BaseModel], PublishedSchema] = {
     AllowedSection: PublishedSchema("Allowed", "What a gateway may do."),
     KnownEndpointSection: PublishedSchema("Worker", "An endpoint known before discovery is heard."),
@@ -48,20 +44,25 @@
     RulesSection: PublishedSchema("Rules", "What must hold of endpoints that warm up or drain."),
     TenantSpec: PublishedSchema("Spec", "What a tenant is made of."),
 }
-BODIES: dict[str, Any] = {
-    "Named": NamedTenantSpec,
-    "Spec": TenantSpec,
-    "plans": list[PlanSection],
-    "routes": list[RouteSection],
-    "limits": AllowedSection,
+BODY_TYPES: dict[BodySchema, Any] = {
+    BodySchema.NAMED_SPEC: NamedTenantSpec,
+    BodySchema.SPEC: TenantSpec,
+    BodySchema.PLANS: list[PlanSection],
+    BodySchema.ROUTES: list[RouteSection],
+    BodySchema.LIMITS: AllowedSection,
 }
 
+_PUBLISHED_BY_CLASS_NAME = {model.__name__: published for model, published in PUBLISHED_SCHEMAS.items()}
+
 
-def document() -> dict[str, Any]:
-    schemas: dict[str, Any] = {}
-    paths: dict[str, Any] = {}
-    for action, _ in LIST:
-        paths.setdefault(action.path, {})[action.method.lower()] = operation(action, schemas)
+def openapi_document() -> JsonObject:
+    """Returns the document, ready to be written as JSON."""
+    schemas: JsonObject = {}
+    paths: JsonObject = {}
+    for operation in OPERATIONS:
+        paths.setdefault(operation.path, {})[operation.method.lower()] = _describe_operation(operation)
+        if operation.body is not None:
+            schemas[operation.body.value] = _publish_body(BODY_TYPES[operation.body], schemas)
     return {
         "openapi": "3.1.0",
         "info": {"title": "drumgw tenants", "version": "1"},
@@ -73,64 +74,58 @@
     }
 
 
-def statuses(action: Action) -> dict[int, str]:
-    """Every status that a call may get."""
-    if action.name == "describe":
-        return {**action.answers, 429: ANY_CALL[429], 500: ANY_CALL[500]}
-    more = WITH_BODY if action.body else {405: WITH_BODY[405]} if action.method != "GET" else {}
-    return {**ANY_CALL, **more, **action.answers}
-
-
-def operation(action: Action, schemas: dict[str, Any]) -> dict[str, Any]:
-    names = [part[1:-1] for part in action.path.split("/") if part.startswith("{")]
-    parameters = [{"name": n, "in": "path", "required": True, "schema": {"type": "string"}} for n in names]
-    if 428 in action.answers:
-        parameters.append(header("If-Match", True))
-    if action.name == "create":
-        parameters.append(header("Idempotency-Key", False))
-    if action.name == "list":
-        parameters += [{"name": n, "in": "query", "schema": {"type": "string"}} for n in ("after", "limit")]
-    found: dict[str, Any] = {
-        "operationId": f"{action.method.lower()} {action.path}".replace("/", " ").replace("  ", " "),
-        "summary": action.summary,
-        "parameters": parameters,
+def _describe_operation(operation: ApiOperation) -> JsonObject:
+    description: JsonObject = {
+        "operationId": f"{operation.method.lower()} {operation.path}".replace("/", " ").replace("  ", " "),
+        "summary": operation.summary,
+        "parameters": _describe_parameters(operation),
         "responses": {
-            str(status): {
-                "description": text,
-                "content": {"application/json" if status < 400 else "application/problem+json": {}},
-            }
-            for status, text in sorted(statuses(action).items())
+            str(status): _describe_response(status, text)
+            for status, text in sorted(possible_responses(operation).items())
         },
     }
-    if action.body is not None:
-        schemas[action.body] = published_schema(BODIES[action.body], schemas)
-        found["requestBody"] = {
-            "required": True,
-            "content": {"application/json": {"schema": {"$ref": f"{REF_PREFIX}{action.body}"}}},
-        }
-    if action.name != "describe":
-        found["security"] = [{"token": []}]
-    return found
+    if operation.body is not None:
+        schema = {"$ref": REF_PREFIX + operation.body.value}
+        description["requestBody"] = {"required": True, "content": {"application/json": {"schema": schema}}}
+    if not operation.is_public:
+        description["security"] = [{"token": []}]
+    return description
 
 
-def header(name: str, required: bool) -> dict[str, Any]:
-    return {"name": name, "in": "header", "required": required, "schema": {"type": "string"}}
+def _describe_response(status: int, text: str) -> JsonObject:
+    media_type = "application/json" if status < 400 else "application/problem+json"
+    return {"description": text, "content": {media_type: {}}}
 
 
-def published_schema(body: Any, schemas: dict[str, Any]) -> dict[str, Any]:
-    """Returns the schema of a body under its published names; adds the schemas it refers to to schemas."""
-    schema: dict[str, Any] = TypeAdapter(body).json_schema(ref_template=REF_PREFIX + "{model}")
-    for class_name, definition in schema.pop("$defs", {}).items():
-        schemas[_BY_CLASS_NAME[class_name].name] = _publish(definition)
-    return _publish(schema)
+def _describe_parameters(operation: ApiOperation) -> list[JsonObject]:
+    names = [part[1:-1] for part in operation.path.split("/") if part.startswith("{")]
+    parameters = [_parameter(name, "path", required=True) for name in names]
+    if operation.requires_version:
+        parameters.append(_parameter("If-Match", "header", required=True))
+    if operation.permission is Permission.CREATE:
+        parameters.append(_parameter("Idempotency-Key", "header", required=False))
+    if operation.permission is Permission.LIST:
+        parameters += [
+            {"name": name, "in": "query", "schema": {"type": "string"}} for name in ("after", "limit")
+        ]
+    return parameters
 
 
-_BY_CLASS_NAME = {model.__name__: published for model, published in PUBLISHED_SCHEMAS.items()}
+def _parameter(name: str, place: str, required: bool) -> JsonObject:
+    return {"name": name, "in": place, "required": required, "schema": {"type": "string"}}
+
+
+def _publish_body(body_type: Any, schemas: JsonObject) -> JsonObject:
+    """Returns the schema of a body under its published names; adds the schemas it refers to to schemas."""
+    schema: JsonObject = TypeAdapter(body_type).json_schema(ref_template=REF_PREFIX + "{model}")
+    for class_name, definition in schema.pop("$defs", {}).items():
+        schemas[_PUBLISHED_BY_CLASS_NAME[class_name].name] = _publish_schema(definition)
+    return _publish_schema(schema)
 
 
-def _publish(schema: dict[str, Any]) -> dict[str, Any]:
+def _publish_schema(schema: JsonObject) -> JsonObject:
     """Replaces a model's class name and docstring, and the class names in references."""
-    published = _BY_CLASS_NAME.get(schema.get("title", ""))
+    published = _PUBLISHED_BY_CLASS_NAME.get(schema.get("title", ""))
     if published is not None:
         schema["title"] = published.name
         schema.pop("description", None)
@@ -145,7 +140,8 @@
         for child in node:
             _rename_references(child)
     elif isinstance(node, dict):
-        if isinstance(reference := node.get("$ref"), str):
-            node["$ref"] = REF_PREFIX + _BY_CLASS_NAME[reference.removeprefix(REF_PREFIX)].name
+        reference = node.get("$ref")
+        if isinstance(reference, str):
+            node["$ref"] = REF_PREFIX + _PUBLISHED_BY_CLASS_NAME[reference.removeprefix(REF_PREFIX)].name
         for child in node.values():
             _rename_references(child)
--- /dev/null
+++ b/drumgw/hosting/registry_persistence.py
@@ -0,0 +1,43 @@
+"""The form in which the state file holds a registry: the edge between its JSON and the registry's types.
+
+Operations are not stored: they wait for requests in flight, and a process that ended has none.
+"""
+
+from __future__ import annotations
+
+from drumgw.hosting.tenant_registry import IdempotencyRecord, JsonObject, Tenant, TenantRegistry
+from drumgw.hosting.tenant_states import TenantState
+
+
+def registry_to_json(registry: TenantRegistry) -> JsonObject:
+    """Returns what the state file holds of a registry."""
+    return {
+        "counted": registry.last_number,
+        "tenants": [
+            [tenant.name, tenant.serial, tenant.version, tenant.state.value, tenant.spec]
+            for tenant in registry.tenants.values()
+        ],
+        "keys": registry.idempotency_records,
+    }
+
+
+def registry_from_json(content: JsonObject) -> TenantRegistry:
+    """Returns the registry that a state file holds.
+
+    Raises:
+        KeyError, TypeError, ValueError, AttributeError: the content is not in the form of this version.
+    """
+    registry = TenantRegistry()
+    registry.last_number = content["counted"]
+    for key, (digest, tenant_name, serial) in content["keys"].items():
+        registry.idempotency_records[key] = IdempotencyRecord(str(digest), str(tenant_name), int(serial))
+    for name, serial, version, state, spec in content["tenants"]:
+        registry.tenants[name] = Tenant(name, serial, version, spec, _state_after_restart(state))
+    registry.rebuild_routes()
+    return registry
+
+
+def _state_after_restart(stored: str) -> TenantState:
+    """Nothing is in flight in a new process: a tenant that was draining has drained."""
+    state = TenantState(stored)
+    return TenantState.DRAINED if state is TenantState.DRAINING else state
--- a/drumgw/hosting/resource_limits.py
+++ b/drumgw/hosting/resource_limits.py
@@ -1,108 +1,105 @@
-"""What each tenant may hold of what all share, and whose turn it is while the loop lags. No I/O, no clock.
+"""How much of a host's capacity each tenant may hold at a time. No I/O, no clock.
 
-Half of what there is is kept: each tenant has its part of that by weight, one at least, and nobody else gets
-it. The other half is lent to whoever asks first; one tenant gets half of that at most.
+A part of the capacity is guaranteed: each tenant has its share of that by weight, one unit at least, and
+nobody else gets it. The rest is borrowable by whoever asks first, up to a limit for one tenant. So a tenant
+whose endpoints stall fills its own share and what it may borrow, and the others keep theirs.
 """
 
 from __future__ import annotations
 
-from collections import deque
+from dataclasses import dataclass
 
-KEPT, ONE_MOST = 0.5, 0.5  # of all; of what is lent
-SPAN_MS, SLICE_MS = 1000.0, 100.0  # what was taken lately
-LAG_MS = 50.0  # of the loop, from which on turns are kept
-OVER, SMALL = 1.25, 8  # multiple of its part that a tenant may take then, and so many more: counts vary
+GUARANTEED_FRACTION = 0.5  # of the capacity
+MAX_BORROWED_FRACTION = 0.5  # of what is borrowable, for one tenant
 
 
+@dataclass(slots=True)
 class TenantShare:
-    """A tenant's. Dropped when it is removed and holds nothing."""
+    """One tenant's part of the capacity. Dropped when the tenant is removed and holds nothing.
 
-    __slots__ = ("weight", "own", "open", "refused")
+    Attributes:
+        weight: of the tenant; 0 once it is removed.
+        guaranteed: units that nobody else gets.
+        in_use: units that it holds, borrowed ones among them.
+        refused_count: how often it was refused one.
+    """
 
-    def __init__(self, weight: float) -> None:
-        self.weight, self.own, self.open, self.refused = weight, 1, 0, 0
+    weight: float
+    guaranteed: int = 1
+    in_use: int = 0
+    refused_count: int = 0
+
+    @property
+    def borrowed(self) -> int:
+        """Units that it holds beyond its guaranteed ones."""
+        return max(0, self.in_use - self.guaranteed)
 
 
 class FairShares:
-    def __init__(self, most: int) -> None:
-        self.most, self.lent = most, 0
-        self.parts: dict[str, TenantShare] = {}  # emptied as tenants go
-
-    def put(self, tenant: str, weight: float) -> None:
-        self.parts.setdefault(tenant, TenantShare(weight)).weight = weight
-        self.divide()
-
-    def drop(self, tenant: str) -> None:
-        """What it still holds is lent to it until it gives it back."""
-        if (part := self.parts.get(tenant)) is not None:
-            part.weight = 0.0
-            if not part.open:
-                del self.parts[tenant]
-            self.divide()
-
-    def divide(self) -> None:
-        weights = sum(part.weight for part in self.parts.values())
-        for part in self.parts.values():
-            part.own = max(1, int(self.most * KEPT * part.weight / weights)) if part.weight else 0
-        self.lent = sum(max(0, part.open - part.own) for part in self.parts.values())
+    """Divides a capacity, in requests in flight, among tenants by weight."""
+
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
+        self.borrowed = 0  # by all tenants
+        self.tenants: dict[str, TenantShare] = {}  # by key; emptied as tenants are removed
+
+    def set_weight(self, tenant: str, weight: float) -> None:
+        """Adds a tenant or changes its weight."""
+        self.tenants.setdefault(tenant, TenantShare(weight)).weight = weight
+        self._divide()
+
+    def remove(self, tenant: str) -> None:
+        """Takes a tenant's guaranteed units away; what it still holds counts as borrowed until released."""
+        share = self.tenants.get(tenant)
+        if share is None:
+            return
+        share.weight = 0.0
+        if not share.in_use:
+            del self.tenants[tenant]
+        self._divide()
 
     @property
-    def lendable(self) -> int:
-        return self.most - sum(part.own for part in self.parts.values())
-
-    def holds_most(self, tenant: str) -> int:
-        """What it holds if nobody else borrows."""
-        return self.parts[tenant].own + int(self.lendable * ONE_MOST)
+    def borrowable(self) -> int:
+        """Units that are guaranteed to nobody."""
+        return self.capacity - sum(share.guaranteed for share in self.tenants.values())
 
-    def take(self, tenant: str) -> bool:
-        part = self.parts.get(tenant)
-        if part is None or not part.weight:
+    @property
+    def max_borrowed(self) -> int:
+        """Units that one tenant may borrow."""
+        return int(self.borrowable * MAX_BORROWED_FRACTION)
+
+    def limit_of(self, tenant: str) -> int:
+        """Returns the units that a tenant can hold while nobody else borrows."""
+        return self.tenants[tenant].guaranteed + self.max_borrowed
+
+    def acquire(self, tenant: str) -> bool:
+        """Takes a unit for a tenant; returns False where it may hold no more."""
+        share = self.tenants.get(tenant)
+        if share is None or not share.weight:
             return False
-        if part.open >= part.own:
-            if self.lent >= self.lendable or part.open - part.own >= int(self.lendable * ONE_MOST):
-                part.refused += 1
+        if share.in_use >= share.guaranteed:
+            if self.borrowed >= self.borrowable or share.borrowed >= self.max_borrowed:
+                share.refused_count += 1
                 return False
-            self.lent += 1
-        part.open += 1
+            self.borrowed += 1
+        share.in_use += 1
         return True
 
-    def give(self, tenant: str) -> None:
-        part = self.parts[tenant]
-        if part.open > part.own:
-            self.lent -= 1
-        part.open -= 1
-        if not part.open and not part.weight:
-            self.drop(tenant)
-
-
-class FairTurns:
-    """Guards the loop's time: while it lags, who took more than its part of the txns lately waits."""
-
-    def __init__(self) -> None:
-        self.slices: deque[tuple[float, dict[str, int]]] = deque()  # begun at; emptied by time
-        self.taken: dict[str, int] = {}  # their sum
-        self.lag_ms, self.all = 0.0, 0
-
-    def pass_time(self, now: float) -> None:
-        while self.slices and self.slices[0][0] <= now - SPAN_MS:
-            for tenant, count in self.slices.popleft()[1].items():
-                self.all -= count
-                self.taken[tenant] -= count
-                if not self.taken[tenant]:
-                    del self.taken[tenant]
-        if not self.slices or self.slices[-1][0] <= now - SLICE_MS:
-            self.slices.append((now, {}))
-
-    def take(self, now: float, tenant: str, weights: dict[str, float]) -> bool:
-        """Weights: of all tenants. Who asks nothing leaves its part to the others."""
-        self.pass_time(now)
-        if self.lag_ms > LAG_MS:
-            asking = sum(weights.get(name, 0.0) for name in self.taken.keys() | {tenant})
-            part = self.all * weights.get(tenant, 0.0) / max(asking, 1e-9)
-            if len(self.taken.keys() | {tenant}) > 1 and self.taken.get(tenant, 0) > OVER * part + SMALL:
-                return False
-        counts = self.slices[-1][1]
-        counts[tenant] = counts.get(tenant, 0) + 1
-        self.taken[tenant] = self.taken.get(tenant, 0) + 1
-        self.all += 1
-        return True
+    def release(self, tenant: str) -> None:
+        """Gives a unit back; borrowed ones first."""
+        share = self.tenants[tenant]
+        if share.borrowed:
+            self.borrowed -= 1
+        share.in_use -= 1
+        if not share.in_use and not share.weight:
+            self.remove(tenant)
+
+    def _divide(self) -> None:
+        total_weight = sum(share.weight for share in self.tenants.values())
+        for share in self.tenants.values():
+            if share.weight:
+                guaranteed = self.capacity * GUARANTEED_FRACTION * share.weight / total_weight
+                share.guaranteed = max(1, int(guaranteed))
+            else:
+                share.guaranteed = 0
+        self.borrowed = sum(share.borrowed for share in self.tenants.values())
--- a/drumgw/hosting/routing.py
+++ b/drumgw/hosting/routing.py
@@ -1,7 +1,7 @@
 """Which tenant a request is for: a compiled table of hosts and path prefixes. No I/O.
 
 The exact host goes before any host, then the longer prefix. A prefix ends where a segment of the path ends.
-A table is never changed: a new one takes its place whole, and who was routed by the old one stays with it.
+A table is replaced, never changed, once it is in use: a request that was routed by the old one stays with it.
 """
 
 from __future__ import annotations
@@ -9,63 +9,92 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-MOST_ROUTES = 100_000
-ANY = ""  # host
+MAX_ROUTES = 100_000
+ANY_HOST = ""
+
+PathSegments = tuple[str, ...]
 
 
 class Route(NamedTuple):
-    host: str  # lower case, without a port; ANY
-    prefix: str  # "" or /segment/segment
+    """Where a tenant's requests come in.
 
+    Attributes:
+        host: in lower case, without a port; or ANY_HOST.
+        prefix: of the path: "" or /segment/segment.
+    """
+
+    host: str
+    prefix: str
 
-class AmbiguousRouteError(ValueError):
-    """Two tenants ask for the same route; its text is one line."""
 
-    def __init__(self, route: Route, one: str, other: str) -> None:
-        super().__init__(f"{route.host or 'any host'}{route.prefix or '/'} is routed to {one} and to {other}")
-        self.route, self.one, self.other = route, one, other
+class RouteMatch(NamedTuple):
+    """The tenant of a request.
 
+    Attributes:
+        tenant: its name.
+        path: the target behind the prefix, from which the request class is read.
+    """
 
-class Found(NamedTuple):
     tenant: str
-    path: str  # the target behind the prefix, from which the product is read
+    path: str
+
+
+class AmbiguousRouteError(ValueError):
+    """Two tenants have the same route; its text is one line."""
+
+    def __init__(self, route: Route, first: str, second: str) -> None:
+        super().__init__(
+            f"{route.host or 'any host'}{route.prefix or '/'} is routed to {first} and to {second}"
+        )
+
 
+class RoutingTable:
+    """The routes of all tenants, by host and then by path segments."""
 
-class Routes:
-    def __init__(self, wanted: Iterable[tuple[str, Route]] = ()) -> None:
-        self.table: dict[str, dict[tuple[str, ...], str]] = {}
-        self.deepest: dict[str, int] = {}  # segments of the longest prefix of a host
-        for number, (tenant, route) in enumerate(wanted):
-            if number >= MOST_ROUTES:
-                raise ValueError(f"more than {MOST_ROUTES} routes")
+    def __init__(self, routes: Iterable[tuple[str, Route]] = ()) -> None:
+        self.tenants_by_host: dict[str, dict[PathSegments, str]] = {}
+        self._max_depth: dict[str, int] = {}  # segments of the longest prefix of a host
+        for count, (tenant, route) in enumerate(routes):
+            if count >= MAX_ROUTES:
+                raise ValueError(f"more than {MAX_ROUTES} routes")
             self.add(tenant, route)
 
     def add(self, tenant: str, route: Route) -> None:
-        paths, parts = self.table.setdefault(route.host, {}), segments(route.prefix)
-        if paths.get(parts, tenant) != tenant:
-            raise AmbiguousRouteError(route, paths[parts], tenant)
-        paths[parts] = tenant
-        self.deepest[route.host] = max(self.deepest.get(route.host, 0), len(parts))
-
-    def find(self, host: str | None, target: str) -> Found | None:
+        """Adds a route while the table is built; raises AmbiguousRouteError where another tenant has it."""
+        tenants = self.tenants_by_host.setdefault(route.host, {})
+        segments = split_path(route.prefix)
+        owner = tenants.get(segments, tenant)
+        if owner != tenant:
+            raise AmbiguousRouteError(route, owner, tenant)
+        tenants[segments] = tenant
+        self._max_depth[route.host] = max(self._max_depth.get(route.host, 0), len(segments))
+
+    def find(self, host: str | None, target: str) -> RouteMatch | None:
+        """Returns the tenant for a Host header and a request target, or None."""
         path = target.partition("?")[0]
-        for name in (bare(host), ANY) if host else (ANY,):
-            paths = self.table.get(name)
-            if paths is None:
+        for name in (normalize_host(host), ANY_HOST) if host else (ANY_HOST,):
+            tenants = self.tenants_by_host.get(name)
+            if tenants is None:
                 continue
-            parts = segments(path)[: self.deepest[name]]
-            for length in range(len(parts), -1, -1):
-                if (tenant := paths.get(parts[:length])) is not None:
-                    return Found(tenant, target[sum(len(part) + 1 for part in parts[:length]) :] or "/")
+            segments = split_path(path)[: self._max_depth[name]]
+            for length in range(len(segments), -1, -1):
+                tenant = tenants.get(segments[:length])
+                if tenant is not None:
+                    prefix_length = sum(len(segment) + 1 for segment in segments[:length])
+                    return RouteMatch(tenant, target[prefix_length:] or "/")
         return None
 
 
-def segments(path: str) -> tuple[str, ...]:
+def split_path(path: str) -> PathSegments:
+    """Returns the segments of a path; none for an empty one."""
     return tuple(path.removeprefix("/").split("/")) if path.strip("/") else ()
 
 
-def bare(host: str) -> str:
-    """As browsers and proxies may send it: with a port, with a dot at its end, in capitals."""
+def normalize_host(host: str) -> str:
+    """Returns the name in a Host header.
+
+    Browsers and proxies send it with a port, with a dot at its end, or in capitals.
+    """
     name = host.strip().lower()
     if name.startswith("["):
         return name.partition("]")[0] + "]"
--- a/drumgw/hosting/tenant_registry.py
+++ b/drumgw/hosting/tenant_registry.py
@@ -1,256 +1,311 @@
-"""The tenants, their versions and what is being done with them. No I/O, no clock.
+"""The tenants of a host, their versions, and the long-running operations on them. No I/O, no clock.
 
-Every change makes a version that no resource ever had, so who changes names the version that was read. A name
-that is removed is free at once: what is still in flight there belongs to the old serial number.
+Every change gives the tenant a version that nothing ever had, and a caller names the version that its change
+was made from: two administrators cannot overwrite each other without knowing. The name of a removed tenant is
+free at once; what is still in flight there belongs to the old serial number.
 """
 
 from __future__ import annotations
 
 import hashlib
 import json
-from collections.abc import Callable
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, replace
+from enum import Enum
 from typing import Any, NamedTuple
 
-from drumgw.hosting.routing import AmbiguousRouteError, Route, Routes
+from drumgw.hosting.errors import (
+    CreatedTenantGoneError,
+    IdempotencyKeyReusedError,
+    InvalidTransitionError,
+    NameTakenError,
+    OperationNotFoundError,
+    RouteTakenError,
+    TenantNotFoundError,
+    TooManyTenantsError,
+    VersionMismatchError,
+    VersionRequiredError,
+)
+from drumgw.hosting.routing import AmbiguousRouteError, Route, RoutingTable
+from drumgw.hosting.tenant_states import (
+    TRANSITIONS,
+    OperationState,
+    TenantCommand,
+    TenantState,
+    TransitionEffect,
+)
+
+MAX_TENANTS = 10_000
+MAX_IDEMPOTENCY_KEYS = 1024
+MAX_OPERATIONS = 1024
 
-MOST_TENANTS, MOST_KEYS, MOST_OPERATIONS = 10_000, 1024, 1024
-ACTIVE, SUSPENDED, DRAINING, DRAINED, REMOVED = "active", "suspended", "draining", "drained", "removed"
-RUNNING, DONE, CALLED_OFF = "running", "done", "called off"
 JsonObject = dict[str, Any]
 
 
-class ChangeRejected(Exception):
-    """A change that is not made: a status, a line, and where the mistake is."""
-
-    def __init__(
-        self, status: int, title: str, detail: str, pointer: str = "", errors: list[JsonObject] | None = None
-    ) -> None:
-        super().__init__(detail)
-        self.status, self.title, self.detail, self.pointer = status, title, detail, pointer
-        self.errors = errors
-
-
+@dataclass(slots=True)
 class Tenant:
-    __slots__ = ("name", "serial", "version", "state", "spec", "operation")
-
-    def __init__(self, name: str, serial: int, version: int, spec: JsonObject, state: str = ACTIVE) -> None:
-        self.name, self.serial, self.version, self.state, self.spec = name, serial, version, state, spec
-        self.operation: str | None = None  # that waits for its txns
+    """A tenant. Written by the registry only.
+
+    Attributes:
+        name: unique among the tenants of a moment.
+        serial: unique for ever: a name made anew is another tenant.
+        version: of the last change.
+        spec: what an operator or the tenant said of it (drumgw/config/host_file.py), as JSON.
+        state: where it is in its life.
+        operation_id: the operation that waits for its requests in flight.
+    """
+
+    name: str
+    serial: int
+    version: int
+    spec: JsonObject
+    state: TenantState = TenantState.ACTIVE
+    operation_id: str | None = None
 
     @property
     def key(self) -> str:
-        """Of what it holds: a name made anew is another tenant."""
+        """Identifies what it holds: shares, weights, connections."""
         return f"{self.name}#{self.serial}"
 
-    def told(self) -> JsonObject:
-        return {
-            "name": self.name,
-            "version": self.version,
-            "state": self.state,
-            "operation": self.operation,
-            "spec": self.spec,
-        }
+    @property
+    def routes(self) -> list[Route]:
+        """Where its requests come in."""
+        return _routes_of(self.spec)
+
+
+@dataclass(frozen=True)
+class LongRunningOperation:
+    """A drain or a removal, which takes as long as requests are in flight.
 
+    Attributes:
+        id: unique for ever.
+        kind: the command that began it.
+        tenant: the tenant's name.
+        serial: the tenant's serial number.
+        state: how far it is.
+    """
 
-class Operation(NamedTuple):
     id: str
-    kind: str
+    kind: TenantCommand
     tenant: str
     serial: int
-    state: str
+    state: OperationState
 
 
-class TenantChange(NamedTuple):
-    """For hosting: what became of a tenant."""
+class IdempotencyRecord(NamedTuple):
+    """What a create under an idempotency key did: the body's digest and the tenant it created."""
 
-    what: str  # opened, changed, marked, removed
-    tenant: Tenant
+    digest: str
+    tenant: str
+    serial: int
 
 
-def routes_of(spec: JsonObject) -> list[Route]:
-    return [Route(route["host"], route["path"]) for route in spec["route"]]
+class ChangeKind(Enum):
+    """What became of a tenant; the value is the word in the log."""
+
+    NONE = "unchanged"  # a repeat of a create that was made before
+    CREATED = "opened"
+    SPEC_REPLACED = "changed"
+    STATE_CHANGED = "state changed"
+    REMOVED = "removed"
+
+
+class TenantChange(NamedTuple):
+    """The result of a change, from which the services of the tenant follow."""
+
+    kind: ChangeKind
+    tenant: Tenant
 
 
 class TenantRegistry:
+    """The tenants by name, the routing table, the operations and the idempotency keys."""
+
     def __init__(self) -> None:
         self.tenants: dict[str, Tenant] = {}  # emptied by removals
-        self.leaving: dict[int, str] = {}  # serial: its removal; emptied as txns end
-        self.operations: dict[str, Operation] = {}  # the last MOST_OPERATIONS
-        self.keys: dict[str, tuple[str, str, int]] = {}  # the last MOST_KEYS: digest, tenant, version
-        self.counted = 0  # versions, serials and operations have numbers of one row
-        self.routes = Routes()
+        self.routes = RoutingTable()
+        self.operations: dict[str, LongRunningOperation] = {}  # the last MAX_OPERATIONS
+        self.removals: dict[int, str] = {}  # serial: id of its removal; emptied as requests end
+        self.idempotency_records: dict[str, IdempotencyRecord] = {}  # by key; the last MAX_IDEMPOTENCY_KEYS
+        self.last_number = 0  # versions, serials and operations are numbered in one sequence
 
-    def number(self) -> int:
-        self.counted += 1
-        return self.counted
+    def next_number(self) -> int:
+        """Returns a number that was never used."""
+        self.last_number += 1
+        return self.last_number
 
     def copy(self) -> TenantRegistry:
-        """To make a change in, which takes effect once it is kept."""
+        """Returns a registry to make a change in; it takes this one's place once the change is stored."""
         new = TenantRegistry()
-        for name, tenant in self.tenants.items():
-            one = new.tenants[name] = Tenant(name, tenant.serial, tenant.version, tenant.spec, tenant.state)
-            one.operation = tenant.operation
-        new.leaving, new.operations, new.keys = dict(self.leaving), dict(self.operations), dict(self.keys)
-        new.counted, new.routes = self.counted, self.routes
+        new.tenants = {name: replace(tenant) for name, tenant in self.tenants.items()}
+        new.routes = self.routes
+        new.operations = dict(self.operations)
+        new.removals = dict(self.removals)
+        new.idempotency_records = dict(self.idempotency_records)
+        new.last_number = self.last_number
         return new
 
     # Reading
 
     def get(self, name: str) -> Tenant:
-        if (tenant := self.tenants.get(name)) is None:
-            raise ChangeRejected(404, "No such tenant", f"there is no tenant {name!r}")
+        """Returns a tenant; raises TenantNotFoundError."""
+        tenant = self.tenants.get(name)
+        if tenant is None:
+            raise TenantNotFoundError(name)
         return tenant
 
-    def page(self, after: str, limit: int, only: str | None = None) -> tuple[list[Tenant], str | None]:
-        names = sorted(n for n in self.tenants if n > after and (only is None or n == only))
-        found = [self.tenants[name] for name in names[:limit]]
-        return found, names[limit - 1] if len(names) > limit else None
-
-    def operation(self, name: str) -> Operation:
-        if (found := self.operations.get(name)) is None:
-            raise ChangeRejected(
-                404, "No such operation", f"there is no operation {name!r}, or it was long ago"
-            )
-        return found
+    def list_page(self, after: str, limit: int, only: str | None = None) -> tuple[list[Tenant], str | None]:
+        """Returns tenants in the order of their names, and the name to go on after where there are more.
+
+        Args:
+            after: the last name of the page before, or "".
+            limit: how many at most.
+            only: the one tenant that the caller may see, or None.
+        """
+        names = sorted(name for name in self.tenants if name > after and only in (None, name))
+        page = [self.tenants[name] for name in names[:limit]]
+        return page, names[limit - 1] if len(names) > limit else None
+
+    def get_operation(self, operation_id: str) -> LongRunningOperation:
+        """Returns an operation; raises OperationNotFoundError."""
+        operation = self.operations.get(operation_id)
+        if operation is None:
+            raise OperationNotFoundError(f"there is no operation {operation_id!r}, or it was long ago")
+        return operation
 
     # Changes
 
-    def create(
-        self, name: str, spec: JsonObject, key: str | None = None
-    ) -> tuple[Tenant, TenantChange | None]:
-        """No change where the key says that it was made before."""
+    def create(self, name: str, spec: JsonObject, idempotency_key: str | None = None) -> TenantChange:
+        """Adds a tenant, or returns the one that the same call under this key added before.
+
+        Raises:
+            ApiError: the name or a route is taken, the registry is full, or the key came with something else
+                or belongs to a tenant that is gone.
+        """
         digest = hashlib.sha256(json.dumps([name, spec], sort_keys=True).encode()).hexdigest()
-        if key is not None and (known := self.keys.get(key)) is not None:
-            if known[0] != digest:
-                raise ChangeRejected(422, "Key used", "this idempotency key came with another body")
-            tenant = self.tenants.get(known[1])
-            if tenant is None or tenant.serial != known[2]:
-                raise ChangeRejected(410, "Gone", f"what this key created is no more: {known[1]!r}")
-            return tenant, None
+        if idempotency_key is not None and idempotency_key in self.idempotency_records:
+            return self._repeat_create(self.idempotency_records[idempotency_key], digest)
         if name in self.tenants:
-            raise ChangeRejected(409, "Name taken", f"there is a tenant {name!r}", "/name")
-        if len(self.tenants) >= MOST_TENANTS:
-            raise ChangeRejected(409, "Full", f"there are {MOST_TENANTS} tenants")
-        routes = self.compiled(name, spec)
-        number = self.number()
-        tenant = self.tenants[name] = Tenant(name, number, number, spec)
-        self.routes = routes
-        if key is not None:
-            self.keys[key] = digest, name, number
-            bound(self.keys, MOST_KEYS)
-        return tenant, TenantChange("opened", tenant)
-
-    def replace(self, name: str, spec: JsonObject, match: str | None) -> tuple[Tenant, TenantChange]:
-        tenant = self.matched(name, match)
-        routes = self.compiled(name, spec)
-        tenant.spec, tenant.version, self.routes = spec, self.number(), routes
-        return tenant, TenantChange("changed", tenant)
-
-    def mark(self, name: str, word: str, match: str | None) -> tuple[Tenant, TenantChange]:
-        tenant = self.matched(name, match)
-        row = TABLE.get((tenant.state, word))
-        if row is None:
-            raise ChangeRejected(409, "Not now", f"{name!r} is {tenant.state}: it can't be told to {word}")
-        tenant.state, effect = row
-        tenant.version = self.number()
-        if effect is not None:
-            effect(self, tenant, word)
-        return tenant, TenantChange("removed" if tenant.state == REMOVED else "marked", tenant)
-
-    def emptied(self, serial: int) -> Tenant | None:
-        """No txn is in flight there any more."""
-        if (removal := self.leaving.pop(serial, None)) is not None:
-            self.end(removal, DONE)
+            raise NameTakenError(name)
+        if len(self.tenants) >= MAX_TENANTS:
+            raise TooManyTenantsError(MAX_TENANTS)
+        self.routes = self._routes_with(name, spec)
+        number = self.next_number()
+        tenant = Tenant(name, number, number, spec)
+        self.tenants[name] = tenant
+        if idempotency_key is not None:
+            self.idempotency_records[idempotency_key] = IdempotencyRecord(digest, name, number)
+            _drop_oldest(self.idempotency_records, MAX_IDEMPOTENCY_KEYS)
+        return TenantChange(ChangeKind.CREATED, tenant)
+
+    def replace_spec(self, name: str, spec: JsonObject, if_match: str | None) -> TenantChange:
+        """Replaces a tenant's spec; raises ApiError where the version or a route does not allow it."""
+        tenant = self._get_at_version(name, if_match)
+        self.routes = self._routes_with(name, spec)
+        tenant.spec = spec
+        tenant.version = self.next_number()
+        return TenantChange(ChangeKind.SPEC_REPLACED, tenant)
+
+    def apply_command(self, name: str, command: TenantCommand, if_match: str | None) -> TenantChange:
+        """Suspends, resumes, drains or removes a tenant.
+
+        Raises:
+            ApiError: the version does not match, or the command is not possible in this state.
+        """
+        tenant = self._get_at_version(name, if_match)
+        transition = TRANSITIONS.get((tenant.state, command))
+        if transition is None:
+            raise InvalidTransitionError(f"{name!r} is {tenant.state.value}: {command.value} is not possible")
+        tenant.state = transition.state
+        tenant.version = self.next_number()
+        match transition.effect:
+            case TransitionEffect.BEGIN_DRAIN:
+                self._begin_operation(tenant, command)
+            case TransitionEffect.CANCEL_DRAIN:
+                self._end_operation(tenant.operation_id, OperationState.CANCELLED)
+                tenant.operation_id = None
+            case TransitionEffect.REMOVE:
+                self._remove(tenant)
+        removed = tenant.state is TenantState.REMOVED
+        return TenantChange(ChangeKind.REMOVED if removed else ChangeKind.STATE_CHANGED, tenant)
+
+    def finish_drain(self, serial: int) -> Tenant | None:
+        """Records that no request of a tenant is in flight any more; returns the tenant if it is there."""
+        removal = self.removals.pop(serial, None)
+        if removal is not None:
+            self._end_operation(removal, OperationState.DONE)
             return None
-        tenant = next((t for t in self.tenants.values() if t.serial == serial), None)
-        if tenant is not None and tenant.state == DRAINING:
-            tenant.state, tenant.version = DRAINED, self.number()
-            self.end(tenant.operation, DONE)
-            tenant.operation = None
+        tenant = next((tenant for tenant in self.tenants.values() if tenant.serial == serial), None)
+        if tenant is not None and tenant.state is TenantState.DRAINING:
+            tenant.state = TenantState.DRAINED
+            tenant.version = self.next_number()
+            self._end_operation(tenant.operation_id, OperationState.DONE)
+            tenant.operation_id = None
         return tenant
 
-    # What they share
+    # Parts of changes
 
-    def matched(self, name: str, match: str | None) -> Tenant:
+    def _repeat_create(self, record: IdempotencyRecord, digest: str) -> TenantChange:
+        if record.digest != digest:
+            raise IdempotencyKeyReusedError
+        tenant = self.tenants.get(record.tenant)
+        if tenant is None or tenant.serial != record.serial:
+            raise CreatedTenantGoneError(record.tenant)
+        return TenantChange(ChangeKind.NONE, tenant)
+
+    def _get_at_version(self, name: str, if_match: str | None) -> Tenant:
         tenant = self.get(name)
-        if match is None:
-            raise ChangeRejected(428, "Version wanted", "say in If-Match which version this was made from")
-        if match.strip() != f'"{tenant.version}"':
-            raise ChangeRejected(412, "Changed meanwhile", f"{name!r} is at version {tenant.version}")
+        if if_match is None:
+            raise VersionRequiredError
+        if if_match.strip() != f'"{tenant.version}"':
+            raise VersionMismatchError(name, tenant.version)
         return tenant
 
-    def compiled(self, name: str, spec: JsonObject) -> Routes:
-        """The whole table as it would be."""
-        others = [(t.name, r) for t in self.tenants.values() if t.name != name for r in routes_of(t.spec)]
-        routes = Routes(others)
-        for place, route in enumerate(routes_of(spec)):
+    def _routes_with(self, name: str, spec: JsonObject) -> RoutingTable:
+        """Returns the routing table as it would be; raises RouteTakenError."""
+        routes = _routing_table(tenant for tenant in self.tenants.values() if tenant.name != name)
+        for position, route in enumerate(_routes_of(spec)):
             try:
                 routes.add(name, route)
-            except AmbiguousRouteError as bad:
-                raise ChangeRejected(409, "Route taken", str(bad), f"/route/{place}") from bad
+            except AmbiguousRouteError as error:
+                raise RouteTakenError(position, str(error)) from error
         return routes
 
-    def begin(self, tenant: Tenant, word: str) -> None:
-        one = Operation(f"op-{self.number()}", word, tenant.name, tenant.serial, RUNNING)
-        self.operations[one.id] = one
-        tenant.operation = one.id
-        bound(self.operations, MOST_OPERATIONS)
-
-    def end(self, name: str | None, state: str) -> None:
-        if name is not None and name in self.operations:
-            self.operations[name] = self.operations[name]._replace(state=state)
-
-    # Effects
-
-    def drain(self, tenant: Tenant, word: str) -> None:
-        self.begin(tenant, word)
-
-    def remove(self, tenant: Tenant, word: str) -> None:
-        self.end(tenant.operation, CALLED_OFF)
-        self.begin(tenant, word)
-        assert tenant.operation is not None
-        self.leaving[tenant.serial] = tenant.operation
+    def _remove(self, tenant: Tenant) -> None:
+        self._end_operation(tenant.operation_id, OperationState.CANCELLED)
+        self.removals[tenant.serial] = self._begin_operation(tenant, TenantCommand.REMOVE)
         del self.tenants[tenant.name]
-        self.routes = Routes((t.name, r) for t in self.tenants.values() for r in routes_of(t.spec))
-
-    def call_off(self, tenant: Tenant, _word: str) -> None:
-        self.end(tenant.operation, CALLED_OFF)
-        tenant.operation = None
-
-    # State that outlives the process
+        self.rebuild_routes()
+
+    def rebuild_routes(self) -> None:
+        """Compiles the routing table of the tenants that are there."""
+        self.routes = _routing_table(self.tenants.values())
+
+    def _begin_operation(self, tenant: Tenant, kind: TenantCommand) -> str:
+        operation = LongRunningOperation(
+            id=f"op-{self.next_number()}",
+            kind=kind,
+            tenant=tenant.name,
+            serial=tenant.serial,
+            state=OperationState.RUNNING,
+        )
+        self.operations[operation.id] = operation
+        tenant.operation_id = operation.id
+        _drop_oldest(self.operations, MAX_OPERATIONS)
+        return operation.id
+
+    def _end_operation(self, operation_id: str | None, state: OperationState) -> None:
+        if operation_id is not None and operation_id in self.operations:
+            self.operations[operation_id] = replace(self.operations[operation_id], state=state)
+
+
+def _routes_of(spec: Mapping[str, Any]) -> list[Route]:
+    return [Route(route["host"], route["path"]) for route in spec["route"]]
 
-    def kept(self) -> JsonObject:
-        rows = [[t.name, t.serial, t.version, t.state, t.spec] for t in self.tenants.values()]
-        return {"counted": self.counted, "tenants": rows, "keys": self.keys}
 
-    @classmethod
-    def of(cls, kept: JsonObject) -> TenantRegistry:
-        """A process that ended has no txns in flight: what drained has drained."""
-        registry = cls()
-        registry.counted = kept["counted"]
-        registry.keys = {key: (str(d), str(name), int(n)) for key, (d, name, n) in kept["keys"].items()}
-        for name, serial, version, state, spec in kept["tenants"]:
-            state = DRAINED if state == DRAINING else state
-            registry.tenants[name] = Tenant(name, serial, version, spec, state)
-        registry.routes = Routes((t.name, r) for t in registry.tenants.values() for r in routes_of(t.spec))
-        return registry
+def _routing_table(tenants: Iterable[Tenant]) -> RoutingTable:
+    return RoutingTable((tenant.name, route) for tenant in tenants for route in tenant.routes)
 
 
-def bound(table: dict[str, Any], most: int) -> None:
-    while len(table) > most:
+def _drop_oldest(table: dict[str, Any], max_size: int) -> None:
+    while len(table) > max_size:
         del table[next(iter(table))]
-
-
-Effect = Callable[[TenantRegistry, Tenant, str], None]
-TABLE: dict[tuple[str, str], tuple[str, Effect | None]] = {
-    (ACTIVE, "suspend"): (SUSPENDED, None),
-    (SUSPENDED, "resume"): (ACTIVE, None),
-    (ACTIVE, "drain"): (DRAINING, TenantRegistry.drain),
-    (SUSPENDED, "drain"): (DRAINING, TenantRegistry.drain),
-    (DRAINING, "resume"): (ACTIVE, TenantRegistry.call_off),
-    (DRAINED, "resume"): (ACTIVE, None),
-    (ACTIVE, "remove"): (REMOVED, TenantRegistry.remove),
-    (SUSPENDED, "remove"): (REMOVED, TenantRegistry.remove),
-    (DRAINING, "remove"): (REMOVED, TenantRegistry.remove),
-    (DRAINED, "remove"): (REMOVED, TenantRegistry.remove),
-}
--- a/drumgw/hosting/tenant_services.py
+++ b/drumgw/hosting/tenant_services.py
@@ -1,242 +1,307 @@
-"""The stations of all tenants: opened, moved, replaced and shut as the registry's changes say."""
+"""The running services of all tenants: started, reconfigured, replaced and closed as the registry changes."""
 
 from __future__ import annotations
 
 import asyncio
 from collections import Counter
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Coroutine
+from typing import Any, NamedTuple
 
 from loguru import logger
 from pydantic import ValidationError
 
-from drumgw.config.host_file import HostFile, TenantSpec, tenant_config
+from drumgw.config.host_file import MIN_ENDPOINT_CONNECTIONS, HostFile, TenantSpec, tenant_config
 from drumgw.gateway.clock import StallAwareClock
-from drumgw.gateway.process_config import ConfigError
+from drumgw.gateway.process_config import ConfigError, GatewayConfig
 from drumgw.gateway.service import GatewayService
-from drumgw.hosting.resource_limits import FairShares, FairTurns
+from drumgw.hosting.registry_persistence import registry_to_json
+from drumgw.hosting.request_admission import RequestAdmission
 from drumgw.hosting.state_file import StateFile
-from drumgw.hosting.tenant_registry import ACTIVE, DRAINING, JsonObject, Tenant, TenantChange, TenantRegistry
+from drumgw.hosting.tenant_registry import ChangeKind, JsonObject, Tenant, TenantChange, TenantRegistry
+from drumgw.hosting.tenant_service import TenantService
+from drumgw.hosting.tenant_states import TenantState
 
-LAG_BEAT_MS = 50.0
-MOVES = ("discovery", "counter")  # a station goes on with others of these
-OUTSIDE = ("route", "weight")  # and knows nothing of these
+LAG_INTERVAL_MS = 50.0  # between two measurements of the event loop's lag
+LAG_DECAY = 0.5  # of the lag from one measurement to the next
+SOCKETS_PER_REQUEST = 3  # where the operator's file does not bound the requests in flight
+NOT_SERVED_RETRY_AFTER_MS = 1000.0  # for requests of a tenant that is not served now
+REJECTED_RETRY_AFTER_MS = 500.0  # for requests beyond a tenant's share, where its settings name no time
 
+# Keys of a spec that a running service takes over, and those that it does not know of.
+RECONFIGURABLE_KEYS = frozenset({"discovery", "counter"})
+KEYS_OUTSIDE_SERVICE = frozenset({"route", "weight"})
 
-class TenantService:
-    """A tenant's station, and what is in flight there."""
 
-    def __init__(self, tenant: Tenant, service: GatewayService) -> None:
-        self.name, self.serial, self.spec, self.service = tenant.name, tenant.serial, tenant.spec, service
-        self.key = tenant.key
-        self.ids: set[str] = set()  # of open txns; emptied by their ends
-        self.open = self.taken = self.turned_away = 0
-        self.ready = False
-        self.empty: Callable[[], None] | None = None  # called once nothing is in flight
+class AdmissionResult(NamedTuple):
+    """The service that a request is for; None where it is rejected, with the time to come back after."""
+
+    service: TenantService | None
+    retry_after_ms: float = 0.0
 
 
 class TenantServices:
+    """The services by tenant, and the one place where the registry is changed.
+
+    Attributes:
+        registry: the tenants; replaced by each change.
+        services: of the tenants that are there, by name.
+        replacements: by name; each takes its tenant's place once it is ready.
+        closing: services that finish what is in flight there.
+        awaiting_drain: tenants that are removed or draining with requests in flight; key: serial.
+    """
+
     def __init__(
-        self, house: HostFile, clock: StallAwareClock, registry: TenantRegistry, store: StateFile | None
+        self, file: HostFile, clock: StallAwareClock, registry: TenantRegistry, state_file: StateFile | None
     ) -> None:
-        self.house, self.clock, self.registry, self.store = house, clock, registry, store
-        self.most = house.host.txns or house.limits.sockets // 3
-        self.shares, self.turns = FairShares(self.most), FairTurns()
-        self.seats: dict[str, TenantService] = {}  # by name; emptied by removals
-        self.coming: dict[str, TenantService] = {}  # that take a seat's place once they are ready
-        self.leaving: set[TenantService] = set()  # that finish; emptied as they end
-        self.tasks: set[asyncio.Task[Any]] = set()  # emptied as they end
-        self.lock = asyncio.Lock()  # changes come one after another
-        self.weights: dict[str, float] = {}  # by key; emptied by removals
-        self.drains: dict[str, int] = {}  # key: serial of who waits to be empty; emptied by that
+        self.registry = registry
+        self.state_file = state_file
+        self.clock = clock
+        self.capacity = file.host.txns or file.limits.sockets // SOCKETS_PER_REQUEST
+        self.admission = RequestAdmission(self.capacity)
+        self.services: dict[str, TenantService] = {}
+        self.replacements: dict[str, TenantService] = {}
+        self.closing: set[TenantService] = set()
+        self.awaiting_drain: dict[str, int] = {}
+        self._file = file
+        self._tasks: set[asyncio.Task[Any]] = set()  # emptied as they end
+        self._change_lock = asyncio.Lock()
 
     # Start and end
 
     def open(self) -> None:
+        """Starts the services of the tenants that are there."""
         for tenant in self.registry.tenants.values():
-            self.seat(tenant)
-        self.spawn(self.watch_lag())
+            self._start_service(tenant)
+        self._spawn(self._measure_event_loop_lag())
 
     async def close(self) -> None:
-        for task in list(self.tasks):
+        """Closes all services; whoever calls has seen to it that nothing is in flight."""
+        for task in list(self._tasks):
             task.cancel()
-        for seat in {*self.seats.values(), *self.coming.values(), *self.leaving}:
-            await seat.service.return_reservations()
-            await seat.service.close()
-
-    def spawn(self, work: Any) -> asyncio.Task[Any]:
-        task = asyncio.get_running_loop().create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-        return task
+        for service in {*self.services.values(), *self.replacements.values(), *self.closing}:
+            await service.close()
+
+    def longest_deadline_ms(self) -> float:
+        """Returns the longest time that any tenant gives a request."""
+        return max(
+            (service.gateway_service.config.longest_deadline_ms for service in self.services.values()),
+            default=0.0,
+        )
 
-    async def watch_lag(self) -> None:
-        while True:
-            due = self.clock.now() + LAG_BEAT_MS
-            await asyncio.sleep(LAG_BEAT_MS / 1000)
-            late = self.clock.now() - due
-            self.turns.lag_ms = max(late, self.turns.lag_ms / 2)
-
-    # Changes: kept first, then made
-
-    async def change(self, make: Callable[[TenantRegistry], tuple[Any, TenantChange | None]]) -> Any:
-        """On a copy, which takes the registry's place once it is kept; nothing is half applied."""
-        async with self.lock:
-            new = self.registry.copy()
-            found, change = make(new)
-            if change is not None:
-                if change.what in ("opened", "changed"):
-                    self.fits(change.tenant)
-                if self.store is not None:
-                    await asyncio.to_thread(self.store.save, new.kept())
-                self.registry = new
-                self.apply(change)
-            return found
-
-    def fits(self, tenant: Tenant) -> None:
-        """Raises BadCharter where a station could not be made of it."""
-        tenant_config(self.house, tenant.name, tenant.serial, TenantSpec.model_validate(tenant.spec), 2)
-
-    def apply(self, change: TenantChange) -> None:
+    # Changes
+
+    async def change(self, make: Callable[[TenantRegistry], TenantChange]) -> TenantChange:
+        """Makes a change in a copy of the registry, stores it, then lets it take effect.
+
+        Guards against half a change: where anything fails before the copy is stored, the registry that stands
+        is untouched. Changes come one after another.
+
+        Args:
+            make: changes the registry that it is given.
+
+        Raises:
+            ApiError: the registry does not allow the change.
+            ConfigError: no service could be made of the spec.
+            OSError: the state file cannot be written.
+        """
+        async with self._change_lock:
+            registry = self.registry.copy()
+            change = make(registry)
+            if change.kind is ChangeKind.NONE:
+                return change
+            if change.kind in (ChangeKind.CREATED, ChangeKind.SPEC_REPLACED):
+                self._check_configurable(change.tenant)
+            await self._store(registry)
+            self.registry = registry
+            self._apply(change)
+            return change
+
+    async def _store(self, registry: TenantRegistry) -> None:
+        if self.state_file is not None:
+            await asyncio.to_thread(self.state_file.save, registry_to_json(registry))
+
+    def _check_configurable(self, tenant: Tenant) -> None:
+        spec = TenantSpec.model_validate(tenant.spec)
+        tenant_config(self._file, tenant.name, tenant.serial, spec, MIN_ENDPOINT_CONNECTIONS)
+
+    def _apply(self, change: TenantChange) -> None:
         tenant = change.tenant
-        logger.info("tenant {}: {}, version {}, {}", tenant.name, change.what, tenant.version, tenant.state)
-        if change.what == "opened":
-            self.seat(tenant)
-        elif change.what == "changed":
-            self.renew(tenant)
-        elif change.what == "removed":
-            self.remove(tenant)
-        elif tenant.state == DRAINING:
-            self.await_empty(tenant.key, tenant.serial)
-        else:
-            self.drains.pop(tenant.key, None)
-
-    def seat(self, tenant: Tenant) -> None:
-        self.shares.put(tenant.key, tenant.spec["weight"])
-        self.weights[tenant.key] = tenant.spec["weight"]
-        seat = self.seats[tenant.name] = TenantService(tenant, self.service(tenant))
-        self.spawn(self.begin(seat))
-
-    def service(self, tenant: Tenant) -> GatewayService:
-        try:
-            spec = TenantSpec.model_validate(tenant.spec)
-        except ValidationError as bad:  # from a state file of other days
-            raise ConfigError(f"tenant {tenant.name}: {bad.errors()[0]['msg']}") from bad
-        lines = self.shares.holds_most(tenant.key)
-        return GatewayService(tenant_config(self.house, tenant.name, tenant.serial, spec, lines), self.clock)
-
-    async def begin(self, seat: TenantService) -> None:
-        """Nobody is let in there before its own discovery has spoken: one that takes another's place would
-        refuse what that one still serves."""
-        seat.service.start()
-        await seat.service.discovery.start(None)
-        seat.ready = True
-        if self.coming.get(seat.name) is seat:
-            old = self.seats[seat.name]
-            del self.coming[seat.name]
-            self.seats[seat.name] = seat
-            self.retire(old)
         logger.info(
-            "tenant {}: serves, {} workers listed", seat.name, len(seat.service.discovery.membership.rows)
+            "tenant {}: {}, version {}, {}",
+            tenant.name,
+            change.kind.value,
+            tenant.version,
+            tenant.state.value,
         )
-
-    def renew(self, tenant: Tenant) -> None:
-        """A station goes on where it can; else a new one takes its place once it knows its workers."""
-        seat = self.coming.get(tenant.name) or self.seats[tenant.name]
-        self.shares.put(seat.key, tenant.spec["weight"])
-        self.weights[seat.key] = tenant.spec["weight"]
-        inner = {k for k in tenant.spec.keys() | seat.spec.keys() if tenant.spec.get(k) != seat.spec.get(k)}
-        inner -= set(OUTSIDE)
-        moves = inner <= set(MOVES) and (tenant.spec["counter"] is None) == (seat.spec["counter"] is None)
-        if moves:
-            if inner:
+        match change.kind:
+            case ChangeKind.CREATED:
+                self._start_service(tenant)
+            case ChangeKind.SPEC_REPLACED:
+                self._update_service(tenant)
+            case ChangeKind.REMOVED:
+                self._remove_service(tenant)
+            case ChangeKind.STATE_CHANGED if tenant.state is TenantState.DRAINING:
+                self._check_drained(tenant.key, tenant.serial)
+            case ChangeKind.STATE_CHANGED:
+                self.awaiting_drain.pop(tenant.key, None)
+
+    # Services
+
+    def _start_service(self, tenant: Tenant) -> None:
+        self.admission.set_weight(tenant.key, tenant.spec["weight"])
+        service = self._create_service(tenant)
+        self.services[tenant.name] = service
+        self._spawn(self._run_until_ready(service))
+
+    def _create_service(self, tenant: Tenant) -> TenantService:
+        try:
+            spec = TenantSpec.model_validate(tenant.spec)
+        except ValidationError as error:  # from the state file of another release
+            raise ConfigError(f"tenant {tenant.name}: {error.errors()[0]['msg']}") from error
+        config = self._config_of(tenant, spec, self.admission.shares.limit_of(tenant.key))
+        return TenantService(tenant, GatewayService(config, self.clock))
+
+    def _config_of(self, tenant: Tenant, spec: TenantSpec, max_endpoint_connections: int) -> GatewayConfig:
+        return tenant_config(self._file, tenant.name, tenant.serial, spec, max_endpoint_connections)
+
+    async def _run_until_ready(self, service: TenantService) -> None:
+        """Starts a service; it takes its tenant's requests once its own discovery has spoken.
+
+        Guards against rejecting what is still served: a replacement without an endpoint list would reject
+        every request that the service before it can forward.
+        """
+        gateway_service = service.gateway_service
+        gateway_service.start()
+        await gateway_service.discovery.start(None)
+        service.is_ready = True
+        if self.replacements.get(service.name) is service:
+            replaced = self.services[service.name]
+            del self.replacements[service.name]
+            self.services[service.name] = service
+            self._retire(replaced)
+        endpoint_count = len(gateway_service.discovery.membership.rows)
+        logger.info("tenant {}: serves, {} endpoints listed", service.name, endpoint_count)
+
+    def _update_service(self, tenant: Tenant) -> None:
+        """Lets a tenant's service take over the new spec, or starts a replacement where it cannot."""
+        service = self.replacements.get(tenant.name) or self.services[tenant.name]
+        self.admission.set_weight(service.key, tenant.spec["weight"])
+        changed_keys = _changed_keys(service.spec, tenant.spec) - KEYS_OUTSIDE_SERVICE
+        gains_or_loses_counter = (tenant.spec["counter"] is None) != (service.spec["counter"] is None)
+        if changed_keys <= RECONFIGURABLE_KEYS and not gains_or_loses_counter:
+            if changed_keys:
+                gateway_service = service.gateway_service
+                max_connections = gateway_service.config.max_endpoint_connections
                 spec = TenantSpec.model_validate(tenant.spec)
-                lines = seat.service.config.max_endpoint_connections
-                seat.service.reconfigure(tenant_config(self.house, tenant.name, tenant.serial, spec, lines))
-            seat.spec = tenant.spec
-            return
-        new = TenantService(tenant, self.service(tenant))
-        new.ids = seat.ids  # an id is open in the tenant, whichever station has it
-        if (waiting := self.coming.pop(tenant.name, None)) is not None:
-            self.retire(waiting)
-        self.coming[tenant.name] = new
-        self.spawn(self.begin(new))
-
-    def remove(self, tenant: Tenant) -> None:
-        seat = self.seats.pop(tenant.name)
-        if (waiting := self.coming.pop(tenant.name, None)) is not None:
-            self.retire(waiting)
-        self.shares.drop(seat.key)
-        self.weights.pop(seat.key, None)
-        self.retire(seat)
-        self.await_empty(seat.key, seat.serial)
-
-    # What is in flight
-
-    def take(self, name: str) -> tuple[TenantService | None, float]:
-        """The seat that a txn may go to, or none and when to come back (ms)."""
-        tenant, seat = self.registry.tenants.get(name), self.seats.get(name)
-        if tenant is None or seat is None or tenant.state != ACTIVE or not seat.ready:
-            return None, 1000.0
-        if not self.turns.take(self.clock.now(), seat.key, self.weights) or not self.shares.take(seat.key):
-            seat.turned_away += 1
-            return None, seat.service.config.settings.max_retry_after_ms or 500.0
-        seat.open, seat.taken = seat.open + 1, seat.taken + 1
-        return seat, 0.0
-
-    def give(self, seat: TenantService) -> None:
-        seat.open -= 1
-        self.shares.give(seat.key)
-        if not seat.open and seat.empty is not None:
-            empty, seat.empty = seat.empty, None
-            empty()
-        if seat.key in self.drains:
-            self.await_empty(seat.key, seat.serial)
-
-    def await_empty(self, key: str, serial: int) -> None:
-        """Whichever station its txns are at."""
-        part = self.shares.parts.get(key)
-        if part is not None and part.open:
-            self.drains[key] = serial
+                gateway_service.reconfigure(self._config_of(tenant, spec, max_connections))
+            service.spec = tenant.spec
         else:
-            self.drains.pop(key, None)
-            self.spawn(self.emptied(serial))
-
-    def when_empty(self, seat: TenantService, call: Callable[[], Any]) -> None:
-        if seat.open:
-            seat.empty = call
+            self._replace_service(tenant, service)
+
+    def _replace_service(self, tenant: Tenant, replaced: TenantService) -> None:
+        replacement = self._create_service(tenant)
+        # Guards against two requests of one id: an id is open in the tenant, whichever service has it.
+        replacement.open_request_ids = replaced.open_request_ids
+        self._discard_replacement(tenant.name)
+        self.replacements[tenant.name] = replacement
+        self._spawn(self._run_until_ready(replacement))
+
+    def _remove_service(self, tenant: Tenant) -> None:
+        service = self.services.pop(tenant.name)
+        self._discard_replacement(tenant.name)
+        self.admission.remove(service.key)
+        self._retire(service)
+        self._check_drained(service.key, service.serial)
+
+    def _discard_replacement(self, name: str) -> None:
+        replacement = self.replacements.pop(name, None)
+        if replacement is not None:
+            self._retire(replacement)
+
+    def _retire(self, service: TenantService) -> None:
+        """Closes a service once nothing is in flight there."""
+        self.closing.add(service)
+        service.when_idle(lambda: self._spawn(self._close_service(service)))
+
+    async def _close_service(self, service: TenantService) -> None:
+        await service.close()
+        self.closing.discard(service)
+        logger.info("tenant {}: a service of serial {} has closed", service.name, service.serial)
+
+    # Requests
+
+    def admit(self, name: str) -> AdmissionResult:
+        """Admits a request for a tenant; an admitted one must be released."""
+        tenant = self.registry.tenants.get(name)
+        service = self.services.get(name)
+        is_served = tenant is not None and tenant.state is TenantState.ACTIVE
+        if service is None or not is_served or not service.is_ready:
+            return AdmissionResult(None, NOT_SERVED_RETRY_AFTER_MS)
+        if not self.admission.admit(self.clock.now(), service.key):
+            service.rejected_count += 1
+            retry_after_ms = service.gateway_service.config.settings.max_retry_after_ms
+            return AdmissionResult(None, retry_after_ms or REJECTED_RETRY_AFTER_MS)
+        service.begin_request()
+        return AdmissionResult(service)
+
+    def release(self, service: TenantService) -> None:
+        """Records that an admitted request ended."""
+        self.admission.release(service.key)
+        service.end_request()
+        if service.key in self.awaiting_drain:
+            self._check_drained(service.key, service.serial)
+
+    def _check_drained(self, key: str, serial: int) -> None:
+        """Ends a drain or removal now, or waits for the requests in flight, whichever service has them."""
+        if self.admission.has_requests_in_flight(key):
+            self.awaiting_drain[key] = serial
         else:
-            call()
-
-    def retire(self, seat: TenantService) -> None:
-        self.leaving.add(seat)
-        self.when_empty(seat, lambda: self.spawn(self.shut(seat)))
-
-    async def shut(self, seat: TenantService) -> None:
-        await seat.service.return_reservations()
-        await seat.service.close()
-        self.leaving.discard(seat)
-        logger.info("tenant {}: a station of serial {} has gone", seat.name, seat.serial)
-
-    async def emptied(self, serial: int) -> None:
-        async with self.lock:
-            self.registry.emptied(serial)
-            if self.store is not None:
-                await asyncio.to_thread(self.store.save, self.registry.kept())
-
-    # For the API
-
-    def use(self, name: str) -> JsonObject:
-        seat = self.seats[name]
-        part = self.shares.parts[seat.key]
-        service = seat.service
+            self.awaiting_drain.pop(key, None)
+            self._spawn(self._finish_drain(serial))
+
+    async def _finish_drain(self, serial: int) -> None:
+        async with self._change_lock:
+            self.registry.finish_drain(serial)
+            await self._store(self.registry)
+
+    # What is seen from outside
+
+    def usage_report(self, name: str) -> JsonObject:
+        """Returns what a tenant uses now, in the API's words."""
+        service = self.services[name]
+        gateway_service = service.gateway_service
+        share = self.admission.shares.tenants[service.key]
+        endpoints = gateway_service.discovery.membership.rows.values()
         return {
-            "ready": seat.ready,
-            "open": seat.open,
-            "taken": seat.taken,
-            "turned_away": seat.turned_away,
-            "share": {"own": part.own, "most": self.shares.holds_most(seat.key), "refused": part.refused},
-            "workers": Counter(row.info.status.value for row in service.discovery.membership.rows.values()),
-            "lines": len(service.endpoint_clients.pool.connections),
-            "discovery_heard": service.discovery.is_connected,
+            "ready": service.is_ready,
+            "open": service.in_flight,
+            "taken": service.admitted_count,
+            "turned_away": service.rejected_count,
+            "share": {
+                "own": share.guaranteed,
+                "most": self.admission.shares.limit_of(service.key),
+                "refused": share.refused_count,
+            },
+            "workers": Counter(endpoint.info.status.value for endpoint in endpoints),
+            "lines": len(gateway_service.endpoint_clients.pool.connections),
+            "discovery_heard": gateway_service.discovery.is_connected,
         }
+
+    # Tasks
+
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _measure_event_loop_lag(self) -> None:
+        while True:
+            due_ms = self.clock.now() + LAG_INTERVAL_MS
+            await asyncio.sleep(LAG_INTERVAL_MS / 1000)
+            late_ms = self.clock.now() - due_ms
+            turns = self.admission.turns
+            turns.lag_ms = max(late_ms, turns.lag_ms * LAG_DECAY)
+
+
+def _changed_keys(old: JsonObject, new: JsonObject) -> set[str]:
+    return {key for key in old.keys() | new.keys() if old.get(key) != new.get(key)}
--- /dev/null
+++ b/tests/hosting_harness.py
@@ -0,0 +1,173 @@
+"""A host on sockets for tests: its API, and for each tenant an endpoint and a discovery of the test's."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import re
+import tempfile
+from collections import defaultdict
+from typing import Any, NamedTuple
+from unittest import mock
+
+from loguru import logger
+
+from drumgw.config.host_file import HostFile
+from drumgw.hosting.authentication import hash_token
+from drumgw.hosting.host_process import HostProcess
+from tests.scripted_server import StandIn, http, read_message
+from tests.test_gateway import GateCase, instance
+
+OPERATOR_TOKEN = "operator-token"
+TENANT_TOKEN = "tenant-token"
+REQUEST_CLASSES = [
+    {"name": "preview", "sla_ms": 2000.0, "expiry_ms": 8000.0, "repeat": "inquiry-like"},
+    {"name": "sale", "value": 3.0, "sla_ms": 800.0, "expiry_ms": 2500.0, "repeat": "once-only"},
+]
+PLANS = [{"name": "p", "units_per_s": 1000.0, "burst_units": 1000.0}]
+TARGET = "/preview?account=00000000b4d65521"
+NEW_FOLDER = ""
+POLL_S = 0.001
+
+
+class ApiResponse(NamedTuple):
+    """What the administration API answered."""
+
+    status: int
+    body: Any
+    headers: dict[str, str]
+
+
+class SharedCounter:
+    """Scripts a counter server that adds up what is reported."""
+
+    def __init__(self) -> None:
+        self.totals: defaultdict[str, float] = defaultdict(float)
+
+    def answer(self, head: bytes, body: bytes) -> bytes:
+        call = re.match(rb"POST /counters/([^?]+)\?by=([^&]+)", head)
+        assert call
+        key = call[1].decode()
+        self.totals[key] += float(call[2])
+        return http(f"{self.totals[key]:.7g}".encode())
+
+
+class HostCase(GateCase):
+    """Starts hosts and ends them with the test."""
+
+    def setUp(self) -> None:
+        self.endpoints: dict[str, StandIn] = {}  # by tenant
+
+    async def tenant(self, name: str, answer: Any = None, **more: Any) -> dict[str, Any]:
+        """Returns a tenant of a host's file, with an endpoint that answers with the tenant's name."""
+        endpoint = await self.stand_in(http(name.encode()) if answer is None else answer)
+        rows = [instance("s-0", endpoint.address)]  # the same id at all tenants
+        endpoint_list = http(json.dumps({"generation": 1, "reset": True, "instances": rows}).encode())
+        discovery = await self.stand_in(lambda head, body: endpoint_list if b"since=" not in head else None)
+        self.endpoints[name] = endpoint
+        return {
+            "name": name,
+            "route": [{"host": f"{name}.example"}],
+            "discovery": discovery.address,
+            "zone": "x",
+            "zones": ["x"],
+            "product": REQUEST_CLASSES,
+            "plan": PLANS,
+            **more,
+        }
+
+    def folder(self) -> str:
+        """Returns a new folder that is removed with the test."""
+        return self.enterContext(tempfile.TemporaryDirectory())
+
+    async def start_host(
+        self, *tenants: dict[str, Any], state: str | None = NEW_FOLDER, ready: bool = True, **more: Any
+    ) -> HostProcess:
+        """Starts a host with a state folder, and waits until all tenants are served."""
+        file = {
+            "version": 1,
+            "host": {
+                "name": "h0",
+                "listen": "127.0.0.1:0",
+                "api": "127.0.0.1:0",
+                "state": self.folder() if state == NEW_FOLDER else state,
+                **more,
+            },
+            "token": [
+                {"id": "ops", "role": "operator", "sha256": hash_token(OPERATOR_TOKEN)},
+                {"id": "own", "role": "tenant", "tenant": "t1", "sha256": hash_token(TENANT_TOKEN)},
+            ],
+            "tenant": list(tenants),
+        }
+        host_process = HostProcess(HostFile.model_validate_json(json.dumps(file)))
+        self.host_process = host_process
+        self.place, self.api = await host_process.open()
+        self.addAsyncCleanup(self.close_host, host_process)
+        if ready:
+            await self.until_ready()
+        return host_process
+
+    async def close_host(self, host_process: HostProcess) -> None:
+        with mock.patch("drumgw.hosting.host_process.SHUTDOWN_LINGER_MS", 0.0):
+            await host_process.close()
+
+    async def until_ready(self) -> None:
+        services = self.host_process.services
+        while services.replacements or not all(s.is_ready for s in services.services.values()):
+            await asyncio.sleep(POLL_S)
+
+    async def until_closed(self) -> None:
+        """Waits until replaced and removed services are closed."""
+        while self.host_process.services.closing:
+            await asyncio.sleep(POLL_S)
+
+    async def until_received(self, endpoint: StandIn) -> None:
+        while not endpoint.came:
+            await asyncio.sleep(POLL_S)
+
+    async def until_done(self, operation_id: str) -> None:
+        while (await self.call("GET", f"/v1/operations/{operation_id}")).body["state"] == "running":
+            await asyncio.sleep(POLL_S)
+
+    async def send(self, tenant: str, target: str = TARGET, **headers: str | None) -> tuple[int, bytes]:
+        """Sends a request to a tenant by its host name; returns status and body."""
+        defaults = {"Host": f"{tenant}.example", "Request_Timeout": "2500m", "Plan": "p"}
+        status, body, _ = await self.ask(target, "GET", b"", None, **{**defaults, **headers})
+        return status, body
+
+    async def call(
+        self,
+        method: str,
+        path: str,
+        body: Any = None,
+        token: str | None = OPERATOR_TOKEN,
+        raw: bytes | None = None,
+        **headers: str,
+    ) -> ApiResponse:
+        """Calls the administration API."""
+        reader, writer = await asyncio.open_connection(*self.api)
+        text = b"" if body is None else json.dumps(body).encode()
+        if raw is not None:
+            text = raw
+        fields = {
+            "Host": "api",
+            "Connection": "close",
+            "Content-Type": "application/json",
+            "Content-Length": str(len(text)),
+            **{name.replace("_", "-"): value for name, value in headers.items()},
+        }
+        if token is not None:
+            fields["Authorization"] = f"Bearer {token}"
+        lines = [f"{method} {path} HTTP/1.1", *(f"{k}: {v}" for k, v in fields.items()), "", ""]
+        writer.write("\r\n".join(lines).encode() + text)
+        head, answer = await read_message(reader)
+        writer.close()
+        received = dict(line.split(": ", 1) for line in head.decode().split("\r\n")[1:] if ": " in line)
+        return ApiResponse(int(head.split()[1]), json.loads(answer or b"null"), received)
+
+    def log_lines(self) -> list[str]:
+        """Returns a list that receives the log's lines until the end of the test."""
+        lines: list[str] = []
+        sink = logger.add(lambda line: lines.append(str(line)), format="{message}")
+        self.addCleanup(logger.remove, sink)
+        return lines
--- a/tests/test_hosting_openapi.py
+++ b/tests/test_hosting_openapi.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from drumgw.hosting.openapi import document
+from drumgw.hosting.openapi import openapi_document
 
 SCHEMA_TITLES = {
     "Allowed": "Allowed",
@@ -37,11 +37,11 @@
     """A renamed class or a new docstring must not reach the API's clients."""
 
     def test_schema_names_and_titles_stay(self) -> None:
-        schemas = document()["components"]["schemas"]
+        schemas = openapi_document()["components"]["schemas"]
         self.assertEqual({name: schema.get("title") for name, schema in schemas.items()}, SCHEMA_TITLES)
 
     def test_properties_and_their_titles_stay(self) -> None:
-        schemas = document()["components"]["schemas"]
+        schemas = openapi_document()["components"]["schemas"]
         for name, properties in {**PROPERTIES, "Named": PROPERTIES["Spec"] + " name"}.items():
             with self.subTest(name):
                 self.assertEqual(sorted(schemas[name]["properties"]), sorted(properties.split()))
@@ -50,10 +50,10 @@
                         self.assertEqual(schema["title"], key.replace("_", " ").title())
 
     def test_descriptions_are_the_published_ones(self) -> None:
-        schemas = document()["components"]["schemas"]
+        schemas = openapi_document()["components"]["schemas"]
         described = {name for name, schema in schemas.items() if "description" in schema}
         self.assertEqual(described, {"Allowed", "Named", "Rules", "Spec", "Way", "Worker", "limits"})
 
     def test_lists_refer_to_the_published_names(self) -> None:
-        schemas = document()["components"]["schemas"]
+        schemas = openapi_document()["components"]["schemas"]
         self.assertEqual({name: schemas[name]["items"]["$ref"] for name in ITEMS}, ITEMS)
--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -1,4 +1,4 @@
-"""What a host decides without I/O: routes, shares, turns, the registry, access; and its state file."""
+"""What a host decides without I/O: routes, shares, turns, the registry, permissions; and its state file."""
 
 from __future__ import annotations
 
@@ -8,42 +8,42 @@
 import random
 import tempfile
 import unittest
+from collections import Counter
+from collections.abc import Callable
 from typing import Any
 
-from drumgw.hosting.admin_api import LIST
+from drumgw.hosting.api_operations import OPERATIONS
 from drumgw.hosting.authentication import (
-    OPERATOR,
-    TENANT,
+    ApiToken,
     Authenticator,
-    Token,
-    hash_of,
+    Permission,
+    Role,
+    create_token,
+    hash_token,
     is_allowed,
-    new_token,
 )
-from drumgw.hosting.resource_limits import FairShares, FairTurns
-from drumgw.hosting.routing import AmbiguousRouteError, Route, Routes
-from drumgw.hosting.state_file import Disk, StateFile, StateFileError
+from drumgw.hosting.errors import ApiError
+from drumgw.hosting.fair_turns import FairTurns
+from drumgw.hosting.registry_persistence import registry_from_json, registry_to_json
+from drumgw.hosting.resource_limits import FairShares
+from drumgw.hosting.routing import AmbiguousRouteError, Route, RoutingTable
+from drumgw.hosting.state_file import FileSystem, LoadedState, NewerVersionError, StateFile, StateFileError
 from drumgw.hosting.tenant_registry import (
-    ACTIVE,
-    DONE,
-    DRAINED,
-    DRAINING,
-    MOST_KEYS,
-    MOST_OPERATIONS,
-    RUNNING,
-    SUSPENDED,
-    ChangeRejected,
+    MAX_IDEMPOTENCY_KEYS,
+    MAX_OPERATIONS,
+    ChangeKind,
     TenantRegistry,
 )
+from drumgw.hosting.tenant_states import OperationState, TenantCommand, TenantState
 
 
 def spec(*routes: tuple[str, str], **more: Any) -> dict[str, Any]:
-    return {"route": [{"host": h, "path": p} for h, p in routes], "weight": 1.0, **more}
+    return {"route": [{"host": host, "path": path} for host, path in routes], "weight": 1.0, **more}
 
 
-class Finding(unittest.TestCase):
+class Routing(unittest.TestCase):
     def test_the_exact_host_then_the_longer_prefix(self) -> None:
-        routes = Routes(
+        routes = RoutingTable(
             [
                 ("any", Route("", "")),
                 ("a", Route("a.example", "")),
@@ -66,175 +66,232 @@
         ):
             with self.subTest(host=host, target=target):
                 self.assertEqual(routes.find(host, target), (tenant, path))
-        self.assertIsNone(Routes([("a", Route("a.example", ""))]).find("b.example", "/"))
-        self.assertIsNone(Routes([("a", Route("", "/x"))]).find(None, "/%78/preview"))
+        self.assertIsNone(RoutingTable([("a", Route("a.example", ""))]).find("b.example", "/"))
+        self.assertIsNone(RoutingTable([("a", Route("", "/x"))]).find(None, "/%78/preview"))
 
-    def test_one_route_for_two_tenants_is_refused_with_both(self) -> None:
+    def test_one_route_for_two_tenants_is_refused_with_both_names(self) -> None:
         with self.assertRaisesRegex(AmbiguousRouteError, "any host/x is routed to a and to b"):
-            Routes([("a", Route("", "/x")), ("a", Route("", "/x")), ("b", Route("", "/x"))])
+            RoutingTable([("a", Route("", "/x")), ("a", Route("", "/x")), ("b", Route("", "/x"))])
 
 
-class Sharing(unittest.TestCase):
-    def test_each_keeps_its_part_and_nobody_borrows_all(self) -> None:
+class SharedCapacity(unittest.TestCase):
+    def test_each_tenant_keeps_its_share_and_nobody_borrows_all(self) -> None:
+        """Two tenants ask for as much as they can get before the third asks for anything.
+
+        Each gets its share and half of what is borrowable; the third still gets its whole share.
+        """
         shares = FairShares(100)
         for name, weight in (("big", 3.0), ("one", 1.0), ("two", 1.0)):
-            shares.put(name, weight)
-        self.assertEqual([p.own for p in shares.parts.values()], [30, 10, 10])
-        self.assertEqual(sum(shares.take("one") for _ in range(1000)), 10 + 25)  # and half of what is lent
-        self.assertEqual(sum(shares.take("two") for _ in range(1000)), 10 + 25)
-        self.assertEqual(sum(shares.take("big") for _ in range(1000)), 30)  # all was lent; its part was not
-        shares.give("one")
-        self.assertTrue(shares.take("big"))
-        self.assertEqual((shares.parts["one"].refused, shares.lent), (965, 50))
-
-    def test_any_order_of_takes_gives_and_changes_adds_up(self) -> None:
+            shares.set_weight(name, weight)
+        self.assertEqual([share.guaranteed for share in shares.tenants.values()], [30, 10, 10])
+        self.assertEqual(sum(shares.acquire("one") for _ in range(1000)), 10 + 25)
+        self.assertEqual(sum(shares.acquire("two") for _ in range(1000)), 10 + 25)
+        self.assertEqual(sum(shares.acquire("big") for _ in range(1000)), 30)  # nothing is left to borrow
+        shares.release("one")
+        self.assertTrue(shares.acquire("big"))
+        self.assertEqual((shares.tenants["one"].refused_count, shares.borrowed), (965, 50))
+
+    def test_any_order_of_calls_adds_up(self) -> None:
         chance = random.Random(5)
         for _ in range(40):
-            shares, held, names = FairShares(chance.randint(2, 60)), dict[str, int](), "abcdef"
+            shares = FairShares(chance.randint(2, 60))
+            held: Counter[str] = Counter()
             for _ in range(400):
-                name, what = chance.choice(names), chance.random()
-                if what < 0.08:
-                    shares.put(name, chance.choice((0.5, 1.0, 4.0)))
-                elif what < 0.11 and name in shares.parts:
-                    shares.drop(name)
-                elif what < 0.6:
-                    if shares.take(name):
-                        held[name] = held.get(name, 0) + 1
-                elif held.get(name):
-                    shares.give(name)
+                name = chance.choice("abcdef")
+                choice = chance.random()
+                if choice < 0.08:
+                    shares.set_weight(name, chance.choice((0.5, 1.0, 4.0)))
+                elif choice < 0.11 and name in shares.tenants:
+                    shares.remove(name)
+                elif choice < 0.6:
+                    held[name] += shares.acquire(name)
+                elif held[name]:
+                    shares.release(name)
                     held[name] -= 1
-                self.assertEqual(
-                    {n: p.open for n, p in shares.parts.items() if p.open},
-                    {n: count for n, count in held.items() if count},
-                )
-                self.assertEqual(shares.lent, sum(max(0, p.open - p.own) for p in shares.parts.values()))
-
-    def test_while_the_loop_lags_who_rushes_waits_and_who_does_not_is_served(self) -> None:
-        turns, weights = FairTurns(), {"rush": 1.0, "calm": 1.0}
-        calm = sum(turns.take(now, "calm", weights) for now in range(0, 1000, 50))
-        self.assertEqual(sum(turns.take(999.0, "rush", weights) for _ in range(400)), 400)  # no lag
+                in_use = {name: share.in_use for name, share in shares.tenants.items() if share.in_use}
+                self.assertEqual(in_use, {name: count for name, count in held.items() if count})
+                borrowed = sum(max(0, share.in_use - share.guaranteed) for share in shares.tenants.values())
+                self.assertEqual(shares.borrowed, borrowed)
+
+    def test_while_the_loop_lags_a_rushing_tenant_waits_and_a_calm_one_is_served(self) -> None:
+        """One tenant rushes while another asks now and then, and the event loop falls behind.
+
+        Without lag both are served. With it the rushing one is rejected until its rush is forgotten, the
+        calm one never; a tenant that is alone is not rejected.
+        """
+        turns = FairTurns()
+        weights = {"rush": 1.0, "calm": 1.0}
+        calm = sum(turns.admit(now, "calm", weights) for now in range(0, 1000, 50))
+        self.assertEqual(sum(turns.admit(999.0, "rush", weights) for _ in range(400)), 400)
         turns.lag_ms = 100.0
-        self.assertFalse(turns.take(1000.0, "rush", weights))
-        self.assertTrue(turns.take(1000.0, "calm", weights))
+        self.assertFalse(turns.admit(1000.0, "rush", weights))
+        self.assertTrue(turns.admit(1000.0, "calm", weights))
         self.assertEqual(calm, 20)
-        self.assertTrue(turns.take(3000.0, "rush", weights))  # forgotten, and alone
-        self.assertEqual(sum(turns.take(3001.0, "rush", weights) for _ in range(50)), 50)
+        self.assertTrue(turns.admit(3000.0, "rush", weights))
+        self.assertEqual(sum(turns.admit(3001.0, "rush", weights) for _ in range(50)), 50)
 
 
-class Registering(unittest.TestCase):
-    def refused(self, status: int, call: Any, *args: Any) -> ChangeRejected:
-        with self.assertRaises(ChangeRejected) as no:
-            call(*args)
-        self.assertEqual(no.exception.status, status, no.exception)
-        return no.exception
+class Registry(unittest.TestCase):
+    def assert_rejected(self, status: int, call: Callable[..., Any], *arguments: Any) -> ApiError:
+        with self.assertRaises(ApiError) as context:
+            call(*arguments)
+        self.assertEqual(context.exception.status, status, context.exception)
+        return context.exception
 
     def test_versions_keep_two_administrators_apart(self) -> None:
-        r = TenantRegistry()
-        tenant, change = r.create("a", spec(("a.example", "")))
-        assert change
-        self.assertEqual((change.what, tenant.version), ("opened", 1))
-        self.refused(428, r.replace, "a", spec(("a.example", "")), None)
-        r.replace("a", spec(("a.example", "/x")), '"1"')
-        self.refused(412, r.replace, "a", spec(("a.example", "/y")), '"1"')
-        self.refused(412, r.mark, "a", "suspend", '"1"')
-        self.assertEqual(r.routes.find("a.example", "/x/p"), ("a", "/p"))
-        self.refused(404, r.replace, "b", spec(), '"1"')
-
-    def test_a_route_of_another_is_refused_and_nothing_changes(self) -> None:
-        r = TenantRegistry()
-        r.create("a", spec(("a.example", "")))
-        no = self.refused(409, r.create, "b", spec(("b.example", ""), ("a.example", "")))
-        self.assertEqual((no.pointer, list(r.tenants)), ("/route/1", ["a"]))
-        self.assertIsNone(r.routes.find("b.example", "/"))
-        r.create("b", spec(("b.example", "")))
-        self.refused(409, r.replace, "b", spec(("a.example", "")), '"2"')
-        self.assertEqual(r.tenants["b"].version, 2)
-
-    def test_states(self) -> None:
-        r = TenantRegistry()
-        r.create("a", spec(("a.example", "")))
-        for word, state in (
-            ("suspend", SUSPENDED),
-            ("resume", ACTIVE),
-            ("drain", DRAINING),
-            ("resume", ACTIVE),
-            ("drain", DRAINING),
+        """Two administrators read a version and both change it: the second one's change is rejected."""
+        registry = TenantRegistry()
+        change = registry.create("a", spec(("a.example", "")))
+        self.assertEqual((change.kind, change.tenant.version), (ChangeKind.CREATED, 1))
+        self.assert_rejected(428, registry.replace_spec, "a", spec(("a.example", "")), None)
+        registry.replace_spec("a", spec(("a.example", "/x")), '"1"')
+        self.assert_rejected(412, registry.replace_spec, "a", spec(("a.example", "/y")), '"1"')
+        self.assert_rejected(412, registry.apply_command, "a", TenantCommand.SUSPEND, '"1"')
+        self.assertEqual(registry.routes.find("a.example", "/x/p"), ("a", "/p"))
+        self.assert_rejected(404, registry.replace_spec, "b", spec(), '"1"')
+
+    def test_a_route_of_another_tenant_is_refused_and_nothing_changes(self) -> None:
+        registry = TenantRegistry()
+        registry.create("a", spec(("a.example", "")))
+        error = self.assert_rejected(409, registry.create, "b", spec(("b.example", ""), ("a.example", "")))
+        self.assertEqual([field.pointer for field in error.field_errors], ["/route/1"])
+        self.assertEqual(list(registry.tenants), ["a"])
+        self.assertIsNone(registry.routes.find("b.example", "/"))
+        registry.create("b", spec(("b.example", "")))
+        self.assert_rejected(409, registry.replace_spec, "b", spec(("a.example", "")), '"2"')
+        self.assertEqual(registry.tenants["b"].version, 2)
+
+    def test_commands_lead_from_state_to_state(self) -> None:
+        registry = TenantRegistry()
+        registry.create("a", spec(("a.example", "")))
+        for command, state in (
+            (TenantCommand.SUSPEND, TenantState.SUSPENDED),
+            (TenantCommand.RESUME, TenantState.ACTIVE),
+            (TenantCommand.DRAIN, TenantState.DRAINING),
+            (TenantCommand.RESUME, TenantState.ACTIVE),
+            (TenantCommand.DRAIN, TenantState.DRAINING),
         ):
-            tenant, _ = r.mark("a", word, f'"{r.tenants["a"].version}"')
+            tenant = registry.apply_command("a", command, f'"{registry.tenants["a"].version}"').tenant
             self.assertEqual(tenant.state, state)
-        version = f'"{tenant.version}"'
-        self.refused(409, r.mark, "a", "suspend", version)
-        operation = tenant.operation or ""
-        self.assertEqual([o.state for o in r.operations.values()], ["called off", RUNNING])
-        r.emptied(tenant.serial)
-        self.assertEqual((tenant.state, r.operation(operation).state), (DRAINED, DONE))
-        self.refused(412, r.mark, "a", "resume", version)
-
-    def test_a_name_is_free_at_once_and_what_was_there_is_not_mixed_up(self) -> None:
-        r = TenantRegistry()
-        old, _ = r.create("a", spec(("a.example", "")), "key-1")
-        gone, change = r.mark("a", "remove", '"1"')
-        self.assertEqual((change.what, r.routes.find("a.example", "/")), ("removed", None))
-        self.refused(410, r.create, "a", spec(("a.example", "")), "key-1")  # that one is no more
-        new, _ = r.create("a", spec(("a.example", "")))
+        etag = f'"{tenant.version}"'
+        self.assert_rejected(409, registry.apply_command, "a", TenantCommand.SUSPEND, etag)
+        operation_id = tenant.operation_id or ""
+        self.assertEqual(
+            [operation.state for operation in registry.operations.values()],
+            [OperationState.CANCELLED, OperationState.RUNNING],
+        )
+        registry.finish_drain(tenant.serial)
+        self.assertEqual(tenant.state, TenantState.DRAINED)
+        self.assertEqual(registry.get_operation(operation_id).state, OperationState.DONE)
+        self.assert_rejected(412, registry.apply_command, "a", TenantCommand.RESUME, etag)
+
+    def test_the_words_on_the_wire_and_in_the_state_file_stay(self) -> None:
+        """Stored files and clients know these words; the names in the code may change, they may not."""
+        self.assertEqual(
+            [state.value for state in TenantState],
+            ["active", "suspended", "draining", "drained", "removed"],
+        )
+        self.assertEqual([state.value for state in OperationState], ["running", "done", "called off"])
+        self.assertEqual(
+            [command.value for command in TenantCommand], ["suspend", "resume", "drain", "remove"]
+        )
+        self.assertEqual([role.value for role in Role], ["operator", "tenant"])
+
+    def test_a_removed_name_is_free_at_once_and_the_old_tenant_is_not_mixed_up(self) -> None:
+        """A tenant is removed and created anew under its name while requests of the old one are in flight.
+
+        Versions, idempotency keys and the end of the removal belong to the old serial number.
+        """
+        registry = TenantRegistry()
+        old = registry.create("a", spec(("a.example", "")), "key-1").tenant
+        removal = registry.apply_command("a", TenantCommand.REMOVE, '"1"')
+        self.assertEqual(removal.kind, ChangeKind.REMOVED)
+        self.assertIsNone(registry.routes.find("a.example", "/"))
+        self.assert_rejected(410, registry.create, "a", spec(("a.example", "")), "key-1")
+        new = registry.create("a", spec(("a.example", ""))).tenant
         self.assertNotEqual((new.serial, new.version), (old.serial, old.version))
-        self.refused(412, r.mark, "a", "remove", '"1"')
-        self.assertIsNone(r.emptied(old.serial))
-        self.assertEqual((r.operation(gone.operation or "").state, r.tenants["a"].state), (DONE, ACTIVE))
+        self.assert_rejected(412, registry.apply_command, "a", TenantCommand.REMOVE, '"1"')
+        self.assertIsNone(registry.finish_drain(old.serial))
+        operation = registry.get_operation(removal.tenant.operation_id or "")
+        self.assertEqual(operation.state, OperationState.DONE)
+        self.assertEqual(registry.tenants["a"].state, TenantState.ACTIVE)
 
     def test_repeats_of_a_create_act_once(self) -> None:
-        r = TenantRegistry()
-        first, _ = r.create("a", spec(("a.example", "")), "k")
-        again, change = r.create("a", spec(("a.example", "")), "k")
-        self.assertIs(again, first)
-        self.assertIsNone(change)
-        self.refused(422, r.create, "a", spec(("b.example", "")), "k")
-        self.refused(409, r.create, "a", spec(("a.example", "")), "other")
-        self.refused(409, r.create, "a", spec(("a.example", "")))
+        """The answer of a create is lost and it is sent again under its idempotency key."""
+        registry = TenantRegistry()
+        first = registry.create("a", spec(("a.example", "")), "k").tenant
+        repeat = registry.create("a", spec(("a.example", "")), "k")
+        self.assertIs(repeat.tenant, first)
+        self.assertEqual(repeat.kind, ChangeKind.NONE)
+        self.assert_rejected(422, registry.create, "a", spec(("b.example", "")), "k")
+        self.assert_rejected(409, registry.create, "a", spec(("a.example", "")), "other")
+        self.assert_rejected(409, registry.create, "a", spec(("a.example", "")))
 
     def test_pages(self) -> None:
-        r = TenantRegistry()
+        registry = TenantRegistry()
         for n in range(7):
-            r.create(f"t{n}", spec((f"h{n}", "")))
-        found, after = r.page("", 3)
-        self.assertEqual(([t.name for t in found], after), (["t0", "t1", "t2"], "t2"))
-        found, after = r.page("t5", 3)
-        self.assertEqual(([t.name for t in found], after), (["t6"], None))
-        self.assertEqual([t.name for t in r.page("", 9, "t4")[0]], ["t4"])
+            registry.create(f"t{n}", spec((f"h{n}", "")))
+        page, after = registry.list_page("", 3)
+        self.assertEqual(([tenant.name for tenant in page], after), (["t0", "t1", "t2"], "t2"))
+        page, after = registry.list_page("t5", 3)
+        self.assertEqual(([tenant.name for tenant in page], after), (["t6"], None))
+        self.assertEqual([tenant.name for tenant in registry.list_page("", 9, "t4")[0]], ["t4"])
 
     def test_thousands_come_and_go_and_no_table_grows(self) -> None:
-        r = TenantRegistry()
+        registry = TenantRegistry()
         for n in range(3000):
-            tenant, _ = r.create("t", spec(("h", "")), f"key-{n}")
-            r.mark("t", "drain", f'"{tenant.version}"')
-            r.mark("t", "remove", f'"{tenant.version}"')
-            r.emptied(tenant.serial)
-        self.assertEqual((len(r.tenants), len(r.leaving), r.routes.table), (0, 0, {}))
-        self.assertEqual((len(r.keys), len(r.operations)), (MOST_KEYS, MOST_OPERATIONS))
-
-    def test_what_is_kept_comes_back_and_a_copy_is_apart(self) -> None:
-        r = TenantRegistry()
-        r.create("a", spec(("a.example", "")), "k")
-        b, _ = r.create("b", spec(("b.example", "")))
-        r.mark("b", "drain", f'"{b.version}"')
-        copy = r.copy()
-        copy.mark("a", "suspend", '"1"')
-        self.assertEqual((r.tenants["a"].state, copy.tenants["a"].state), (ACTIVE, SUSPENDED))
-        back = TenantRegistry.of(json.loads(json.dumps(r.kept())))
-        self.assertEqual([(t.name, t.state) for t in back.tenants.values()], [("a", ACTIVE), ("b", DRAINED)])
-        self.assertEqual(back.routes.find("b.example", "/p"), ("b", "/p"))
-        self.assertEqual(back.create("a", spec(("a.example", "")), "k")[1], None)
-        self.assertGreater(back.number(), r.counted)
-
-
-class Allowed(unittest.TestCase):
+            tenant = registry.create("t", spec(("h", "")), f"key-{n}").tenant
+            registry.apply_command("t", TenantCommand.DRAIN, f'"{tenant.version}"')
+            registry.apply_command("t", TenantCommand.REMOVE, f'"{tenant.version}"')
+            registry.finish_drain(tenant.serial)
+        self.assertEqual((len(registry.tenants), len(registry.removals)), (0, 0))
+        self.assertEqual(registry.routes.tenants_by_host, {})
+        self.assertEqual(len(registry.idempotency_records), MAX_IDEMPOTENCY_KEYS)
+        self.assertEqual(len(registry.operations), MAX_OPERATIONS)
+
+    def test_what_is_stored_comes_back_and_a_copy_is_apart(self) -> None:
+        """A host is restarted: what was draining has drained, and idempotency keys are still known."""
+        registry = TenantRegistry()
+        registry.create("a", spec(("a.example", "")), "k")
+        b = registry.create("b", spec(("b.example", ""))).tenant
+        registry.apply_command("b", TenantCommand.DRAIN, f'"{b.version}"')
+        copy = registry.copy()
+        copy.apply_command("a", TenantCommand.SUSPEND, '"1"')
+        states = (registry.tenants["a"].state, copy.tenants["a"].state)
+        self.assertEqual(states, (TenantState.ACTIVE, TenantState.SUSPENDED))
+        restored = registry_from_json(json.loads(json.dumps(registry_to_json(registry))))
+        self.assertEqual(
+            [(tenant.name, tenant.state) for tenant in restored.tenants.values()],
+            [("a", TenantState.ACTIVE), ("b", TenantState.DRAINED)],
+        )
+        self.assertEqual(restored.routes.find("b.example", "/p"), ("b", "/p"))
+        self.assertEqual(restored.create("a", spec(("a.example", "")), "k").kind, ChangeKind.NONE)
+        self.assertGreater(restored.next_number(), registry.last_number)
+
+    def test_a_stored_registry_keeps_its_form(self) -> None:
+        """A state file of the release before must be read, and one of this release by the one before."""
+        registry = TenantRegistry()
+        registry.create("a", spec(("a.example", "")), "k")
+        digest = registry.idempotency_records["k"].digest
+        self.assertEqual(
+            json.loads(json.dumps(registry_to_json(registry))),
+            {
+                "counted": 1,
+                "tenants": [["a", 1, 1, "active", spec(("a.example", ""))]],
+                "keys": {"k": [digest, "a", 1]},
+            },
+        )
+
+
+class Permissions(unittest.TestCase):
     def test_a_token_is_known_by_its_hash(self) -> None:
-        text, digest = new_token()
-        one, other = Token("one", OPERATOR, None, digest), Token("two", TENANT, "a", hash_of("x"))
-        access = Authenticator((one, other))
-        for header, who in (
-            (f"Bearer {text}", one),
-            ("bearer x", other),
+        text, digest = create_token()
+        operator = ApiToken("one", Role.OPERATOR, None, digest)
+        tenant = ApiToken("two", Role.TENANT, "a", hash_token("x"))
+        authenticator = Authenticator((operator, tenant))
+        for header, caller in (
+            (f"Bearer {text}", operator),
+            ("bearer x", tenant),
             (f"Bearer {digest}", None),
             (None, None),
             ("Basic x", None),
@@ -243,98 +300,127 @@
             ("Bearer \udce9", None),
         ):
             with self.subTest(header):
-                self.assertEqual(access.who(header), who)
-
-    def test_each_role_and_call(self) -> None:
-        own = {"list", "read", "read part", "use", "replace", "replace part", "drain", "resume", "operation"}
-        operator, tenant = Token("o", OPERATOR, None, ""), Token("t", TENANT, "a", "")
-        for action, _ in LIST:
-            with self.subTest(action.name):
-                self.assertTrue(is_allowed(operator, action.name, "a"))
-                self.assertEqual(is_allowed(tenant, action.name, "a"), action.name in own)
-                self.assertFalse(is_allowed(tenant, action.name, "b"))
-
-
-class Dying(Disk):
-    """The process ends at the call of a number, or in the midst of a write."""
-
-    def __init__(self, at: int, part: float) -> None:
-        self.left, self.part = at, part
-
-    def step(self) -> None:
-        self.left -= 1
-        if self.left < 0:
+                self.assertEqual(authenticator.authenticate(header), caller)
+
+    def test_each_role_and_operation(self) -> None:
+        allowed_to_tenants = {
+            Permission.LIST,
+            Permission.READ,
+            Permission.READ_PART,
+            Permission.READ_USAGE,
+            Permission.REPLACE,
+            Permission.REPLACE_PART,
+            Permission.DRAIN,
+            Permission.RESUME,
+            Permission.READ_OPERATION,
+        }
+        operator = ApiToken("o", Role.OPERATOR, None, "")
+        tenant = ApiToken("t", Role.TENANT, "a", "")
+        for operation in OPERATIONS:
+            permission = operation.permission
+            with self.subTest(permission):
+                self.assertTrue(is_allowed(operator, permission, "a"))
+                self.assertEqual(is_allowed(tenant, permission, "a"), permission in allowed_to_tenants)
+                self.assertFalse(is_allowed(tenant, permission, "b"))
+
+
+class DyingFileSystem(FileSystem):
+    """Ends the process at the call of a number, or in the midst of a write."""
+
+    def __init__(self, calls_left: int, written_fraction: float) -> None:
+        self.calls_left = calls_left
+        self.written_fraction = written_fraction
+
+    def count_call(self) -> None:
+        self.calls_left -= 1
+        if self.calls_left < 0:
             raise KeyboardInterrupt
 
     def write(self, path: pathlib.Path, data: bytes) -> None:
         try:
-            self.step()
+            self.count_call()
         except KeyboardInterrupt:
-            path.write_bytes(data[: int(len(data) * self.part)])
+            path.write_bytes(data[: int(len(data) * self.written_fraction)])
             raise
         super().write(path, data)
 
-    def link(self, old: pathlib.Path, new: pathlib.Path) -> None:
-        self.step()
-        super().link(old, new)
+    def link(self, source: pathlib.Path, target: pathlib.Path) -> None:
+        self.count_call()
+        super().link(source, target)
 
-    def replace(self, old: pathlib.Path, new: pathlib.Path) -> None:
-        self.step()
-        super().replace(old, new)
+    def replace(self, source: pathlib.Path, target: pathlib.Path) -> None:
+        self.count_call()
+        super().replace(source, target)
 
     def remove(self, path: pathlib.Path) -> None:
-        self.step()
+        self.count_call()
         super().remove(path)
 
     def sync(self, folder: pathlib.Path) -> None:
-        self.step()
+        self.count_call()
         super().sync(folder)
 
 
-class Keeping(unittest.TestCase):
+class StateFiles(unittest.TestCase):
     def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = folder.name
+        self.folder = self.enterContext(tempfile.TemporaryDirectory())
+
+    def load(self) -> LoadedState:
+        loaded = StateFile(self.folder).load()
+        assert loaded is not None
+        return loaded
 
     def test_killed_at_every_point_of_a_write(self) -> None:
-        """Whatever was kept last, or what was being written, is read; never anything else."""
-        chance, kept = random.Random(3), 0
+        """The process is killed at each step of a write, again and again.
+
+        What was stored last, or what was being written, is read; never anything else, and without a warning.
+        """
+        chance = random.Random(3)
+        stored = 0
         StateFile(self.folder).save({"n": 0})
         for n in range(1, 2000):
-            at = chance.randrange(7)
+            calls_left = chance.randrange(7)
             try:
-                told = {"n": n, "text": "x" * chance.randrange(99)}
-                StateFile(self.folder, Dying(at, chance.random())).save(told)
-                kept = n
+                content = {"n": n, "text": "x" * chance.randrange(99)}
+                StateFile(self.folder, DyingFileSystem(calls_left, chance.random())).save(content)
+                stored = n
             except KeyboardInterrupt:
                 pass
-            content, said = StateFile(self.folder).load()
-            self.assertIsNone(said)
-            self.assertIn(content["n"], (kept, n))
-            kept = content["n"]
-        self.assertGreater(kept, 1900)
+            loaded = self.load()
+            self.assertIsNone(loaded.warning)
+            self.assertIn(loaded.content["n"], (stored, n))
+            stored = loaded.content["n"]
+        self.assertGreater(stored, 1900)
         self.assertLessEqual(len(os.listdir(self.folder)), 4)
 
     def test_a_damaged_file_gives_way_to_the_last_good_one(self) -> None:
-        store = StateFile(self.folder)
-        self.assertEqual(store.load(), (None, None))
-        store.save({"n": 1})
-        store.save({"n": 2})
-        whole = store.path.read_bytes()
+        """The disk damages the state file: cut, emptied, or with a bit turned.
+
+        The copy of the state before is read, with a warning; without a copy the file is refused.
+        """
+        state_file = StateFile(self.folder)
+        self.assertIsNone(state_file.load())
+        state_file.save({"n": 1})
+        state_file.save({"n": 2})
+        whole = state_file.path.read_bytes()
         for damaged in (whole[:-1], whole[:9], b"", whole.replace(b'"n":2', b'"n":3'), b"\x00\xff"):
-            store.path.write_bytes(damaged)
-            content, said = store.load()
-            self.assertEqual(content, {"n": 1})
-            self.assertIn("the last good state stands", said or "")
-        store.last.unlink()
+            state_file.path.write_bytes(damaged)
+            loaded = self.load()
+            self.assertEqual(loaded.content, {"n": 1})
+            self.assertIn("the last good state stands", loaded.warning or "")
+        state_file.last_good_path.unlink()
         with self.assertRaisesRegex(StateFileError, "no state file"):
-            store.load()
+            state_file.load()
 
     def test_a_file_of_a_newer_version_is_refused_in_one_line(self) -> None:
-        store = StateFile(self.folder)
-        store.save({"n": 1})
-        store.save({"n": 2})
-        store.path.write_bytes(store.path.read_bytes().replace(b'"drumgw state": 1', b'"drumgw state": 2'))
-        with self.assertRaisesRegex(StateFileError, "newer version, 2$"):
-            store.load()
+        """A host is started in an older release than the one that wrote its folder.
+
+        The last good copy, which the older release could read, must not take the newer file's place.
+        """
+        state_file = StateFile(self.folder)
+        state_file.save({"n": 1})
+        state_file.save({"n": 2})
+        content = state_file.path.read_bytes()
+        state_file.path.write_bytes(content.replace(b'"drumgw state": 1', b'"drumgw state": 2'))
+        with self.assertRaisesRegex(NewerVersionError, "newer version, 2$"):
+            state_file.load()
