--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is polled, and what an outage of discovery does. Discovery is a script of the tests."""
+"""When the endpoint list is polled, and what an outage of discovery does. Discovery is scripted here."""
 
 from __future__ import annotations
 
