--- a/drumgw/cli/__init__.py
+++ b/drumgw/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: drumgw serve, check, lab."""
+"""The command line: one module for each group of commands, and the runners that they import when called."""
--- /dev/null
+++ b/drumgw/cli/lab_commands.py
@@ -0,0 +1,96 @@
+"""drumgw lab: scenarios played against gateways in the testbed, and reports on them."""
+
+from __future__ import annotations
+
+import sys
+from typing import Any
+
+import click
+
+from drumgw.cli.exit_codes import ExitCode, exit_with_error
+
+MAX_SEED = 2**63
+
+
+@click.group()
+def lab() -> None:
+    """The testbed: play a scenario against gateways, check the rules, report."""
+
+
+@lab.command("run")
+@click.argument("scenario", type=click.Path(dir_okay=False))
+@click.option("--seed", type=click.IntRange(0, MAX_SEED), default=1, show_default=True)
+@click.option(
+    "--virtual",
+    is_flag=True,
+    help="On a virtual clock in this process, instead of real gateways on sockets.",
+)
+@click.option(
+    "--out", type=click.Path(file_okay=False), help="Where to leave the run.  [default: runs/NAME-SEED]"
+)
+@click.option("--quiet", is_flag=True, help="Print nothing but broken rules.")
+def run_scenario(scenario: str, seed: int, virtual: bool, out: str | None, quiet: bool) -> None:
+    """Play SCENARIO, a scenario file, with real gateways on loopback, or on a virtual clock."""
+    from drumgw.config.file_reader import FileError
+    from drumgw.testbed.report import rules, text
+    from drumgw.testbed.runner import Stopped, run_day
+    from drumgw.testbed.scenario import read_scenario
+
+    try:
+        name = read_scenario(scenario).name
+        figures = run_day(scenario, seed, out or f"runs/{name}-{seed}", virtual)
+    except FileError as error:
+        exit_with_error(error)
+    except Stopped:
+        exit_with_error("stopped; no gateway was left behind", ExitCode.STOPPED)
+    except (RuntimeError, OSError) as error:
+        exit_with_error(error, ExitCode.CANNOT_RUN)
+    click.echo("\n".join(rules([figures])) if quiet else text([figures]))
+    sys.exit(_exit_code([figures]))
+
+
+@lab.command("report")
+@click.argument("runs", nargs=-1, required=True, type=click.Path(exists=True, file_okay=False))
+@click.option(
+    "--against",
+    multiple=True,
+    type=click.Path(exists=True, file_okay=False),
+    help="A run to set beside them; may be given several times.",
+)
+@click.option("--json", "as_json", is_flag=True, help="The figures for programs.")
+@click.option("--plots", type=click.Path(file_okay=False), help="Draw plots into this folder.")
+@click.option("--form", type=click.Choice(["svg", "png"]), default="svg", show_default=True)
+def report(
+    runs: tuple[str, ...], against: tuple[str, ...], as_json: bool, plots: str | None, form: str
+) -> None:
+    """Report on RUNS, folders that `lab run` left: together with their spread, or beside others."""
+    from drumgw.config.file_reader import FileError
+    from drumgw.testbed import report as reports
+    from drumgw.testbed.event_log import EventLogError
+
+    try:
+        figures = [reports.read_run(run) for run in runs]
+        compared = [reports.read_run(run) for run in against]
+    except (FileError, EventLogError) as error:
+        exit_with_error(error)
+    if as_json:
+        click.echo(reports.as_json([*figures, *compared]))
+    elif compared:
+        click.echo(reports.beside(figures, compared))
+    else:
+        click.echo(reports.text(figures))
+    if plots is not None:
+        _draw(figures, plots, form)
+    sys.exit(_exit_code(figures))
+
+
+def _draw(figures: list[dict[str, Any]], folder: str, form: str) -> None:
+    from drumgw.testbed.plots import plot
+
+    for path in plot(figures, folder, form):
+        click.echo(f"drawn: {path}")
+
+
+def _exit_code(figures: list[dict[str, Any]]) -> ExitCode:
+    broken = any(run["breaches"] or not run["valid"] for run in figures)
+    return ExitCode.RULE_BROKEN if broken else ExitCode.DONE
--- /dev/null
+++ b/drumgw/cli/logging_setup.py
@@ -0,0 +1,25 @@
+"""The log of a process that was started from an operator's file."""
+
+from __future__ import annotations
+
+import sys
+
+from loguru import logger
+
+from drumgw.config.sections import LogSection
+
+TEXT_FORMAT = "{time:HH:mm:ss.SSS} {level: <7} {message}"
+
+
+def configure_logging(log: LogSection, as_json: bool = False) -> None:
+    """Logs to standard error in the form and from the level that the file says.
+
+    Args:
+        log: the file's section.
+        as_json: whether lines are JSON objects, whatever the file says.
+    """
+    logger.remove()
+    if as_json or log.form == "json":
+        logger.add(sys.stderr, level=log.level, serialize=True)
+    else:
+        logger.add(sys.stderr, level=log.level, format=TEXT_FORMAT)
--- a/drumgw/cli/tenant_commands.py
+++ b/drumgw/cli/tenant_commands.py
@@ -2,65 +2,17 @@
 
 from __future__ import annotations
 
-import http.client
 import json
 import os
-import sys
-import time
 from typing import Any
-from urllib.parse import quote, urlencode
+from urllib.parse import urlencode
 
 import click
 
-CALL_S, POLL_S = 10.0, 0.2
-Told = tuple[int, dict[str, str], Any]
-
-
-class Caller:
-    def __init__(self, api: str, token: str) -> None:
-        self.api, self.token = api, token
-
-    def call(self, method: str, path: str, body: Any = None, **headers: str) -> Told:
-        sent = {"Authorization": f"Bearer {self.token}"}
-        sent |= {name.replace("_", "-"): value for name, value in headers.items()}
-        text = None
-        if body is not None:
-            text, sent["Content-Type"] = json.dumps(body).encode(), "application/json"
-        line = http.client.HTTPConnection(self.api, timeout=CALL_S)
-        try:
-            line.request(method, path, text, sent)
-            answer = line.getresponse()
-            told = json.loads(answer.read() or b"null")
-            return answer.status, dict(answer.getheaders()), told
-        except (OSError, http.client.HTTPException, ValueError) as bad:
-            raise click.ClickException(f"no answer from the API at {self.api}: {bad}") from bad
-        finally:
-            line.close()
-
-    def ask(self, method: str, path: str, body: Any = None, **headers: str) -> tuple[dict[str, str], Any]:
-        status, found, told = self.call(method, path, body, **headers)
-        if status >= 400:
-            lines = [f"{told.get('title', status)}: {told.get('detail', '')}"]
-            lines += [f"  {e['pointer']}: {e['detail']}" for e in told.get("errors", ())]
-            click.echo("\n".join(lines), err=True)
-            sys.exit(1)
-        return found, told
-
-    def version(self, name: str) -> str:
-        headers, _ = self.ask("GET", f"/v1/tenants/{quote(name, safe='')}")
-        return headers["ETag"]
-
-
-def show(told: Any) -> None:
-    click.echo(json.dumps(told, indent=1))
-
-
-def read_json(path: str) -> Any:
-    try:
-        with click.open_file(path, encoding="utf-8") as file:
-            return json.load(file)
-    except (OSError, ValueError) as bad:
-        raise click.ClickException(f"{path}: {bad}") from bad
+from drumgw.cli.admin_client import AdminClient, operation_path, tenant_path
+
+PAGE_SIZE = 200
+MAX_WAIT_S = 3600
 
 
 @click.group()
@@ -69,46 +21,40 @@
 @click.pass_context
 def tenants(context: click.Context, api: str, token_file: str | None) -> None:
     """Manage the tenants of a host. What is printed is JSON; refusals go to standard error, exit code 1."""
-    if token_file is not None:
-        try:
-            with open(token_file, encoding="utf-8") as file:
-                token = file.read().strip()
-        except OSError as bad:
-            raise click.ClickException(f"{token_file}: {bad.strerror}") from bad
-    else:
-        token = os.environ.get("DRUMGW_TOKEN", "")
-    context.obj = Caller(api, token)
+    context.obj = AdminClient(api, _read_token(token_file))
 
 
 @tenants.command("list")
 @click.pass_obj
-def list_all(caller: Caller) -> None:
+def list_tenants(client: AdminClient) -> None:
     """A line each: name, state, version."""
     after: str | None = ""
     while after is not None:
-        _, told = caller.ask("GET", f"/v1/tenants?{urlencode({'after': after, 'limit': 200})}")
-        for row in told["tenants"]:
-            click.echo(f"{row['name']}  {row['state']}  {row['version']}")
-        after = told["after"]
+        query = urlencode({"after": after, "limit": PAGE_SIZE})
+        page = client.call("GET", f"/v1/tenants?{query}").body
+        for tenant in page["tenants"]:
+            click.echo(f"{tenant['name']}  {tenant['state']}  {tenant['version']}")
+        after = page["after"]
 
 
 @tenants.command("show")
 @click.argument("name")
-@click.option("--use", is_flag=True, help="What it uses now, in place of what it is made of.")
+@click.option("--use", "usage", is_flag=True, help="What it uses now, in place of what it is made of.")
 @click.pass_obj
-def show_one(caller: Caller, name: str, use: bool) -> None:
+def show_tenant(client: AdminClient, name: str, usage: bool) -> None:
     """What NAME is made of."""
-    show(caller.ask("GET", f"/v1/tenants/{quote(name, safe='')}{'/use' if use else ''}")[1])
+    path = tenant_path(name) + ("/use" if usage else "")
+    _print_json(client.call("GET", path).body)
 
 
 @tenants.command()
 @click.argument("file")
 @click.option("--key", help="Idempotency key: a repeat under it acts once.")
 @click.pass_obj
-def create(caller: Caller, file: str, key: str | None) -> None:
+def create(client: AdminClient, file: str, key: str | None) -> None:
     """Create the tenant that FILE (JSON; - for standard input) describes."""
     headers = {"Idempotency_Key": key} if key else {}
-    show(caller.ask("POST", "/v1/tenants", read_json(file), **headers)[1])
+    _print_json(client.call("POST", "/v1/tenants", _read_json(file), **headers).body)
 
 
 @tenants.command()
@@ -117,37 +63,62 @@
 @click.option("--part", type=click.Choice(["plans", "routes", "limits"]), help="Only that.")
 @click.option("--version", help="Made from this version.  [default: the one that stands]")
 @click.pass_obj
-def replace(caller: Caller, name: str, file: str, part: str | None, version: str | None) -> None:
+def replace(client: AdminClient, name: str, file: str, part: str | None, version: str | None) -> None:
     """Replace what NAME is made of by FILE."""
-    match = f'"{version}"' if version else caller.version(name)
-    path = f"/v1/tenants/{quote(name, safe='')}" + (f"/{part}" if part else "")
-    show(caller.ask("PUT", path, read_json(file), If_Match=match)[1])
+    if_match = f'"{version}"' if version else client.current_version(name)
+    path = tenant_path(name) + (f"/{part}" if part else "")
+    _print_json(client.call("PUT", path, _read_json(file), If_Match=if_match).body)
+
+
+@tenants.command("operation")
+@click.argument("operation_id", metavar="NAME")
+@click.pass_obj
+def show_operation(client: AdminClient, operation_id: str) -> None:
+    """How far an operation is."""
+    _print_json(client.call("GET", operation_path(operation_id)).body)
 
 
-def mark(word: str, method: str, path: str, doc: str) -> None:
-    @tenants.command(word, help=doc)
+def _add_state_command(command: str, method: str, subpath: str, description: str) -> None:
+    @tenants.command(command, help=description)
     @click.argument("name")
-    @click.option("--wait", type=click.FloatRange(0, 3600), default=0.0, help="Seconds to wait for its end.")
+    @click.option(
+        "--wait",
+        "wait_s",
+        type=click.FloatRange(0, MAX_WAIT_S),
+        default=0.0,
+        help="Seconds to wait for its end.",
+    )
     @click.pass_obj
-    def command(caller: Caller, name: str, wait: float) -> None:
-        where = f"/v1/tenants/{quote(name, safe='')}{path}"
-        _, told = caller.ask(method, where, If_Match=caller.version(name))
-        end = time.monotonic() + wait
-        while "kind" in told and told["state"] == "running" and time.monotonic() < end:
-            time.sleep(POLL_S)
-            _, told = caller.ask("GET", f"/v1/operations/{told['id']}")
-        show(told)
+    def run(client: AdminClient, name: str, wait_s: float) -> None:
+        if_match = client.current_version(name)
+        result = client.call(method, tenant_path(name) + subpath, If_Match=if_match).body
+        is_operation = "kind" in result
+        _print_json(client.wait_for_operation(result, wait_s) if is_operation else result)
 
 
-mark("suspend", "POST", "/suspend", "Turn the txns of NAME away.")
-mark("resume", "POST", "/resume", "Serve NAME again.")
-mark("drain", "POST", "/drain", "Take nothing new for NAME; its txns finish.")
-mark("remove", "DELETE", "", "Remove NAME; its txns finish.")
+_add_state_command("suspend", "POST", "/suspend", "Reject the requests of NAME.")
+_add_state_command("resume", "POST", "/resume", "Serve NAME again.")
+_add_state_command("drain", "POST", "/drain", "Take nothing new for NAME; its requests in flight finish.")
+_add_state_command("remove", "DELETE", "", "Remove NAME; its requests in flight finish.")
 
 
-@tenants.command()
-@click.argument("name")
-@click.pass_obj
-def operation(caller: Caller, name: str) -> None:
-    """How far an operation is."""
-    show(caller.ask("GET", f"/v1/operations/{quote(name, safe='')}")[1])
+def _read_token(path: str | None) -> str:
+    if path is None:
+        return os.environ.get("DRUMGW_TOKEN", "")
+    try:
+        with open(path, encoding="utf-8") as file:
+            return file.read().strip()
+    except OSError as error:
+        raise click.ClickException(f"{path}: {error.strerror}") from error
+
+
+def _read_json(path: str) -> Any:
+    try:
+        with click.open_file(path, encoding="utf-8") as file:
+            return json.load(file)
+    except (OSError, ValueError) as error:
+        raise click.ClickException(f"{path}: {error}") from error
+
+
+def _print_json(value: Any) -> None:
+    click.echo(json.dumps(value, indent=1))
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -261,7 +261,7 @@
         while not (out / "record.jsonl").exists() or '"begins"' not in (out / "record.jsonl").read_text():
             self.assertIsNone(run.poll())
         run.send_signal(signal.SIGINT)
-        self.assertIn("no gatekeeper was left behind", run.stderr.read())
+        self.assertIn("no gateway was left behind", run.stderr.read())
         run.stderr.close()
         self.assertEqual(run.wait(), 130)
         for n in range(PLAIN["gatekeepers"]):
