--- a/drumgw/config/quota_bounds.py
+++ b/drumgw/config/quota_bounds.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from drumgw.config.sections import PlanSection
-from drumgw.policy.engine import IDLE_MS
+from drumgw.policy.quota_account import IDLE_ACCOUNT_MS
 
 MAX_USEFUL_RATIO = 2.0  # a bound of more times the quota says nothing that an operator can use
 
@@ -58,9 +58,9 @@
     if not plan.units_per_s:
         return None
     quota_units = plan.burst_units + plan.units_per_s * seconds
-    # An account that is not used for IDLE_MS is dropped, and a new one is full at once: where an account
-    # takes longer than that to refill, this is the faster rate.
-    refill_per_s = max(plan.units_per_s, plan.burst_units * 1000.0 / IDLE_MS)
+    # An account that is not used for IDLE_ACCOUNT_MS is dropped, and a new one is full at once: where an
+    # account takes longer than that to refill, this is the faster rate.
+    refill_per_s = max(plan.units_per_s, plan.burst_units * 1000.0 / IDLE_ACCOUNT_MS)
     max_units = gateway_count * (plan.burst_units * (1 + restarts) + refill_per_s * seconds)
     ceiling_units = plan.ceiling_burst + plan.ceiling_per_s * seconds
     if plan.ceiling_per_s and ceiling_units < max_units:
--- /dev/null
+++ b/drumgw/policy/attempt_tracking.py
@@ -0,0 +1,146 @@
+"""Follows attempts from their start to their end, and tells the parts that learn from them."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from drumgw.model.actions import CancelAttempt
+from drumgw.model.events import AttemptEnded, Outcome
+from drumgw.model.settings import GatewaySettings, Idempotency
+from drumgw.policy.concurrency_limit import ConcurrencyLimit
+from drumgw.policy.context import NEVER_MS, DecisionContext
+from drumgw.policy.endpoint_set import EndpointSet
+from drumgw.policy.endpoint_state import AttemptInFlight, EndpointState
+from drumgw.policy.latency import ClassLatency, update_slowness
+from drumgw.policy.outlier_detection import OutlierDetector
+from drumgw.policy.overload import (
+    LATE_OBJECTIVE_FRACTION,
+    OVERLOADED_UTILIZATION,
+    LoadState,
+    OverloadDetector,
+)
+from drumgw.policy.request_state import PendingRequest
+from drumgw.policy.retry import RetryPolicy
+from drumgw.policy.slow_start import SlowStart
+
+OVERDUE_QUANTILE_MULTIPLE = 2.0
+"""An attempt is overdue after so many times its endpoint's high latency quantile."""
+
+
+class AttemptTracker:
+    """Counts attempts in flight, judges how they end, and finds those that are overdue."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        settings: GatewaySettings,
+        pending: Mapping[int, PendingRequest],
+        endpoints: EndpointSet,
+        limit: ConcurrencyLimit,
+        overload: OverloadDetector,
+        outliers: OutlierDetector,
+        slow_start: SlowStart,
+        retries: RetryPolicy,
+    ) -> None:
+        self.context = context
+        self.request_classes = settings.request_classes
+        self.cancellation_allowed = settings.cancellation_allowed
+        self.pending = pending
+        self.endpoints = endpoints
+        self.limit = limit
+        self.overload = overload
+        self.outliers = outliers
+        self.slow_start = slow_start
+        self.retries = retries
+        self.latencies = [ClassLatency(each.latency_objective_ms) for each in settings.request_classes]
+
+    def start(self, request: PendingRequest, endpoint: EndpointState) -> None:
+        """Counts a new attempt of a request at an endpoint."""
+        now_ms = self.context.now_ms
+        self.limit.record_start()
+        request.account.attempts_in_flight += 1
+        request.last_sent_at_ms = now_ms
+        request.tried_endpoints.append(endpoint)
+        high_ms = self.latencies[request.class_index].high_ms
+        usual_ms = OVERDUE_QUANTILE_MULTIPLE * high_ms * endpoint.slowness
+        usual_ms /= self.slow_start.warm_up_fraction(endpoint)
+        overdue_after_ms = min(request.request_class.latency_objective_ms, usual_ms)
+        endpoint.attempts[request.request_id] = AttemptInFlight(
+            request.class_index, now_ms, now_ms + overdue_after_ms
+        )
+        self.endpoints.with_attempts[endpoint.endpoint_id] = endpoint
+
+    def end(self, event: AttemptEnded) -> None:
+        """Takes in how an attempt ended; ends of attempts that are not known are ignored."""
+        endpoint = self.endpoints.by_id.get(event.endpoint_id)
+        if endpoint is None:
+            return
+        attempt = endpoint.attempts.pop(event.request_id, None)
+        if attempt is None:
+            return
+        self.limit.record_end(attempt.is_overdue)
+        if event.outcome is Outcome.SUCCEEDED:
+            self._record_success(endpoint, attempt, event)
+        elif event.outcome is Outcome.REJECTED:
+            self.overload.record_rejection()
+        self.outliers.record(endpoint, attempt, event.outcome)
+        if not endpoint.attempts:
+            del self.endpoints.with_attempts[endpoint.endpoint_id]
+
+    def _record_success(self, endpoint: EndpointState, attempt: AttemptInFlight, event: AttemptEnded) -> None:
+        self.limit.record_completion()
+        self.endpoints.record_completion()
+        if self.context.is_after_stall:  # its duration is not the endpoint's
+            return
+        duration_ms = event.duration_ms
+        if self.overload.state is LoadState.SPARE_CAPACITY:
+            self.limit.record_unloaded_latency(duration_ms)
+        latency = self.latencies[attempt.class_index]
+        latency.record(duration_ms)
+        update_slowness(self.context, endpoint, duration_ms > endpoint.slowness * latency.high_ms)
+        objective_ms = self.request_classes[attempt.class_index].latency_objective_ms
+        is_late = duration_ms > LATE_OBJECTIVE_FRACTION * objective_ms
+        if not is_late:
+            self.limit.grow()
+        self.overload.record_answer(is_late, is_retry=event.attempt > 0)
+
+    def check_overdue(self) -> None:
+        """Finds the attempts that have become overdue since the last check."""
+        now_ms = self.context.now_ms
+        for endpoint in self.endpoints.with_attempts.values():
+            for request_id, attempt in endpoint.attempts.items():
+                if attempt.overdue_at_ms < now_ms:
+                    self._record_overdue(endpoint, request_id, attempt)
+
+    def _record_overdue(self, endpoint: EndpointState, request_id: int, attempt: AttemptInFlight) -> None:
+        """Guards against answers that never come: the endpoint is doubted, and the attempt called off.
+
+        Such an endpoint accepts requests and fails none. Where answers are late in general it is not at
+        fault, and calling attempts off would only add load.
+        """
+        attempt.overdue_at_ms = NEVER_MS
+        self.limit.record_overdue()
+        update_slowness(self.context, endpoint, is_slow=True)
+        self.overload.record_overdue()
+        if self.overload.is_late:
+            return
+        self.outliers.record_overdue(endpoint, attempt)
+        request = self.pending.get(request_id)
+        if request is not None and self._may_call_off(attempt):
+            self.context.actions.append(CancelAttempt(request_id, len(request.tried_endpoints) - 1))
+
+    def _may_call_off(self, attempt: AttemptInFlight) -> bool:
+        """Whether an attempt's request can be sent elsewhere instead."""
+        request_class = self.request_classes[attempt.class_index]
+        return (
+            self.cancellation_allowed
+            and request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
+            and self.overload.utilization < OVERLOADED_UTILIZATION
+            and self.retries.has_budget
+        )
+
+    def leave_out_stall(self, stall_ms: float) -> None:
+        """Guards endpoints against this process's stalls: attempts in flight do not age by them."""
+        for endpoint in self.endpoints.with_attempts.values():
+            for attempt in endpoint.attempts.values():
+                attempt.shift(stall_ms)
--- /dev/null
+++ b/drumgw/policy/counter_sync.py
@@ -0,0 +1,229 @@
+"""Keeps quota accounts in step with the totals of the shared counter.
+
+A customer's total counts all units that gateways have used or reserved since its epoch began; less what has
+been refilled since, it is the quota's level of usage. A gateway polls the total before it admits a request
+that no reservation covers, and reports the request together with a reservation for the next ones.
+"""
+
+from __future__ import annotations
+
+import math
+
+from drumgw.model.events import CounterReplied, Outcome
+from drumgw.model.settings import GatewaySettings
+from drumgw.policy.context import RATE_MEMORY_MS, DecisionContext
+from drumgw.policy.counter_calls import CounterCall, CounterCalls
+from drumgw.policy.counter_repair import MAX_REPAIR_UNITS, MIN_LOSS_UNITS, CounterRepair
+from drumgw.policy.endpoint_set import EndpointSet
+from drumgw.policy.overload import OverloadDetector
+from drumgw.policy.quota_account import IDLE_ACCOUNT_MS, QuotaAccount
+from drumgw.policy.request_state import NO_EPOCH, CounterExchange, PendingRequest
+
+RESERVATION_MS = 1000.0
+"""A reservation covers so much of the demand here, at most."""
+MAX_RESERVATION_QUOTA_FRACTION = 0.2
+TOP_CLASS_STEP_UNITS = 8.0
+"""Units of the highest class for each step in a total's decimals."""
+TOP_CLASS_SCALE = 100
+"""Steps that make a whole unit of a total: its two decimals."""
+LOSS_QUOTA_FRACTION = 0.1
+"""A total that lacks more than this (and `MIN_LOSS_UNITS`) has lost something."""
+MAX_LEVEL_QUOTAS = 2.0
+"""A total that shows more usage than so many quotas cannot be true."""
+MIN_TIME_LEFT_TO_WAIT_MS = 2100.0
+STALL_MARGIN = 1.25
+
+
+class CounterSync:
+    """Decides what is polled and reported, and takes totals over into accounts."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        settings: GatewaySettings,
+        class_shares: list[float],
+        calls: CounterCalls,
+        endpoints: EndpointSet,
+        overload: OverloadDetector,
+    ) -> None:
+        self.context = context
+        self.class_shares = class_shares
+        self.calls = calls
+        self.repair = CounterRepair(context, calls)
+        self.endpoints = endpoints
+        self.overload = overload
+        self.has_counter = settings.has_counter
+        self.timeout_ms = settings.counter_timeout_ms
+        self.max_retry_after_ms = settings.max_retry_after_ms
+        self.min_time_left_to_wait_ms = max(MIN_TIME_LEFT_TO_WAIT_MS, 2 * self.timeout_ms)
+        """A request with less time left is decided without waiting for the total."""
+
+    def record_stall(self, stall_ms: float) -> None:
+        """Guards requests that wait for a total: one that would not outlive such a stall does not wait."""
+        needed_ms = STALL_MARGIN * stall_ms + 2 * self.timeout_ms
+        self.min_time_left_to_wait_ms = max(self.min_time_left_to_wait_ms, needed_ms)
+
+    def poll(self, request: PendingRequest, time_left_ms: float) -> bool:
+        """Polls the total for a new request where that is of use, by odds where the counter is crowded.
+
+        Returns:
+            Whether the request waits for the total. If not, it is decided by what is known here.
+        """
+        if not self._is_poll_useful(request):
+            return False
+        may_wait = time_left_ms > self.min_time_left_to_wait_ms
+        exchange = request.exchange
+        if self.has_counter and self.calls.draw_poll():
+            exchange.epoch = exchange.account.epoch_at(self.context.now_ms)
+            if may_wait and self.calls.send(exchange, 0.0):
+                return True
+        self._charge_allowance(request)
+        return False
+
+    def _is_poll_useful(self, request: PendingRequest) -> bool:
+        account = request.account
+        plan = account.plan
+        if not (plan.rate_units_per_ms and self.endpoints.preferred):
+            return False
+        is_crowded = self.calls.poll_probability < 1
+        if plan.is_soft and is_crowded and self.overload.has_spare_capacity(plan.window_ms):
+            return False
+        if request.units <= account.reserved_units[request.class_rank]:
+            return False
+        total_age_ms = self.context.now_ms - account.counted_at_ms
+        return not (request.retry_after_ms and total_age_ms < plan.window_ms)
+
+    def _charge_allowance(self, request: PendingRequest) -> None:
+        """Where no total is at hand: an unknown customer has only this gateway's part of its quota."""
+        account = request.account
+        if not self.has_counter or account.plan.is_soft:
+            return
+        is_unknown = self.context.now_ms - account.counted_at_ms > IDLE_ACCOUNT_MS
+        is_unpolled = account.is_cap_below_gateways and request.exchange.epoch == NO_EPOCH
+        if not (is_unknown or is_unpolled):
+            return
+        is_covered = request.units <= account.allowance_units
+        if request.is_client_retry or account.is_cap_below_gateways or not is_covered:
+            request.retry_after_ms = max(1.0, self.max_retry_after_ms)
+        else:
+            account.allowance_units -= request.units
+
+    def reservation_units(self, account: QuotaAccount, class_rank: int) -> float:
+        """What is reserved with a report: the more, the less often the counter is called."""
+        demand = account.local_pace_units_per_ms[class_rank] * RESERVATION_MS
+        most = MAX_RESERVATION_QUOTA_FRACTION * account.plan.quota_units
+        return (1 - self.calls.poll_probability) * min(most, demand)
+
+    def report(self, exchange: CounterExchange, reservation_units: float) -> None:
+        """Reports an admitted request and a reservation.
+
+        A report stands for the requests that are not reported, by the present odds. It also adds the units
+        that the total lags behind the refill, as a quota that is full does not refill further.
+
+        Args:
+            exchange: the request's, with its units already charged to the account.
+            reservation_units: what to reserve for the class.
+        """
+        account = exchange.account
+        class_rank = exchange.class_rank
+        draw = self.context.random.random
+        by_odds = min(exchange.units / self.calls.poll_probability, account.plan.quota_units / 2)
+        unreported = max(exchange.units, by_odds) - exchange.units
+        units = unreported + reservation_units - account.reserved_units[class_rank]
+        lag = exchange.refill_lag_units
+        top_class_units = units * (class_rank == 0) + lag * exchange.top_class_fraction
+        steps = math.floor(top_class_units / TOP_CLASS_STEP_UNITS + draw())
+        lag_units = math.floor(min(lag, MAX_REPAIR_UNITS) + draw())
+        whole_units = math.floor(max(0.0, units) + draw()) + lag_units
+        if self.calls.send(exchange, whole_units + max(0, steps) / TOP_CLASS_SCALE, lag_units):
+            account.reserved_units[class_rank] = reservation_units
+
+    def return_reservations(self, account: QuotaAccount) -> None:
+        """Guards customers through restarts: a reservation left behind would count as used until refilled."""
+        account.refill(self.context.now_ms)
+        unspent = math.floor(sum(units for units in account.reserved_units if units > 0))
+        if unspent < 1 or account.counter_epoch != account.epoch_at(self.context.now_ms):
+            return
+        account.reserved_units = [min(units, 0.0) for units in account.reserved_units]
+        lowest_rank = len(account.reserved_units) - 1
+        exchange = CounterExchange(account, lowest_rank, units=0.0, epoch=account.counter_epoch)
+        self.calls.send(exchange, -unspent)
+
+    def apply_reply(self, call: CounterCall, event: CounterReplied) -> None:
+        """Takes the reply to a call over into its account, which has been refilled up to now."""
+        exchange = call.exchange
+        account = exchange.account
+        succeeded = event.outcome is Outcome.SUCCEEDED
+        if call.epoch < exchange.epoch:
+            refilled = account.refilled_units(call.epoch, self.context.now_ms)
+            self.repair.carry_over(exchange, max(0.0, event.total - refilled) if succeeded else 0.0)
+        elif succeeded:
+            if call.epoch >= account.counter_epoch:  # else its key is not in use any more
+                self.repair.take_back(call, event.total, self.apply_total(call, event.total))
+        elif event.outcome is not Outcome.TIMED_OUT:  # it was not added, so the report is owed
+            account.reserved_units[exchange.class_rank] -= call.own_units
+
+    def apply_total(self, call: CounterCall, total: float) -> float:
+        """Sets an account's usage by a total, unless the total cannot be true.
+
+        Returns:
+            The quota's level of usage that the total shows, or that is known where it cannot be true.
+        """
+        exchange = call.exchange
+        account = exchange.account
+        quota = account.plan.quota_units
+        refilled = account.refilled_units(exchange.epoch, self.context.now_ms)
+        counted, steps = divmod(round(total * TOP_CLASS_SCALE), TOP_CLASS_SCALE)
+        self._follow_others(call, counted)
+        exchange.refill_lag_units = max(0.0, refilled - counted)
+        exchange.top_class_fraction = min(1.0, steps * TOP_CLASS_STEP_UNITS / max(1.0, counted))
+        pending_units = [math.floor(each.amount) for each in self.calls.pending(exchange)]
+        level = max(0.0, counted - refilled + sum(units for units in pending_units if units < 0))
+        usage = max(account.local_usage_units, counted - refilled + sum(pending_units))
+        own_units = max(0, call.own_units)
+        is_first = total - call.amount < 0.5 / TOP_CLASS_SCALE
+        has_lost = self._has_lost_units(account, counted - call.own_units - refilled)
+        if has_lost:
+            level = max(level, account.known_level_units + own_units)
+        is_spoilt = level - own_units > MAX_LEVEL_QUOTAS * quota
+        if is_spoilt:
+            level = usage = min(quota, max(sum(account.usage_units), account.local_usage_units))
+        account.known_level_units = min(quota, level)
+        if has_lost or is_spoilt or (is_first and refilled < quota):
+            self.repair.restore(exchange, is_first)
+        self._set_usage(exchange, max(level, usage))
+        return level
+
+    def _follow_others(self, call: CounterCall, counted_units: float) -> None:
+        """Notes a total, and the pace of the other gateways' usage since the one before."""
+        account = call.exchange.account
+        now_ms = self.context.now_ms
+        if account.counter_epoch == call.exchange.epoch:
+            by_others = max(0.0, counted_units - account.counter_units - math.floor(call.amount))
+            elapsed_ms = max(1.0, now_ms - account.counted_at_ms)
+            step = min(1.0, elapsed_ms / RATE_MEMORY_MS)
+            account.others_pace_units_per_ms += step * (
+                by_others / elapsed_ms - account.others_pace_units_per_ms
+            )
+        account.counter_units = counted_units
+        account.counter_epoch = call.exchange.epoch
+        account.counted_at_ms = now_ms
+
+    @staticmethod
+    def _has_lost_units(account: QuotaAccount, level_before_units: float) -> bool:
+        """Whether a total is lower than refilling explains: a new key, or a counter that forgot."""
+        known = account.known_level_units
+        tolerance = max(MIN_LOSS_UNITS, LOSS_QUOTA_FRACTION * account.plan.quota_units)
+        return known >= MIN_LOSS_UNITS and known - level_before_units >= tolerance
+
+    def _set_usage(self, exchange: CounterExchange, usage_units: float) -> None:
+        """Splits usage over the classes: the highest by the total's decimals, the others by their shares."""
+        account = exchange.account
+        lower_shares = self.class_shares[1:]
+        top = exchange.top_class_fraction if lower_shares else 1.0
+        lower_sum = sum(lower_shares)
+        fractions = [top, *((1 - top) * share / lower_sum for share in lower_shares)]
+        account.usage_units = [
+            max(0.0, usage_units * fraction - max(0.0, reserved))
+            for fraction, reserved in zip(fractions, account.reserved_units, strict=True)
+        ]
--- /dev/null
+++ b/drumgw/policy/outlier_detection.py
@@ -0,0 +1,124 @@
+"""Outlier detection: ejects endpoints that fail a request class, and lets them back by a trial.
+
+Health is kept by endpoint and request class. While an endpoint is ejected for a class it is sent nothing of
+it; then it is half-open, and one request decides.
+"""
+
+from __future__ import annotations
+
+from enum import Enum
+
+from drumgw.model.actions import LogMessage
+from drumgw.model.events import Outcome
+from drumgw.policy.context import DecisionContext
+from drumgw.policy.endpoint_set import EndpointSet
+from drumgw.policy.endpoint_state import AttemptInFlight, ClassHealth, EndpointState, HealthState
+from drumgw.policy.state_machine import Transitions, advance, no_effect
+
+FAILURE_STEP = 0.2
+MAX_FAILURE_SHARE = 0.15
+"""An endpoint that fails more of a class, beyond the broken responses of all, is an outlier."""
+BROKEN_SHARE_STEP = 0.03
+AMBIGUOUS_FAILURE_WEIGHT = 0.5
+"""Of a broken response or an overdue attempt, which may be the network's fault."""
+MIN_EJECTION_MS = 1000.0
+MAX_EJECTION_MS = 16000.0
+REJECTION_EJECTION_MS = 150.0
+"""First ejection after a rejection, for a healthy endpoint."""
+
+
+class HealthInput(Enum):
+    """What changes an endpoint's health for a class."""
+
+    EJECTION_ENDED = "ejection ended"
+    SUCCEEDED = "succeeded"
+    REJECTED = "rejected"
+    OUTLIER = "outlier"
+
+
+class OutlierDetector:
+    """Follows how attempts end, for each endpoint and class."""
+
+    def __init__(self, context: DecisionContext, endpoints: EndpointSet) -> None:
+        self.context = context
+        self.endpoints = endpoints
+        self.broken_share = 0.0
+        """Recent share of attempts at all endpoints that ended with a broken response."""
+
+    def accepts_attempt(self, endpoint: EndpointState, health: ClassHealth) -> bool:
+        """Whether an endpoint may be sent a request of a class."""
+        if health.state is HealthState.EJECTED and self.context.now_ms >= health.ejected_until_ms:
+            advance(HEALTH_TRANSITIONS, self, health, HealthInput.EJECTION_ENDED)
+        if health.state is HealthState.EJECTED:
+            return False
+        return not (health.state is HealthState.HALF_OPEN and endpoint.attempts)
+
+    def is_doubted(self, endpoint: EndpointState, class_index: int) -> bool:
+        """Whether an endpoint failed another class lately, and no trial has cleared it yet.
+
+        For as long again as the ejection lasted, in which that other class may be tried first.
+        """
+        now_ms = self.context.now_ms
+        return any(
+            health.state is not HealthState.HEALTHY and now_ms < health.ejected_until_ms + health.ejection_ms
+            for index, health in enumerate(endpoint.class_health)
+            if index != class_index
+        )
+
+    def record(self, endpoint: EndpointState, attempt: AttemptInFlight, outcome: Outcome) -> None:
+        """Takes in how an attempt ended."""
+        is_broken = outcome is Outcome.BROKEN_RESPONSE
+        self.broken_share += BROKEN_SHARE_STEP * (is_broken - self.broken_share)
+        health = endpoint.class_health[attempt.class_index]
+        if outcome is Outcome.SUCCEEDED:
+            self._record_success(health)
+        elif outcome is Outcome.REJECTED:
+            health.ejection_ms = health.ejection_ms or REJECTION_EJECTION_MS / 2
+            advance(HEALTH_TRANSITIONS, self, health, HealthInput.REJECTED)
+        elif outcome is Outcome.UNREACHABLE:
+            for each in endpoint.class_health:
+                self._record_failure(endpoint, each)
+        elif is_broken:
+            self._record_failure(endpoint, health, AMBIGUOUS_FAILURE_WEIGHT)
+        elif outcome is Outcome.FAILED or (outcome is Outcome.TIMED_OUT and not attempt.is_overdue):
+            self._record_failure(endpoint, health)
+
+    def record_overdue(self, endpoint: EndpointState, attempt: AttemptInFlight) -> None:
+        """Takes in an overdue attempt, unless the class succeeded there since it was sent."""
+        health = endpoint.class_health[attempt.class_index]
+        if health.last_success_at_ms < attempt.sent_at_ms:
+            self._record_failure(endpoint, health, AMBIGUOUS_FAILURE_WEIGHT)
+
+    def _record_success(self, health: ClassHealth) -> None:
+        is_trial = health.state is HealthState.HALF_OPEN
+        health.failure_share = 0.0 if is_trial else health.failure_share * (1 - FAILURE_STEP)
+        health.ejection_ms = 0.0
+        health.last_success_at_ms = self.context.now_ms
+        advance(HEALTH_TRANSITIONS, self, health, HealthInput.SUCCEEDED)
+
+    def _record_failure(self, endpoint: EndpointState, health: ClassHealth, weight: float = 1.0) -> None:
+        """Ejects an outlier. Where connections break to all endpoints alike, ejecting one is of no use."""
+        health.failure_share += weight * FAILURE_STEP * (1 - health.failure_share)
+        is_outlier = health.failure_share > MAX_FAILURE_SHARE + self.broken_share
+        if not is_outlier and health.state is not HealthState.HALF_OPEN:
+            return
+        text = f"endpoint {endpoint.endpoint_id} ejected: failure share {health.failure_share:.2f}, "
+        self.context.actions.append(LogMessage(text + f"{len(endpoint.attempts)} in flight"))
+        advance(HEALTH_TRANSITIONS, self, health, HealthInput.OUTLIER)
+
+    def eject(self, health: ClassHealth) -> None:
+        """Ejects for twice the last time; longer where few requests come, as each trial may cost one."""
+        interval_ms = self.endpoints.completion_interval_ms()
+        ejection_ms = max(interval_ms, 2 * health.ejection_ms or MIN_EJECTION_MS)
+        health.ejection_ms = min(MAX_EJECTION_MS, ejection_ms)
+        health.ejected_until_ms = self.context.now_ms + health.ejection_ms
+
+
+HEALTH_TRANSITIONS: Transitions[HealthState, HealthInput, OutlierDetector, ClassHealth] = {
+    (HealthState.HEALTHY, HealthInput.OUTLIER): (HealthState.EJECTED, OutlierDetector.eject),
+    (HealthState.HEALTHY, HealthInput.REJECTED): (HealthState.EJECTED, OutlierDetector.eject),
+    (HealthState.EJECTED, HealthInput.EJECTION_ENDED): (HealthState.HALF_OPEN, no_effect),
+    (HealthState.HALF_OPEN, HealthInput.SUCCEEDED): (HealthState.HEALTHY, no_effect),
+    (HealthState.HALF_OPEN, HealthInput.OUTLIER): (HealthState.EJECTED, OutlierDetector.eject),
+    (HealthState.HALF_OPEN, HealthInput.REJECTED): (HealthState.EJECTED, OutlierDetector.eject),
+}
--- /dev/null
+++ b/drumgw/policy/request_flow.py
@@ -0,0 +1,176 @@
+"""Takes a request from its arrival to its final answer: admits, forwards, retries, finishes."""
+
+from __future__ import annotations
+
+from drumgw.model.actions import CancelAttempt, ForwardRequest
+from drumgw.model.events import AttemptEnded, Outcome, RequestReceived
+from drumgw.model.settings import GatewaySettings
+from drumgw.policy.admission import AdmissionControl
+from drumgw.policy.attempt_tracking import AttemptTracker
+from drumgw.policy.class_shares import priority_ranks
+from drumgw.policy.context import DecisionContext
+from drumgw.policy.counter_sync import CounterSync
+from drumgw.policy.endpoint_selection import EndpointSelector
+from drumgw.policy.quota_account import QuotaAccount
+from drumgw.policy.request_state import (
+    NO_EPOCH,
+    CounterExchange,
+    PendingRequest,
+    RequestInput,
+    RequestState,
+)
+from drumgw.policy.retry import RetryPolicy
+from drumgw.policy.state_machine import Transitions, advance
+
+MIN_TIME_LEFT_MS = 1.0
+"""With less time left nothing is forwarded any more."""
+AMBIGUOUS_OUTCOMES = (Outcome.FAILED, Outcome.TIMED_OUT, Outcome.BROKEN_RESPONSE, Outcome.CANCELLED)
+"""After these the request may have run."""
+
+
+class RequestFlow:
+    """The state machine of requests, and what happens at its transitions."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        settings: GatewaySettings,
+        pending: dict[int, PendingRequest],
+        admission: AdmissionControl,
+        counter_sync: CounterSync,
+        selector: EndpointSelector,
+        attempts: AttemptTracker,
+        retries: RetryPolicy,
+    ) -> None:
+        self.context = context
+        self.pending = pending
+        self.admission = admission
+        self.counter_sync = counter_sync
+        self.selector = selector
+        self.attempts = attempts
+        self.retries = retries
+        self.request_classes = settings.request_classes
+        self.class_ranks = priority_ranks(settings.request_classes)
+        self.max_attempts = settings.max_attempts
+        self.cancellation_allowed = settings.cancellation_allowed
+        self.transitions = REQUEST_TRANSITIONS
+
+    def receive(self, event: RequestReceived, account: QuotaAccount) -> None:
+        """Takes in a new request, whose account has been refilled up to now."""
+        class_rank = self.class_ranks[event.request_class]
+        request = PendingRequest(
+            request_id=event.request_id,
+            account=account,
+            class_index=event.request_class,
+            request_class=self.request_classes[event.request_class],
+            class_rank=class_rank,
+            units=event.units,
+            deadline_ms=self.context.now_ms + event.time_left_ms,
+            is_client_retry=event.is_client_retry,
+            exchange=CounterExchange(account, class_rank, event.units),
+        )
+        request.exchange.request = request
+        self.pending[event.request_id] = request
+        request.retry_after_ms = self.admission.quota_wait_ms(request)
+        if not self.counter_sync.poll(request, event.time_left_ms):
+            self.decide(request)
+
+    def resume(self, request: PendingRequest) -> None:
+        """Decides a request that waited for the counter's total, if it still does."""
+        if request.state is RequestState.NEW and request.request_id in self.pending:
+            request.retry_after_ms = self.admission.quota_wait_ms(request)
+            self.decide(request)
+
+    def decide(self, request: PendingRequest) -> None:
+        """Admits a request or refuses it."""
+        self.admission.shed_load(request)
+        self.advance(request, RequestInput.REFUSED if request.retry_after_ms else RequestInput.ADMITTED)
+
+    def attempt_ended(self, event: AttemptEnded) -> None:
+        """Retries a request, or ends it, after an attempt."""
+        request = self.pending.get(event.request_id)
+        if request is None:
+            return
+        account = request.account
+        account.attempts_in_flight -= 1
+        if event.outcome is Outcome.SUCCEEDED:
+            if event.billed_units and not request.is_over_quota:
+                account.refill(self.context.now_ms)
+                account.correct_usage(request.class_rank, request.units, event.billed_units)
+            self.advance(request, RequestInput.SUCCEEDED)
+            return
+        if event.outcome in AMBIGUOUS_OUTCOMES and request.may_have_run_on is None:
+            request.may_have_run_on = request.tried_endpoints[-1]
+            request.may_have_run_at_ms = request.last_sent_at_ms
+        self.advance(request, RequestInput.CLIENT_GONE if event.is_final else RequestInput.ATTEMPT_FAILED)
+
+    def client_disconnected(self, request_id: int) -> None:
+        """Ends a request whose client has gone, and calls its attempt off."""
+        request = self.pending.get(request_id)
+        if request is None:
+            return
+        if request.tried_endpoints:
+            request.account.attempts_in_flight -= 1
+            if self.cancellation_allowed:
+                attempt = len(request.tried_endpoints) - 1
+                self.context.actions.append(CancelAttempt(request.request_id, attempt))
+        self.advance(request, RequestInput.CLIENT_GONE)
+
+    def advance(self, request: PendingRequest, given: RequestInput) -> None:
+        """Applies an input to a request's state."""
+        advance(self.transitions, self, request, given)
+
+    # Effects of the transitions
+
+    def forward(self, request: PendingRequest) -> RequestInput | None:
+        """Starts the next attempt at the endpoint that is chosen for it."""
+        is_retry = len(request.tried_endpoints) > 0
+        time_left_ms = request.deadline_ms - self.context.now_ms
+        may_start = len(request.tried_endpoints) < self.max_attempts and time_left_ms > MIN_TIME_LEFT_MS
+        endpoint = self.selector.select(request) if may_start else None
+        if endpoint is None:
+            return RequestInput.NO_ENDPOINT
+        endpoint.warm_up_tokens -= 1.0
+        if not is_retry:
+            self._charge(request)
+        self.retries.record_attempt(is_retry)
+        self.attempts.start(request, endpoint)
+        write_by_ms = self.retries.idempotent_until_ms(request)
+        self.context.actions.append(
+            ForwardRequest(request.request_id, endpoint.endpoint_id, request.deadline_ms, write_by_ms)
+        )
+        return None
+
+    def _charge(self, request: PendingRequest) -> None:
+        """Charges the first attempt to the account, and reports it where the counter was to be asked."""
+        account = request.account
+        reservation_units = self.counter_sync.reservation_units(account, request.class_rank)
+        account.charge(request.units, request.class_rank, request.is_over_quota)
+        if not request.is_over_quota and request.exchange.epoch != NO_EPOCH:
+            self.counter_sync.report(request.exchange, reservation_units)
+
+    def retry(self, request: PendingRequest) -> RequestInput | None:
+        """Forwards a request again where that is allowed."""
+        if not self.retries.may_retry(request):
+            return RequestInput.NO_ENDPOINT
+        return self.forward(request)
+
+    def finish(self, request: PendingRequest) -> None:
+        """Gives the final answer to a request that is not served."""
+        self.context.actions.append(self.retries.final_answer(request))
+        self.forget(request)
+
+    def forget(self, request: PendingRequest) -> None:
+        """Drops a request that is owed nothing any more."""
+        del self.pending[request.request_id]
+
+
+REQUEST_TRANSITIONS: Transitions[RequestState, RequestInput, RequestFlow, PendingRequest] = {
+    (RequestState.NEW, RequestInput.ADMITTED): (RequestState.IN_FLIGHT, RequestFlow.forward),
+    (RequestState.NEW, RequestInput.REFUSED): (RequestState.DONE, RequestFlow.finish),
+    (RequestState.NEW, RequestInput.CLIENT_GONE): (RequestState.DONE, RequestFlow.forget),
+    (RequestState.IN_FLIGHT, RequestInput.NO_ENDPOINT): (RequestState.DONE, RequestFlow.finish),
+    (RequestState.IN_FLIGHT, RequestInput.ATTEMPT_FAILED): (RequestState.IN_FLIGHT, RequestFlow.retry),
+    (RequestState.IN_FLIGHT, RequestInput.SUCCEEDED): (RequestState.DONE, RequestFlow.forget),
+    (RequestState.IN_FLIGHT, RequestInput.CLIENT_GONE): (RequestState.DONE, RequestFlow.forget),
+}
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -29,11 +29,12 @@
     TimerFired,
 )
 from drumgw.model.settings import DeduplicationScope, GatewaySettings, Idempotency, Plan, RequestClass
-from drumgw.policy.engine import COUNT_MS, PolicyEngine
+from drumgw.policy.engine import PolicyEngine
+from drumgw.policy.quota_account import EPOCH_MS
 from drumgw.stable_hash import stable_hash
 
 TRACES = pathlib.Path(__file__).parent / "traces"
-START = 3 * COUNT_MS - stable_hash(1) % int(COUNT_MS)  # the first customer's count has a new name then
+START = 3 * EPOCH_MS - stable_hash(1) % int(EPOCH_MS)  # the first customer's count has a new name then
 INQUIRY = RequestClass(1.0, 2000.0, 8000.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 5000.0)
 ONCE = RequestClass(3.0, 800.0, 2500.0, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 5000.0)
 BY_ZONE = RequestClass(5.0, 2500.0, 8000.0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, 3000.0)
@@ -153,7 +154,7 @@
 
     def name(self) -> int:
         """The name of the first customer's count."""
-        return stable_hash(1, int((self.now - START) // COUNT_MS) + 3)
+        return stable_hash(1, int((self.now - START) // EPOCH_MS) + 3)
 
     def tick(self, ms: float = 100.0) -> None:
         for _ in range(round(ms / 100)):
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -8,7 +8,12 @@
 from drumgw.gateway.commands import SendResponse
 from drumgw.model.actions import RejectRequest
 from drumgw.model.events import EndpointsUpdated, Outcome
-from drumgw.policy.engine import OUT, TXN_TABLE, Endpoint, PendingRequest, PolicyEngine, Table
+from drumgw.policy.admission import AdmissionControl
+from drumgw.policy.endpoint_selection import EndpointSelector
+from drumgw.policy.endpoint_state import EndpointState
+from drumgw.policy.engine import PolicyEngine
+from drumgw.policy.request_flow import RequestFlow
+from drumgw.policy.request_state import PendingRequest, RequestInput, RequestState
 from drumgw.testbed.event_log import EventLog
 from drumgw.testbed.oracle import Violation, find_violations
 from drumgw.testbed.scenario import Scenario, read_scenario
@@ -123,54 +128,74 @@
 # Gatekeepers that break one rule each
 
 
-class Swapped(PolicyEngine):
-    """Its table of a txn has other effects in some places."""
+class RetryAnything(RequestFlow):
+    """Forwards again whatever may have run already."""
 
-    commands: dict[tuple[str, str], Any] = {}
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
+        row = (RequestState.IN_FLIGHT, RequestInput.ATTEMPT_FAILED)
+        self.transitions = {**self.transitions, row: (RequestState.IN_FLIGHT, RequestFlow.forward)}
 
-    def step(self, table: Table, thing: Any, word: str | None) -> None:
-        if table is TXN_TABLE:
-            table = {
-                **TXN_TABLE,
-                **{row: (TXN_TABLE[row][0], effect) for row, effect in self.commands.items()},
-            }
-        super().step(table, thing, word)
 
-
-class Doubler(Swapped):
+class Doubler(PolicyEngine):
     """Sends again whatever failed."""
 
-    commands = {(OUT, "unsettled"): PolicyEngine.submit}
+    request_flow_class = RetryAnything
+
+
+class YoungestFirst(EndpointSelector):
+    """Takes no heed of warm-up and load."""
+
+    def select(self, request: PendingRequest) -> EndpointState | None:
+        """The endpoint that started last."""
+        untried = [each for each in self.endpoints.preferred if each not in request.tried_endpoints]
+        return max(untried, key=started_at_ms) if untried else None
+
+
+def started_at_ms(endpoint: EndpointState) -> float:
+    """When an endpoint started; 0 for one that was warm when it was first listed."""
+    return endpoint.started_at_ms or 0.0
 
 
 class Pusher(PolicyEngine):
-    """Sends all to the worker that started last, however cold."""
+    """Sends all to the endpoint that started last, however cold."""
 
-    def pick(self, h: PendingRequest) -> Endpoint | None:
-        rest = [w for w in self.around if w not in h.tried]
-        return max(rest, key=born) if rest else None
+    selector_class = YoungestFirst
 
 
-def born(w: Endpoint) -> float:
-    return w.born or 0.0
+class NoQuotas(AdmissionControl):
+    """Takes no heed of quotas."""
+
+    def quota_wait_ms(self, request: PendingRequest) -> float:
+        """Every request fits."""
+        return 0.0
 
 
 class Passer(PolicyEngine):
     """Lets all pass."""
 
-    def lacks(self, h: PendingRequest) -> float:
-        return 0.0
+    admission_class = NoQuotas
+
+
+class RejectAlways(RequestFlow):
+    """Rejects what may have run already, where it should fail it."""
+
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
+        row = (RequestState.IN_FLIGHT, RequestInput.NO_ENDPOINT)
+        self.transitions = {**self.transitions, row: (RequestState.DONE, reject)}
 
 
-def decline(engine: PolicyEngine, h: PendingRequest) -> None:
-    engine.acts.append(RejectRequest(h.txn, 10.0))
-    engine.forget(h)
+def reject(flow: RequestFlow, request: PendingRequest) -> None:
+    """Answers that nothing was done."""
+    flow.context.actions.append(RejectRequest(request.request_id, 10.0))
+    flow.forget(request)
 
 
-class Decliner(Swapped):
+class Decliner(PolicyEngine):
     """Says that trying again is harmless, whatever may have run."""
 
-    commands = {(OUT, "no worker"): decline}
+    request_flow_class = RejectAlways
 
 
 class Deaf(VirtualGateway):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -192,13 +192,14 @@
             n for n, w in self.gateway.endpoint_clients.clients.items() if w.place[0] == bad.address
         )
         policy = self.gateway.dispatcher.lifecycle.policy
-        policy.around.sort(key=lambda w: w.wid != number)  # type: ignore[attr-defined]
-        pick = policy.pick  # type: ignore[attr-defined]
+        policy.endpoints.preferred.sort(key=lambda w: w.endpoint_id != number)  # type: ignore[attr-defined]
+        selector = policy.selector  # type: ignore[attr-defined]
+        select = selector.select
 
-        def first(h: Any) -> Any:
-            return pick(h) if h.tried else policy.workers[number]  # type: ignore[attr-defined]
+        def first(request: Any) -> Any:
+            return select(request) if request.tried_endpoints else selector.endpoints.by_id[number]
 
-        patch = mock.patch.object(policy, "pick", first)
+        patch = mock.patch.object(selector, "select", first)
         patch.start()
         self.addCleanup(patch.stop)
         return bad
@@ -636,8 +637,9 @@
 
     def empty(self) -> bool:
         dispatcher, policy = self.gateway.dispatcher, self.gateway.dispatcher.lifecycle.policy
-        held = policy.held or policy.outs or policy.busy  # type: ignore[attr-defined]
-        out = any(a.out for a in policy.accounts.values())  # type: ignore[attr-defined]
+        held = policy.pending or policy.limit.in_flight  # type: ignore[attr-defined]
+        held = held or policy.endpoints.with_attempts  # type: ignore[attr-defined]
+        out = any(a.attempts_in_flight for a in policy.accounts.values())  # type: ignore[attr-defined]
         return not (
             held
             or out
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,6 +23,7 @@
 )
 from drumgw.model.settings import Plan
 from drumgw.policy.engine import PolicyEngine
+from drumgw.policy.slow_start import SlowStart
 from tests.harness import INQUIRY, ONCE, gateway_settings
 
 PLENTY = Plan(1000.0, 1000.0, 0, 0.0, 0.8, 0.0, 0.0)
@@ -142,7 +143,7 @@
 
     def test_the_count_finds_a_fleet_that_pays_no_heed(self) -> None:
         """The judge itself: gateways that take a cold worker for a warm one pass the budget."""
-        with mock.patch.object(PolicyEngine, "warmth", lambda *_: 1.0):
+        with mock.patch.object(SlowStart, "warm_up_fraction", lambda *_: 1.0):
             self.assertGreater(self.most_of_limit(30, 4, 40.0, False), 1.0)
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -283,7 +283,8 @@
         await self.begin(worker.address)
         for answer in spoilt:
             answers.append(answer)
-            with mock.patch("drumgw.policy.engine.SICK_FAILURES", 9.0):  # it gets the next one all the same
+            limit = mock.patch("drumgw.policy.outlier_detection.MAX_FAILURE_SHARE", 9.0)
+            with limit:  # it gets the next one all the same
                 status, _, _ = await self.ask(POSTED, "POST", Request_Timeout="60000m")
             self.assertEqual((status, answers), (500, []), answer[:60])
             await asyncio.wait_for(worker.left.wait(), 10)  # its connection ended
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -127,7 +127,7 @@
         """Guards customers through restarts: their blocks would stay used until the store has filled."""
         s = PolicyHarness(gateways=400)
         s.tick(20000)
-        while not s.engine.accounts or max(s.engine.accounts[1].lease) < 1:
+        while not s.engine.accounts or max(s.engine.accounts[1].reserved_units) < 1:
             s.answer(s.txn(1, 1.0, left=2000.0))
         s.note("of the block that was told just now nothing is spent")
         s.play(GatewayStopping())
@@ -162,7 +162,7 @@
                 s.trace = [line for line in s.trace if "--" in line or "log" in line]
                 while s.adds:
                     s.total(0.0 if end is Outcome.SUCCEEDED else None, end, took)
-                for txn in [t for t in s.out if t in s.engine.held]:
+                for txn in [t for t in s.out if t in s.engine.pending]:
                     s.answer(txn)
                 s.tick(100)
             s.note(f"{end.value} in {took:.0f} ms: {asked} calls for 40 txns")
@@ -336,7 +336,7 @@
             s.answer(txn)
         self.assertIn(bad, tried)
         s.note(f"a trial settled: {once(bad)}")
-        s.trace = [line for line in s.trace if "--" in line or "rests" in line]
+        s.trace = [line for line in s.trace if "--" in line or "ejected" in line]
         self.same(s, "once-careful")
 
     def test_late_answers_shed_the_lower_class_first(self) -> None:
@@ -351,7 +351,7 @@
             let = [0, 0]
             for k in (1, 0):
                 let[k] = [s.txn(k, 0.1, 100 + c) in s.out for c in range(10)].count(True)
-                for txn in [t for t in s.out if t in s.engine.held]:
+                for txn in [t for t in s.out if t in s.engine.pending]:
                     s.answer(txn, took=min(took, 700.0))
             s.trace = [line for line in s.trace if "--" in line or "log: back" in line]
             s.note(f"answers in {took:.0f} ms: let out {let[0]} of the top class, {let[1]} of the other")
@@ -366,7 +366,8 @@
         for txn in txns:
             s.answer(txn, took=8000.0)
         s.tick(200)
-        s.note(f"late {s.engine.late:.2f}; from now a txn is held only with {s.engine.hold:.0f} ms left")
+        late, left = s.engine.overload.late_share, s.engine.counter_sync.min_time_left_to_wait_ms
+        s.note(f"late {late:.2f}; from now a txn is held only with {left:.0f} ms left")
         self.same(s, "stall")
 
     def test_gateways_share_the_fleet_out(self) -> None:
@@ -395,7 +396,7 @@
         for c in (1, 1, 1):
             settle(s, s.txn(1, 5.0, customer=c, gates=40))
         s.note("what is not asked about is not sent on")
-        s.engine.asking = 0.0
+        s.engine.counter_calls.poll_probability = 0.0
         s.txn(1, 5.0, customer=2, gates=40)
         self.same(s, "shared")
 
--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -22,7 +22,10 @@
     TimerFired,
 )
 from drumgw.model.settings import Plan
-from drumgw.policy.engine import COUNT_MS, IDLE_MS, CounterCall, PolicyEngine
+from drumgw.policy.counter_calls import CounterCall
+from drumgw.policy.counter_sync import CounterSync
+from drumgw.policy.engine import PolicyEngine
+from drumgw.policy.quota_account import IDLE_ACCOUNT_MS
 from drumgw.stable_hash import stable_hash
 from drumgw.testbed.metrics import sent_while_lost
 from tests.harness import INQUIRY, ONCE, gateway_settings
@@ -278,10 +281,9 @@
             fleet.answer(*fleet.calls.pop(0))
         engine = fleet.gates[0]
         account = engine.accounts[1]
-        epoch = int((fleet.now + account.phase) // COUNT_MS)
+        epoch = account.epoch_at(fleet.now)
         total = fleet.stores[0].get(stable_hash(1, epoch), 0.0)
-        filled = (fleet.now + account.phase - epoch * COUNT_MS) * fleet.plan.units_per_s / 1000.0
-        return total - filled, fleet.true_level()
+        return total - account.refilled_units(epoch, fleet.now), fleet.true_level()
 
     def test_what_gatekeepers_know_is_put_back_once(self) -> None:
         for gates in (1, 2, 4, 8):
@@ -293,12 +295,20 @@
                     self.assertLess(self.put_back(Believer, gates, seed)[0], 0.3 * true)
 
 
+class TrustingCounterSync(CounterSync):
+    """Takes every total for what was sent."""
+
+    def apply_total(self, call: CounterCall, total: float) -> float:
+        account = call.exchange.account
+        account.known_level_units = 0.0
+        account.local_usage_units = 0.0
+        return super().apply_total(call, total)
+
+
 class Believer(PolicyEngine):
     """Takes every total for what was sent."""
 
-    def read(self, call: CounterCall, total: float) -> float:
-        call.held.account.sure = call.held.account.here = 0.0
-        return super().read(call, total)
+    counter_sync_class = TrustingCounterSync
 
 
 class Declared(unittest.TestCase):
@@ -319,7 +329,7 @@
     def test_books_that_are_dropped_before_their_store_is_full_count(self) -> None:
         slow = sending_bound(PLANS[2], 2, 20.0)
         assert slow
-        self.assertEqual(slow.max_units, 2 * (60.0 + 60.0 * 20.0 / (IDLE_MS / 1000.0)))
+        self.assertEqual(slow.max_units, 2 * (60.0 + 60.0 * 20.0 / (IDLE_ACCOUNT_MS / 1000.0)))
 
     def test_where_no_useful_bound_can_be_had_it_says_so(self) -> None:
         far, near = sending_bound(plan(), 10, 10.0), sending_bound(PLANS[3], 10, 10.0)
