--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,93 +1,146 @@
-"""A toy back end for one gatekeeper: two workers, a counter and a discovery, on loopback.
+"""A toy back end for one gateway: two endpoints, a counter and a discovery, on loopback.
 
     python examples/toy.py
 
-Each worker answers after 50 ms and says which it is. Type the name of a worker (toy-1 or toy-2) and Return to
-drain it or to bring it back; Ctrl-C ends.
+Each endpoint answers after 50 ms and says which it is. Type the name of an endpoint (toy-1 or toy-2) and
+Return to drain it or to bring it back; Ctrl-C ends.
 """
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import sys
 import time
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 from typing import Any
 
 from aiohttp import web
 
-WORKERS = {"toy-1": 9001, "toy-2": 9002}
-DISCOVERY, COUNTER = 8500, 6400
+HOST = "127.0.0.1"
+ENDPOINT_PORTS = {"toy-1": 9001, "toy-2": 9002}
+DISCOVERY_PORT = 8500
+COUNTER_PORT = 6400
+WORK_S = 0.05
+MAX_COUNT_AGE_S = 60.0
 
+Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
+
+
+class ToyEndpoints:
+    """Endpoints that do nothing for a while and say that they did."""
+
+    def handler(self, name: str) -> Handler:
+        """Returns what the endpoint of this name does with a request."""
+
+        async def handle(request: web.BaseRequest) -> web.StreamResponse:
+            await request.read()
+            await asyncio.sleep(WORK_S)
+            print(f"{name}: {request.method} {request.path_qs}, id {request.headers.get('Request-Id')}")
+            headers = {"Billed-Units": "1", "Server-Load": f"TEXT mean_ms={WORK_S * 1000:.0f}"}
+            return web.Response(text=f"{name} did it\n", headers=headers)
+
+        return handle
+
+
+@dataclass
+class Count:
+    """A named total and the time at which it is forgotten."""
+
+    total: float
+    expires_at: float
+
+
+class ToyCounter:
+    """A shared counter: `POST /counters/NAME?by=UNITS&expire_ms=MS` adds and answers with the total."""
+
+    def __init__(self) -> None:
+        self.counts: dict[str, Count] = {}  # by name; expired ones are dropped at each call
+
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Adds to a count."""
+        now = time.monotonic()
+        self.counts = {name: count for name, count in self.counts.items() if count.expires_at > now}
+        age_s = min(MAX_COUNT_AGE_S, float(request.query["expire_ms"]) / 1000)
+        name = request.path.rsplit("/", 1)[-1]
+        count = self.counts.setdefault(name, Count(0.0, now + age_s))
+        count.total += float(request.query["by"])
+        return web.Response(text=f"{count.total:.7g}")
+
+
+class ToyDiscovery:
+    """Discovery: the complete list at once; with `since` and `timeout_ms`, the next change."""
 
-class Toy:
     def __init__(self) -> None:
-        self.states = dict.fromkeys(WORKERS, "up")
+        self.lifecycles = dict.fromkeys(ENDPOINT_PORTS, "up")
         self.generation = 1
-        self.changed = asyncio.Condition()
-        self.counts: dict[str, tuple[float, float]] = {}  # name: total, forgotten at; emptied as calls come
-
-    async def work(self, name: str, request: web.BaseRequest) -> web.StreamResponse:
-        await request.read()
-        await asyncio.sleep(0.05)
-        print(f"{name}: {request.method} {request.path_qs}, id {request.headers.get('Request-Id')}")
-        told = {"Billed-Units": "1", "Server-Load": "TEXT mean_ms=50"}
-        return web.Response(text=f"{name} did it\n", headers=told)
-
-    async def count(self, request: web.BaseRequest) -> web.StreamResponse:
-        now, name = time.monotonic(), request.path.rsplit("/", 1)[-1]
-        self.counts = {n: c for n, c in self.counts.items() if c[1] > now}
-        total, until = self.counts.get(name, (0.0, now + min(60.0, float(request.query["expire_ms"]) / 1000)))
-        self.counts[name] = total + float(request.query["by"]), until
-        return web.Response(text=f"{self.counts[name][0]:.7g}")
-
-    async def list(self, request: web.BaseRequest) -> web.StreamResponse:
-        whole = "since" not in request.query
-        if not whole and int(request.query["since"]) >= self.generation:
-            try:
-                async with asyncio.timeout(float(request.query.get("timeout_ms", 0)) / 1000), self.changed:
-                    await self.changed.wait()
-            except TimeoutError:
-                return self.told(False, [])
-        return self.told(whole, [self.row(name) for name in WORKERS])
-
-    def told(self, whole: bool, rows: list[dict[str, Any]]) -> web.Response:
-        return web.json_response({"generation": self.generation, "reset": whole, "instances": rows})
-
-    def row(self, name: str) -> dict[str, Any]:
+        self._changed = asyncio.Condition()
+
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Answers with the list, or waits for a change."""
+        if "since" not in request.query:
+            return self._list(is_complete=True)
+        if int(request.query["since"]) < self.generation or await self._wait_for_change(request):
+            return self._list(is_complete=False)
+        return self._no_change()
+
+    async def _wait_for_change(self, request: web.BaseRequest) -> bool:
+        timeout_s = float(request.query.get("timeout_ms", 0)) / 1000
+        try:
+            async with asyncio.timeout(timeout_s), self._changed:
+                await self._changed.wait()
+        except TimeoutError:
+            return False
+        return True
+
+    async def toggle(self, name: str) -> None:
+        """Drains an endpoint, or brings it back."""
+        self.lifecycles[name] = "draining" if self.lifecycles[name] == "up" else "up"
+        self.generation += 1
+        async with self._changed:
+            self._changed.notify_all()
+        print(f"{name} is {self.lifecycles[name]}")
+
+    def _list(self, is_complete: bool) -> web.Response:
+        return self._answer(is_complete, [self._row(name) for name in ENDPOINT_PORTS])
+
+    def _no_change(self) -> web.Response:
+        return self._answer(False, [])
+
+    def _answer(self, is_complete: bool, rows: list[dict[str, Any]]) -> web.Response:
+        return web.json_response({"generation": self.generation, "reset": is_complete, "instances": rows})
+
+    def _row(self, name: str) -> dict[str, Any]:
         return {
             "instanceId": name,
-            "hostPort": f"127.0.0.1:{WORKERS[name]}",
+            "hostPort": f"{HOST}:{ENDPOINT_PORTS[name]}",
             "zone": "a",
             "cell": 0,
             "machineType": "toy",
-            "lifecycle": self.states[name],
+            "lifecycle": self.lifecycles[name],
             "weight": 1.0,
             "startedAtMs": 0,
         }
 
-    async def flip(self, name: str) -> None:
-        self.states[name] = "draining" if self.states[name] == "up" else "up"
-        self.generation += 1
-        async with self.changed:
-            self.changed.notify_all()
-        print(f"{name} is {self.states[name]}")
-
 
 async def main() -> None:
-    toy, loop = Toy(), asyncio.get_running_loop()
-    places: list[tuple[int, Any]] = [(DISCOVERY, toy.list), (COUNTER, toy.count)]
-    places += [(port, lambda request, name=name: toy.work(name, request)) for name, port in WORKERS.items()]
-    for port, handler in places:
-        await loop.create_server(web.Server(handler), "127.0.0.1", port)
+    """Serves until Ctrl-C, and toggles the endpoints that are typed."""
+    loop = asyncio.get_running_loop()
+    endpoints = ToyEndpoints()
+    discovery = ToyDiscovery()
+    handlers: dict[int, Handler] = {DISCOVERY_PORT: discovery.handle, COUNTER_PORT: ToyCounter().handle}
+    for name, port in ENDPOINT_PORTS.items():
+        handlers[port] = endpoints.handler(name)
+    for port, handler in handlers.items():
+        await loop.create_server(web.Server(handler), HOST, port)
     print("toy-1 and toy-2 work; type a name to drain it or to bring it back")
     while line := await asyncio.to_thread(sys.stdin.readline):
-        if line.strip() in WORKERS:
-            await toy.flip(line.strip())
-    await asyncio.Event().wait()  # no one types
+        if line.strip() in ENDPOINT_PORTS:
+            await discovery.toggle(line.strip())
+    await asyncio.Event().wait()  # standard input has ended: nobody types
 
 
 if __name__ == "__main__":
-    try:
+    with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(main())
-    except KeyboardInterrupt:
-        pass
