--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""The tests' one helper: plays events to a gatekeeper and traces its decisions; servers for it to meet."""
+"""Plays events to one policy engine and traces its decisions, for tests that compare traces."""
 
 from __future__ import annotations
 
@@ -29,27 +29,72 @@
     TimerFired,
 )
 from drumgw.model.settings import DeduplicationScope, GatewaySettings, Idempotency, Plan, RequestClass
-from drumgw.policy.engine import PolicyEngine
+from drumgw.policy.engine import TICK_MS, PolicyEngine
 from drumgw.policy.quota_account import EPOCH_MS
 from drumgw.stable_hash import stable_hash
 
 TRACES = pathlib.Path(__file__).parent / "traces"
-START = 3 * EPOCH_MS - stable_hash(1) % int(EPOCH_MS)  # the first customer's count has a new name then
-INQUIRY = RequestClass(1.0, 2000.0, 8000.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 5000.0)
-ONCE = RequestClass(3.0, 800.0, 2500.0, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 5000.0)
-BY_ZONE = RequestClass(5.0, 2500.0, 8000.0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, 3000.0)
-HARD = Plan(2.0, 20.0, 0, 0.0, 0.8, 0.0, 0.0)
-SOFT = Plan(2.0, 20.0, 0, 0.2, 0.0, 0.0, 0.0)
-CEILED = Plan(10.0, 20.0, 0, 0.0, 0.5, 20.0, 40.0)
-OPEN = Plan(2.0, 20.0, 2, 0.0, 0.6, 0.0, 0.0)
+CUSTOMER = 1
+START_EPOCH = 3
+START_MS = START_EPOCH * EPOCH_MS - stable_hash(CUSTOMER) % int(EPOCH_MS)
+"""When an epoch of `CUSTOMER` begins."""
+
+IDEMPOTENT_CLASS = RequestClass(
+    priority_weight=1.0,
+    latency_objective_ms=2000.0,
+    deadline_ms=8000.0,
+    idempotency=Idempotency.IDEMPOTENT,
+    deduplication_scope=DeduplicationScope.ALL,
+    idempotency_window_ms=5000.0,
+)
+NOT_IDEMPOTENT_CLASS = RequestClass(
+    priority_weight=3.0,
+    latency_objective_ms=800.0,
+    deadline_ms=2500.0,
+    idempotency=Idempotency.NOT_IDEMPOTENT,
+    deduplication_scope=DeduplicationScope.ALL,
+    idempotency_window_ms=5000.0,
+)
+KEYED_IN_ZONE_CLASS = RequestClass(
+    priority_weight=5.0,
+    latency_objective_ms=2500.0,
+    deadline_ms=8000.0,
+    idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+    deduplication_scope=DeduplicationScope.ZONE,
+    idempotency_window_ms=3000.0,
+)
+TOP = 0
+"""Index of the class with the higher priority weight: not idempotent, unless a test says otherwise."""
+LOWER = 1
+"""Index of the class with the lower priority weight: idempotent."""
+
+HARD_PLAN = Plan(
+    units_per_s=2.0,
+    burst_units=20.0,
+    max_concurrent_attempts=0,
+    over_quota_value_share=0.0,
+    over_quota_cost_share=0.8,
+    ceiling_units_per_s=0.0,
+    ceiling_burst_units=0.0,
+)
+SOFT_PLAN = dataclasses.replace(HARD_PLAN, over_quota_value_share=0.2, over_quota_cost_share=0.0)
+CEILING_PLAN = dataclasses.replace(
+    HARD_PLAN,
+    units_per_s=10.0,
+    over_quota_cost_share=0.5,
+    ceiling_units_per_s=20.0,
+    ceiling_burst_units=40.0,
+)
+CAPPED_PLAN = dataclasses.replace(HARD_PLAN, max_concurrent_attempts=2, over_quota_cost_share=0.6)
 
 
 def gateway_settings(
-    request_classes: tuple[RequestClass, ...] = (ONCE, INQUIRY),
-    plans: tuple[Plan, ...] = (HARD,),
+    request_classes: tuple[RequestClass, ...] = (NOT_IDEMPOTENT_CLASS, IDEMPOTENT_CLASS),
+    plans: tuple[Plan, ...] = (HARD_PLAN,),
     **other: Any,
 ) -> GatewaySettings:
-    plain = GatewaySettings(
+    """Settings of one of two gateways; `other` replaces any field."""
+    settings = GatewaySettings(
         ordinal=0,
         gateways=2,
         zone=0,
@@ -68,103 +113,171 @@
         cross_zone_fee=0.0,
         load_report_fields=(),
     )
-    return dataclasses.replace(plain, **other)
+    return dataclasses.replace(settings, **other)
 
 
 class PolicyHarness:
-    """One gatekeeper, its clock and the trace of what it does. The counter answers at once, unless held."""
-
-    def __init__(self, workers: int = 4, born: float | None = None, held: bool = False, **other: Any) -> None:
-        self.engine, self.now, self.trace, self.ids = (
-            PolicyEngine(7, gateway_settings(**other)),
-            START,
-            list[str](),
-            0,
-        )
-        self.out: dict[int, list[int]] = {}  # txn: workers it was sent to
-        self.adds: list[AddToCounter] = []  # calls not answered yet
-        self.counts: dict[int, float] = {}
-        self.counter_held = held
-        self.engine.start(self.now)
-        rows = tuple(self.row(w, EndpointStatus.READY, born) for w in range(workers))
-        self.play(EndpointsUpdated(True, rows))
-        self.tick()
+    """One policy engine, its clock, its shared counter and the trace of its decisions.
+
+    Args:
+        endpoints: how many there are, numbered from 0; odd ones are in zone and cell 1, even ones in 0.
+        started_at_ms: when they started cold; None where they are warm.
+        hold_counter: whether calls to the counter wait for `reply_from_counter`; else it answers at once.
+        settings: see `gateway_settings`.
+    """
+
+    def __init__(
+        self,
+        endpoints: int = 4,
+        started_at_ms: float | None = None,
+        hold_counter: bool = False,
+        **settings: Any,
+    ) -> None:
+        self.engine = PolicyEngine(7, gateway_settings(**settings))
+        self.now_ms = START_MS
+        self.trace: list[str] = []
+        self.last_request_id = 0
+        self.attempted_endpoints: dict[int, list[int]] = {}
+        """By request: the endpoint of each attempt."""
+        self.counter_calls: list[AddToCounter] = []
+        """Not answered yet, oldest first."""
+        self.counter_totals: dict[int, float] = {}
+        self.hold_counter = hold_counter
+        self.engine.start(self.now_ms)
+        listed = (self.endpoint_info(e, EndpointStatus.READY, started_at_ms) for e in range(endpoints))
+        self.play(EndpointsUpdated(True, tuple(listed)))
+        self.advance()
 
     @staticmethod
-    def row(worker: int, health: EndpointStatus, born: float | None = None) -> EndpointInfo:
-        return EndpointInfo(worker, worker % 2, worker % 2, "std", health, born, 1.0)
+    def endpoint_info(
+        endpoint_id: int, status: EndpointStatus, started_at_ms: float | None = None
+    ) -> EndpointInfo:
+        """An endpoint's entry in the endpoint list."""
+        return EndpointInfo(endpoint_id, endpoint_id % 2, endpoint_id % 2, "std", status, started_at_ms, 1.0)
 
     def play(self, event: Event) -> list[Action]:
-        actions = self.engine.handle(self.now, event)
-        for a in actions:
-            if isinstance(a, ForwardRequest):
-                self.out.setdefault(a.request_id, []).append(a.endpoint_id)
-            if isinstance(a, AddToCounter):
-                self.adds.append(a)
-            self.note(a)
-        while self.adds and not self.counter_held:
-            self.total()
+        """Hands an event to the engine, and traces what it decides."""
+        actions = self.engine.handle(self.now_ms, event)
+        for action in actions:
+            if isinstance(action, ForwardRequest):
+                self.attempted_endpoints.setdefault(action.request_id, []).append(action.endpoint_id)
+            if isinstance(action, AddToCounter):
+                self.counter_calls.append(action)
+            if (text := describe(action)) is not None:
+                self._trace(text)
+        while self.counter_calls and not self.hold_counter:
+            self.reply_from_counter()
         return actions
 
-    def note(self, a: Action | str) -> None:
-        at = f"{self.now - START:7.0f}  "
-        match a:
-            case str():
-                self.trace.append(at + "-- " + a)
-            case ForwardRequest():
-                self.trace.append(at + f"submit txn {a.request_id} to worker {a.endpoint_id}")
-            case RejectRequest():
-                self.trace.append(at + f"decline txn {a.request_id}, back in {a.retry_after_ms:.0f} ms")
-            case FailRequest():
-                self.trace.append(at + f"void txn {a.request_id}")
-            case CancelAttempt():
-                self.trace.append(at + f"call off txn {a.request_id}, submission {a.attempt}")
-            case AddToCounter():
-                self.trace.append(at + (f"add {a.amount:g}" if a.amount else "read"))
-            case LogMessage():
-                self.trace.append(at + "log: " + a.text)
-
-    def txn(
-        self, product: int = 1, units: float = 1.0, customer: int = 1, left: float = 5000.0, gates: int = 2
+    def _trace(self, text: str) -> None:
+        self.trace.append(f"{self.now_ms - START_MS:7.0f}  {text}")
+
+    def note(self, text: str) -> None:
+        """Writes a remark for the reader into the trace."""
+        self._trace("-- " + text)
+
+    def request(
+        self,
+        request_class: int = LOWER,
+        units: float = 1.0,
+        customer: int = CUSTOMER,
+        time_left_ms: float = 5000.0,
+        gateway_count: int = 2,
     ) -> int:
-        self.ids += 1
-        self.play(RequestReceived(self.ids, left, 0, customer, product, units, False, gates, 0))
-        return self.ids
+        """A client's request; returns its id."""
+        self.last_request_id += 1
+        self.play(
+            RequestReceived(
+                request_id=self.last_request_id,
+                time_left_ms=time_left_ms,
+                plan=0,
+                customer=customer,
+                request_class=request_class,
+                units=units,
+                is_client_retry=False,
+                gateway_count=gateway_count,
+                first_gateway=0,
+            )
+        )
+        return self.last_request_id
 
-    def answer(
+    def end_attempt(
         self,
-        txn: int,
-        end: Outcome = Outcome.SUCCEEDED,
-        took: float = 50.0,
-        final: bool | None = None,
-        units: float = 0.0,
+        request_id: int,
+        outcome: Outcome = Outcome.SUCCEEDED,
+        duration_ms: float = 50.0,
+        is_final: bool | None = None,
+        billed_units: float = 0.0,
     ) -> None:
-        sent = self.out[txn]
-        done = end is Outcome.SUCCEEDED if final is None else final
-        self.play(AttemptEnded(txn, len(sent) - 1, sent[-1], end, took, done, units, {}))
-
-    def total(self, total: float | None = None, end: Outcome = Outcome.SUCCEEDED, took: float = 2.0) -> None:
-        """Answers the oldest call: with the counter's own sum, or with what the test says."""
-        call = self.adds.pop(0)
-        if end is Outcome.SUCCEEDED:
-            self.counts[call.counter_key] = (
-                self.counts.get(call.counter_key, 0.0) + call.amount if total is None else total
+        """Ends a request's last attempt."""
+        endpoints = self.attempted_endpoints[request_id]
+        self.play(
+            AttemptEnded(
+                request_id=request_id,
+                attempt=len(endpoints) - 1,
+                endpoint_id=endpoints[-1],
+                outcome=outcome,
+                duration_ms=duration_ms,
+                is_final=outcome is Outcome.SUCCEEDED if is_final is None else is_final,
+                billed_units=billed_units,
+                load_report={},
             )
-        self.play(CounterReplied(call.counter_key, end, self.counts.get(call.counter_key, 0.0), took))
+        )
+
+    def serve(self, request_id: int) -> None:
+        """Ends a request's attempt with success, if it was forwarded."""
+        if request_id in self.attempted_endpoints:
+            self.end_attempt(request_id)
 
-    def name(self) -> int:
-        """The name of the first customer's count."""
-        return stable_hash(1, int((self.now - START) // EPOCH_MS) + 3)
+    def reply_from_counter(
+        self,
+        total: float | None = None,
+        outcome: Outcome = Outcome.SUCCEEDED,
+        duration_ms: float = 2.0,
+    ) -> None:
+        """Answers the oldest call: with the counter's own sum, or with the total that the test gives."""
+        call = self.counter_calls.pop(0)
+        key = call.counter_key
+        if outcome is Outcome.SUCCEEDED:
+            added = self.counter_totals.get(key, 0.0) + call.amount
+            self.counter_totals[key] = added if total is None else total
+        self.play(CounterReplied(key, outcome, self.counter_totals.get(key, 0.0), duration_ms))
+
+    def counter_key(self) -> int:
+        """The counter key of `CUSTOMER` at this time."""
+        return stable_hash(CUSTOMER, int((self.now_ms - START_MS) // EPOCH_MS) + START_EPOCH)
 
-    def tick(self, ms: float = 100.0) -> None:
-        for _ in range(round(ms / 100)):
-            self.now += 100
+    def advance(self, duration_ms: float = TICK_MS) -> None:
+        """Lets time pass, with the engine's timer."""
+        for _ in range(round(duration_ms / TICK_MS)):
+            self.now_ms += TICK_MS
             self.play(TimerFired(0))
 
 
+def describe(action: Action) -> str | None:
+    """A line for the trace; None for a timer."""
+    match action:
+        case ForwardRequest():
+            return f"forward request {action.request_id} to endpoint {action.endpoint_id}"
+        case RejectRequest():
+            return f"reject request {action.request_id}, retry after {action.retry_after_ms:.0f} ms"
+        case FailRequest():
+            return f"fail request {action.request_id}"
+        case CancelAttempt():
+            return f"cancel request {action.request_id}, attempt {action.attempt}"
+        case AddToCounter():
+            return f"add {action.amount:g}" if action.amount else "read"
+        case LogMessage():
+            return "log: " + action.text
+        case _:
+            return None
+
+
 class TraceCase(unittest.TestCase):
-    def same(self, stage: PolicyHarness, name: str) -> None:
-        """The trace must be the one kept in traces/; a person reads the difference."""
+    """Tests that compare a trace with the one kept for it."""
+
+    def assert_trace(self, harness: PolicyHarness, name: str) -> None:
+        """The trace must be the one in `tests/traces/`, which is meant to be read."""
         kept = (TRACES / f"{name}.txt").read_text().splitlines()
-        change = list(difflib.unified_diff(kept, stage.trace, "kept", "now", lineterm="", n=2))
-        self.assertFalse(change, "\n" + "\n".join(change))
+        difference = list(difflib.unified_diff(kept, harness.trace, "kept", "now", lineterm="", n=2))
+        self.assertFalse(difference, "\n" + "\n".join(difference))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Many gateways round the real decision module, on a clock of the test's own: what they do together."""
+"""Slow start over a whole fleet: what many gateways together send an endpoint that warms up."""
 
 from __future__ import annotations
 
@@ -22,129 +22,171 @@
     TimerFired,
 )
 from drumgw.model.settings import Plan
-from drumgw.policy.engine import PolicyEngine
+from drumgw.policy.engine import TICK_MS, PolicyEngine
 from drumgw.policy.slow_start import SlowStart
-from tests.harness import INQUIRY, ONCE, gateway_settings
-
-PLENTY = Plan(1000.0, 1000.0, 0, 0.0, 0.8, 0.0, 0.0)
-COLD_FROM, COLD_MS, FALL_MULTIPLE, FALL_MS = 0.19, 18000.0, 1.5, 3000.0  # a strict multiple
-COLD = 1  # the worker that starts in the middle of the play
-QUIET_MS, PLAY_MS = 15000.0, 20000.0
+from tests.harness import LOWER, gateway_settings
+
+LARGE_PLAN = Plan(
+    units_per_s=1000.0,
+    burst_units=1000.0,
+    max_concurrent_attempts=0,
+    over_quota_value_share=0.0,
+    over_quota_cost_share=0.8,
+    ceiling_units_per_s=0.0,
+    ceiling_burst_units=0.0,
+)
+INITIAL_FRACTION = 0.19
+WARM_UP_MS = 18000.0
+OVERLOAD_MULTIPLE = 1.5
+"""A strict one: an endpoint that gets more than this multiple of what it can do fails."""
+OVERLOAD_WINDOW_MS = 3000.0
+COLD_ENDPOINT = 1
+"""Starts in the middle of the run."""
+QUIET_MS = 15000.0
+BURST_MS = 20000.0
+CUSTOMERS = 400
 
 
 class Fleet:
-    """Gateways that share workers; each request takes the worker some time, and is served."""
-
-    def __init__(self, gateways: int, workers: int, requests_per_s: float, uneven: bool) -> None:
-        self.chance = random.Random(7)
-        self.workers, self.requests_per_s = workers, requests_per_s
-        self.modules = [
-            PolicyEngine(
-                number,
-                gateway_settings(
-                    request_classes=(ONCE, INQUIRY),
-                    plans=(PLENTY,),
-                    gateways=gateways,
-                    ordinal=number,
-                    has_counter=False,
-                    warm_up_initial_fraction=COLD_FROM,
-                    warm_up_ms=COLD_MS,
-                    warm_up_overload_multiple=FALL_MULTIPLE,
-                ),
-            )
-            for number in range(gateways)
-        ]
-        self.traffic = [self.chance.expovariate(1.0) if uneven else 1.0 for _ in self.modules]
+    """Gateways that share endpoints, on a clock of the test's own; every request is served."""
+
+    def __init__(
+        self, gateway_count: int, endpoint_count: int, requests_per_s: float, is_uneven: bool
+    ) -> None:
+        self.random = random.Random(7)
+        self.endpoint_count = endpoint_count
+        self.requests_per_s = requests_per_s
+        self.engines = [self.engine(ordinal, gateway_count) for ordinal in range(gateway_count)]
+        self.traffic = [self.random.expovariate(1.0) if is_uneven else 1.0 for _ in self.engines]
         self.events: list[tuple[float, int, int, Event]] = []
         self.order = itertools.count()
-        self.cold_sends: list[float] = []
+        self.cold_attempts_ms: list[float] = []
+
+    @staticmethod
+    def engine(ordinal: int, gateway_count: int) -> PolicyEngine:
+        """The policy engine of one gateway."""
+        settings = gateway_settings(
+            plans=(LARGE_PLAN,),
+            gateways=gateway_count,
+            ordinal=ordinal,
+            has_counter=False,
+            warm_up_initial_fraction=INITIAL_FRACTION,
+            warm_up_ms=WARM_UP_MS,
+            warm_up_overload_multiple=OVERLOAD_MULTIPLE,
+        )
+        return PolicyEngine(ordinal, settings)
 
-    def at(self, time_ms: float, gateway: int, event: Event) -> None:
+    def schedule(self, time_ms: float, gateway: int, event: Event) -> None:
+        """Hands an event to a gateway at a time."""
         heapq.heappush(self.events, (time_ms, next(self.order), gateway, event))
 
-    def listed(self, joined_ms: float | None) -> EndpointsUpdated:
-        numbers = range(COLD if joined_ms else COLD + 1, self.workers + 1)
-        return EndpointsUpdated(
-            True,
-            tuple(
-                EndpointInfo(n, 0, 0, "", EndpointStatus.READY, joined_ms if n == COLD else None, 1.0)
-                for n in numbers
-            ),
-        )
+    def endpoint_list(self, cold_started_at_ms: float | None) -> EndpointsUpdated:
+        """The complete list, with the cold endpoint once it has started."""
+        first = COLD_ENDPOINT if cold_started_at_ms else COLD_ENDPOINT + 1
+        endpoints = []
+        for number in range(first, self.endpoint_count + 1):
+            started_at_ms = cold_started_at_ms if number == COLD_ENDPOINT else None
+            endpoints.append(EndpointInfo(number, 0, 0, "", EndpointStatus.READY, started_at_ms, 1.0))
+        return EndpointsUpdated(True, tuple(endpoints))
 
     def play(self, start_ms: float, quiet_load: float, burst_load: float) -> float:
-        """A quiet time, then the cold worker joins and a burst begins. Returns when it joined."""
-        joined_ms = start_ms + QUIET_MS
-        for number, module in enumerate(self.modules):
-            module.start(start_ms)
-            self.at(start_ms, number, self.listed(None))
-            self.at(start_ms + 100.0 * self.chance.random(), number, TimerFired(0))
-            self.at(joined_ms + 100.0 * self.chance.random(), number, self.listed(joined_ms))
-        time_ms, end_ms = start_ms, joined_ms + PLAY_MS
-        for request in itertools.count(1):
-            load = quiet_load if time_ms < joined_ms else burst_load
-            time_ms += self.chance.expovariate(load * self.workers * self.requests_per_s / 1000.0)
-            if time_ms >= end_ms:
-                break
-            (gateway,) = self.chance.choices(range(len(self.modules)), self.traffic)
-            customer = self.chance.randrange(400)
-            self.at(
-                time_ms,
-                gateway,
-                RequestReceived(request, 8000.0, 0, customer, 1, 1.0, False, len(self.modules), 0),
-            )
+        """A quiet time, then the cold endpoint starts and a burst begins.
+
+        Args:
+            start_ms: when the run starts.
+            quiet_load: requests in the quiet time, as a share of what all endpoints can do.
+            burst_load: the same in the burst.
+
+        Returns:
+            When the cold endpoint started.
+        """
+        cold_started_at_ms = start_ms + QUIET_MS
+        for gateway, engine in enumerate(self.engines):
+            engine.start(start_ms)
+            self.schedule(start_ms, gateway, self.endpoint_list(None))
+            self.schedule(start_ms + TICK_MS * self.random.random(), gateway, TimerFired(0))
+            heard_at_ms = cold_started_at_ms + 100.0 * self.random.random()
+            self.schedule(heard_at_ms, gateway, self.endpoint_list(cold_started_at_ms))
+        end_ms = cold_started_at_ms + BURST_MS
+        self.schedule_requests(start_ms, cold_started_at_ms, end_ms, quiet_load, burst_load)
         while self.events and self.events[0][0] < end_ms:
             self.step(*heapq.heappop(self.events))
-        return joined_ms
+        return cold_started_at_ms
+
+    def schedule_requests(
+        self, start_ms: float, burst_ms: float, end_ms: float, quiet_load: float, burst_load: float
+    ) -> None:
+        """Requests of random customers, through gateways by their traffic."""
+        time_ms = start_ms
+        for request_id in itertools.count(1):
+            load = quiet_load if time_ms < burst_ms else burst_load
+            per_ms = load * self.endpoint_count * self.requests_per_s / 1000.0
+            time_ms += self.random.expovariate(per_ms)
+            if time_ms >= end_ms:
+                return
+            (gateway,) = self.random.choices(range(len(self.engines)), self.traffic)
+            customer = self.random.randrange(CUSTOMERS)
+            request = RequestReceived(
+                request_id, 8000.0, 0, customer, LOWER, 1.0, False, len(self.engines), 0
+            )
+            self.schedule(time_ms, gateway, request)
 
     def step(self, time_ms: float, _order: int, gateway: int, event: Event) -> None:
-        for action in self.modules[gateway].handle(time_ms, event):
+        """Hands one event over, and schedules what follows from the actions."""
+        for action in self.engines[gateway].handle(time_ms, event):
             if isinstance(action, SetTimer):
-                self.at(time_ms + action.delay_ms, gateway, TimerFired(action.timer_id))
+                self.schedule(time_ms + action.delay_ms, gateway, TimerFired(action.timer_id))
             elif isinstance(action, ForwardRequest):
-                if action.endpoint_id == COLD:
-                    self.cold_sends.append(time_ms)
-                took_ms = 2000.0 / self.requests_per_s * self.chance.uniform(0.5, 1.5)
-                answer = AttemptEnded(
-                    action.request_id, 0, action.endpoint_id, Outcome.SUCCEEDED, took_ms, True, 0.0, {}
+                if action.endpoint_id == COLD_ENDPOINT:
+                    self.cold_attempts_ms.append(time_ms)
+                duration_ms = 2000.0 / self.requests_per_s * self.random.uniform(0.5, 1.5)
+                end = AttemptEnded(
+                    action.request_id, 0, action.endpoint_id, Outcome.SUCCEEDED, duration_ms, True, 0.0, {}
                 )
-                self.at(time_ms + took_ms, gateway, answer)
+                self.schedule(time_ms + duration_ms, gateway, end)
+
 
+class WarmUpBudgetTest(unittest.TestCase):
+    """A cold endpoint fails under the sum of what all gateways send it.
 
-class ColdBudget(unittest.TestCase):
-    """A cold worker falls under the sum of all gateways' sends, first and further ones alike."""
+    Each gateway sees only its own requests, so each must keep to a part of the endpoint's budget that holds
+    for the sum, also where traffic is uneven and a burst begins as the endpoint starts.
+    """
 
-    def most_of_limit(self, gateways: int, workers: int, requests_per_s: float, uneven: bool) -> float:
-        """The largest part of what a cold worker bears in a window that it was sent."""
-        fleet = Fleet(gateways, workers, requests_per_s, uneven)
-        joined_ms = fleet.play(1e6, quiet_load=0.1, burst_load=0.9)
+    def most_of_budget(
+        self, gateway_count: int, endpoint_count: int, requests_per_s: float, is_uneven: bool
+    ) -> float:
+        """The largest part of what the cold endpoint bears in a window that it was sent."""
+        fleet = Fleet(gateway_count, endpoint_count, requests_per_s, is_uneven)
+        started_at_ms = fleet.play(1e6, quiet_load=0.1, burst_load=0.9)
         most = 0.0
-        for last, sent_ms in enumerate(fleet.cold_sends):
-            age_ms = sent_ms - joined_ms
-            if age_ms >= COLD_MS:
+        for last, sent_at_ms in enumerate(fleet.cold_attempts_ms):
+            age_ms = sent_at_ms - started_at_ms
+            if age_ms >= WARM_UP_MS:
                 break
-            warmth = COLD_FROM + (1 - COLD_FROM) * age_ms / COLD_MS
-            budget = FALL_MULTIPLE * warmth * requests_per_s * FALL_MS / 1000.0
-            sent = last + 1 - bisect_left(fleet.cold_sends, sent_ms - FALL_MS)
-            most = max(most, sent / (budget + 2 * math.sqrt(budget) + 2))
+            fraction = INITIAL_FRACTION + (1 - INITIAL_FRACTION) * age_ms / WARM_UP_MS
+            budget = OVERLOAD_MULTIPLE * fraction * requests_per_s * OVERLOAD_WINDOW_MS / 1000.0
+            first = bisect_left(fleet.cold_attempts_ms, sent_at_ms - OVERLOAD_WINDOW_MS)
+            chance = 2 * math.sqrt(budget) + 2
+            most = max(most, (last + 1 - first) / (budget + chance))
         return most
 
     def test_all_gateways_together_keep_the_budget_under_a_burst(self) -> None:
-        for gateways, workers, requests_per_s, uneven in (
+        for gateway_count, endpoint_count, requests_per_s, is_uneven in (
             (2, 12, 10.0, True),
             (30, 12, 10.0, False),
             (30, 12, 4.0, True),
             (30, 6, 2.0, True),
             (230, 60, 4.0, True),
         ):
-            with self.subTest(gateways=gateways, workers=workers, uneven=uneven):
-                most = self.most_of_limit(gateways, workers, requests_per_s, uneven)
+            with self.subTest(gateways=gateway_count, endpoints=endpoint_count, uneven=is_uneven):
+                most = self.most_of_budget(gateway_count, endpoint_count, requests_per_s, is_uneven)
                 self.assertTrue(0.0 < most < 0.75, most)
 
-    def test_the_count_finds_a_fleet_that_pays_no_heed(self) -> None:
-        """The judge itself: gateways that take a cold worker for a warm one pass the budget."""
+    def test_gateways_without_slow_start_pass_the_budget(self) -> None:
+        """The check itself: gateways that take a cold endpoint for a warm one must be found."""
         with mock.patch.object(SlowStart, "warm_up_fraction", lambda *_: 1.0):
-            self.assertGreater(self.most_of_limit(30, 4, 40.0, False), 1.0)
+            self.assertGreater(self.most_of_budget(30, 4, 40.0, False), 1.0)
 
 
 if __name__ == "__main__":
