--- a/drumgw/gateway/__init__.py
+++ b/drumgw/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The real gatekeeper: sockets round the decision module."""
+"""The gateway on sockets: all that surrounds the policy engine in a running process."""
--- a/drumgw/gateway/counter_client.py
+++ b/drumgw/gateway/counter_client.py
@@ -1,10 +1,21 @@
-"""The counter's actor and its lanes: calls are written one behind another, answers come in their order."""
+"""Calls to the shared counter: pipelined over a few connections, with replies told in order.
+
+The policy engine relies on the order of the calls for one counter key. So calls for a key are written one
+behind the other on one connection, none waiting for an earlier one's reply, and their ends are told in the
+order of the calls, even where a later call's reply comes first on another connection.
+
+A call that was written may have been added, whether or not its reply comes. It ends as timed out then; only
+one that was not written ends as unreachable, and has added nothing.
+"""
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass, field
 from functools import partial
 
+from aiohttp.connector import Connection as ConnectionHandle
+
 from drumgw.gateway.clock import Timer
 from drumgw.gateway.connection_pool import ConnectionPool
 from drumgw.gateway.dispatcher import Dispatcher
@@ -16,172 +27,248 @@
 from drumgw.model.actions import AddToCounter
 from drumgw.model.events import Outcome
 
-IDLE_MS = 5000.0  # the counter closes what stood idle for about 10 s or less (the protocol's figure)
-TURNED_AWAY = (400, 404, 503)
+IDLE_TIMEOUT_MS = 5000.0
+"""A connection idle for longer is not used again: the counter closes it after about 10 s (protocol)."""
+CALLS_PER_ENDPOINT_CONNECTION = 4
+"""How many calls may be in flight, for each attempt that may be."""
+STATUS_OK = 200
+STATUSES_REJECTED = (400, 404, 503)
+"""The counter has added nothing."""
 
 
+@dataclass(slots=True, eq=False)
 class CounterCall:
-    """One call. Its answer counts until its time is over, and is told once."""
+    """One call. Its reply counts until it is timed out; its end is told once."""
+
+    command: AddToCounter
+    started_at_ms: float
+    """On a clock that stands still while this process is stalled."""
+    is_written: bool = False
+    """Whether it may have been added."""
+    outcome: Outcome | None = None
+    """None until it has ended."""
+    total: float = 0.0
+    duration_ms: float = 0.0
+    timer: Timer | None = None
+
+    @property
+    def outcome_without_reply(self) -> Outcome:
+        """How it ends if no reply comes."""
+        return Outcome.TIMED_OUT if self.is_written else Outcome.UNREACHABLE
 
-    __slots__ = ("order", "asked_at", "written", "end", "total", "took_ms", "timer")
 
-    def __init__(self, order: AddToCounter, asked_at: float) -> None:
-        self.order, self.asked_at, self.written = order, asked_at, False
-        self.end: Outcome | None = None
-        self.total = self.took_ms = 0.0
-        self.timer: Timer | None = None
+@dataclass(slots=True, eq=False)
+class KeyQueue:
+    """The calls for one counter key that have not been told yet."""
+
+    calls: deque[CounterCall] = field(default_factory=deque)
+    """In the order in which they were made."""
+    connection: CounterConnection | None = None
+    """Where the last one was written."""
 
 
 class CounterConnection:
-    """A connection to the counter. Its mailbox holds the calls that were not answered on it."""
-
-    def __init__(self, counter: CounterClient) -> None:
-        self.counter, self.trip, self.open, self.used_at = counter, Exchange(), True, counter.clock.now()
-        self.mailbox: deque[CounterCall] = deque()  # emptied by answers, or at once when the lane closes
-        self.wire: PeerConnection | None = None  # once it is up
-        self.task = counter.loop.create_task(self.run())
-
-    def put(self, call: CounterCall) -> None:
-        self.mailbox.append(call)
-        if self.wire is not None:
-            self.write(self.wire, call)
-
-    def write(self, wire: PeerConnection, call: CounterCall) -> None:
-        order = call.order
-        name = f"{self.counter.prefix}{order.counter_key}"
-        target = f"/counters/{name}?by={order.amount:.12g}&expire_ms={order.ttl_ms:.0f}"
-        wire.send_request(
-            (
-                f"POST {target} HTTP/1.1\r\nHost: {self.counter.address}\r\n" "Content-Length: 0\r\n\r\n"
-            ).encode()
-        )
-        call.written = True
+    """A connection to the counter. Replies come in the order of the calls written on it.
+
+    Args:
+        client: whose connection it is.
+    """
+
+    def __init__(self, client: CounterClient) -> None:
+        self.calls: deque[CounterCall] = deque()  # not answered on it; emptied at once when it closes
+        self.is_open = True
+        """Whether it takes further calls."""
+        self.last_used_ms = client.clock.now()
+        self._client = client
+        self._exchange = Exchange()
+        self._connection: PeerConnection | None = None  # None until it is up
+        self._task = client.loop.create_task(self._connect())
 
-    async def run(self) -> None:
-        """Connects and writes what has gathered; each answer goes to the oldest call."""
+    def send(self, call: CounterCall) -> None:
+        """Writes the call, now or once the connection is up."""
+        self.calls.append(call)
+        if self._connection is not None:
+            self._write(self._connection, call)
+
+    def retire(self) -> None:
+        """Takes no further calls. Closes once nobody waits for it, as its replies may never come."""
+        self.is_open = False
+        if all(call.outcome is not None for call in self.calls):
+            self.close()
+
+    def close(self) -> None:
+        """Closes at once, and ends the calls that were not answered."""
+        self.is_open = False
+        if self._connection is not None:
+            self._connection.on_response = self._connection.on_error = None
+        self._client.connections.discard(self)
+        unanswered, self.calls = self.calls, deque()
+        self._exchange.close()
+        self._task.cancel()
+        for call in unanswered:
+            self._client.end(call, call.outcome_without_reply, 0.0)
+
+    async def _connect(self) -> None:
+        """Connects, and writes the calls that have gathered meanwhile."""
         try:
-            self.trip.connection, self.wire = await self.counter.pool.connect(self.counter.peer)
-            self.wire.on_response, self.wire.on_error = self.answered, lambda _: self.close()
-            for call in self.mailbox:
-                self.write(self.wire, call)
+            self._exchange.connection, connection = await self._client.connect()
+            self._connection = connection
+            connection.on_response = self._reply_received
+            connection.on_error = lambda _: self.close()
+            for call in self.calls:
+                self._write(connection, call)
         except CONNECTION_ERRORS:
             self.close()
         except Exception as error:
-            self.counter.dispatcher.log_fault(error, "the counter's lane")
+            self._client.log_fault(error)
             self.close()
 
-    def answered(self, answer: RawResponse) -> None:
-        """Guards the books: after an answer without a number the connection means nothing any more."""
-        message, body = answer
-        call, total = self.mailbox.popleft(), read_number(body)
-        self.used_at = self.counter.clock.now()
-        if message.code in TURNED_AWAY:
-            self.counter.ended(call, Outcome.REJECTED, 0.0)
-        elif message.code == 200 and total is not None:
-            self.counter.ended(call, Outcome.SUCCEEDED, total)
+    def _write(self, connection: PeerConnection, call: CounterCall) -> None:
+        connection.send_request(self._client.request(call.command))
+        call.is_written = True
+
+    def _reply_received(self, response: RawResponse) -> None:
+        """Ends the oldest call.
+
+        Guards quota accounts: after a reply without a number it is not known any more which reply belongs to
+        which call, so the connection is closed and no total of it is believed.
+        """
+        call = self.calls.popleft()
+        total = read_number(response.body)
+        self.last_used_ms = self._client.clock.now()
+        status = response.message.code
+        if status in STATUSES_REJECTED:
+            self._client.end(call, Outcome.REJECTED, 0.0)
+        elif status == STATUS_OK and total is not None:
+            self._client.end(call, Outcome.SUCCEEDED, total)
         else:
-            self.counter.ended(call, Outcome.TIMED_OUT, 0.0)
+            self._client.end(call, Outcome.TIMED_OUT, 0.0)
             self.close()
-        if message.should_close:  # what is written behind it would be unsure for nothing
+        if response.message.should_close:  # what is written behind it could be added or not
             self.close()
-        elif not self.open:
+        elif not self.is_open:
             self.retire()
 
-    def retire(self) -> None:
-        """Takes no new calls; closed once nobody waits for it, as it may stay silent for ever."""
-        self.open = False
-        if all(call.end is not None for call in self.mailbox):
-            self.close()
 
-    def close(self) -> None:
-        self.open = False
-        if self.wire is not None:
-            self.wire.on_response = self.wire.on_error = None
-        self.counter.connections.discard(self)
-        rest, self.mailbox = self.mailbox, deque()
-        self.trip.close()
-        self.task.cancel()
-        for call in rest:  # written, it may have been added, or may yet be
-            self.counter.ended(call, Outcome.TIMED_OUT if call.written else Outcome.UNREACHABLE, 0.0)
+class CounterClient:
+    """Calls the shared counter.
 
+    Args:
+        config: says where the counter is, and how long a call may take.
+        dispatcher: is told how each call ends.
+    """
 
-class CounterClient:
     def __init__(self, config: GatewayConfig, dispatcher: Dispatcher) -> None:
         assert config.counter is not None
-        self.dispatcher, self.loop, self.clock = dispatcher, dispatcher.loop, dispatcher.clock
-        self.wait_ms, self.most = config.settings.counter_timeout_ms, 4 * config.max_endpoint_connections
-        self.pool = ConnectionPool(MAX_COUNTER_CONNECTIONS, IDLE_MS, None, dispatcher.clock)
-        self.connections: set[CounterConnection] = set()  # 32 at most; emptied as they close
-        self.names: dict[
-            int, tuple[deque[CounterCall], CounterConnection | None]
-        ] = {}  # calls out; emptied by their ends
-        self.waiting, self.prefix = 0, config.counter_key_prefix
+        self.loop = dispatcher.loop
+        self.clock = dispatcher.clock
+        self.timeout_ms = config.settings.counter_timeout_ms
+        self.connections: set[CounterConnection] = set()  # emptied as they close
+        self.queues: dict[int, KeyQueue] = {}  # by counter key; an entry goes as its last call is told
+        self.calls_in_flight = 0
+        self._dispatcher = dispatcher
+        self._max_calls_in_flight = CALLS_PER_ENDPOINT_CONNECTION * config.max_endpoint_connections
+        self._key_prefix = config.counter_key_prefix
+        self._pool = ConnectionPool(MAX_COUNTER_CONNECTIONS, IDLE_TIMEOUT_MS, None, dispatcher.clock)
         self.set_address(config.counter)
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """New calls go there; those out may still be answered where they were asked."""
-        self.address = "{}:{}".format(*address)
-        self.peer = self.pool.peer(self.address)
-        for lane in list(self.connections):
-            lane.retire()
+        """Makes new calls at this address; those in flight may still be answered where they were made."""
+        host, port = address
+        self._address = f"{host}:{port}"
+        self._peer = self._pool.peer(self._address)
+        for connection in list(self.connections):
+            connection.retire()
 
     async def close(self) -> None:
-        for lane in list(self.connections):
-            lane.close()
-        await self.pool.close()
+        """Closes all connections, and ends the calls in flight."""
+        for connection in list(self.connections):
+            connection.close()
+        await self._pool.close()
 
-    def call(self, order: AddToCounter) -> None:
-        """Calls of a name go behind each other on one lane, so none waits for another's answer."""
+    def call(self, command: AddToCounter) -> None:
+        """Makes a call. It ends as unreachable at once where too many are in flight."""
         now = self.clock.now()
-        call = CounterCall(order, now - self.clock.stalled_ms)
-        queue, last = self.names.get(order.counter_key, (deque(), None))
-        lane = last if last is not None and last.open else self.choose_connection(now)
-        queue.append(call)
-        self.waiting, self.names[order.counter_key] = self.waiting + 1, (queue, lane)
-        if lane is None or self.waiting > self.most:
-            self.ended(call, Outcome.UNREACHABLE, 0.0)
+        call = CounterCall(command, now - self.clock.stalled_ms)
+        queue = self.queues.get(command.counter_key) or KeyQueue()
+        connection = queue.connection
+        if connection is None or not connection.is_open:
+            connection = self._choose_connection(now)
+        queue.connection = connection
+        queue.calls.append(call)
+        self.queues[command.counter_key] = queue
+        self.calls_in_flight += 1
+        if connection is None or self.calls_in_flight > self._max_calls_in_flight:
+            self.end(call, Outcome.UNREACHABLE, 0.0)
             return
-        call.timer = self.clock.call_at(now + self.wait_ms, partial(self.overdue, call, lane))
-        lane.put(call)
-
-    def choose_connection(self, now: float) -> CounterConnection | None:
-        """An idle one, a new one while there may be more, else the one with the fewest calls."""
-        lanes = [lane for lane in self.connections if lane.open]
-        for lane in lanes:
-            if lane.mailbox:
-                continue
-            if now - lane.used_at < IDLE_MS:
-                return lane
-            lane.close()
-        if len(self.connections) < MAX_COUNTER_CONNECTIONS:
-            lane = CounterConnection(self)
-            self.connections.add(lane)
-            return lane
-        return min(lanes, key=lambda x: len(x.mailbox)) if lanes else None
-
-    def overdue(self, call: CounterCall, lane: CounterConnection) -> None:
-        """A late total reaches nobody: its call is over, and new calls go to another lane."""
-        self.ended(call, Outcome.TIMED_OUT if call.written else Outcome.UNREACHABLE, 0.0)
-        lane.retire()
-
-    def ended(self, call: CounterCall, end: Outcome, total: float) -> None:
-        """Told in the order of the name's calls, as the module reads them."""
-        if call.end is not None:
+        call.timer = self.clock.call_at(now + self.timeout_ms, partial(self.time_out, call, connection))
+        connection.send(call)
+
+    def time_out(self, call: CounterCall, connection: CounterConnection) -> None:
+        """Ends a call that was not answered in time; its connection takes no further calls."""
+        self.end(call, call.outcome_without_reply, 0.0)
+        connection.retire()
+
+    def end(self, call: CounterCall, outcome: Outcome, total: float) -> None:
+        """Ends a call, and tells of its key's ended calls up to the first that has not ended.
+
+        Does nothing for a call that has ended: a late total reaches nobody.
+        """
+        if call.outcome is not None:
             return
-        call.end, call.total = end, total
-        call.took_ms = self.clock.now() - self.clock.stalled_ms - call.asked_at
+        call.outcome = outcome
+        call.total = total
+        call.duration_ms = self.clock.now() - self.clock.stalled_ms - call.started_at_ms
         if call.timer is not None:
             call.timer.cancel()
-        queue, _ = self.names[call.order.counter_key]
-        while queue and (first := queue[0]).end is not None:
-            queue.popleft()
-            self.waiting -= 1
-            if not queue:
-                del self.names[call.order.counter_key]
-            self.dispatcher.post(
-                self.dispatcher.lifecycle.counter_replied,
-                first.order.counter_key,
-                first.end,
-                first.total,
-                first.took_ms,
-            )
+        counter_key = call.command.counter_key
+        calls = self.queues[counter_key].calls
+        while calls and calls[0].outcome is not None:
+            ended = calls.popleft()
+            self.calls_in_flight -= 1
+            if not calls:
+                del self.queues[counter_key]
+            self._tell(ended)
+
+    def _tell(self, call: CounterCall) -> None:
+        assert call.outcome is not None
+        self._dispatcher.post(
+            self._dispatcher.lifecycle.counter_replied,
+            call.command.counter_key,
+            call.outcome,
+            call.total,
+            call.duration_ms,
+        )
+
+    def _choose_connection(self, now: float) -> CounterConnection | None:
+        """An idle connection, else a new one while there may be more, else the one with the fewest calls."""
+        open_connections = [connection for connection in self.connections if connection.is_open]
+        for connection in open_connections:
+            if connection.calls:
+                continue
+            if now - connection.last_used_ms < IDLE_TIMEOUT_MS:
+                return connection
+            connection.close()
+        if len(self.connections) < MAX_COUNTER_CONNECTIONS:
+            new_connection = CounterConnection(self)
+            self.connections.add(new_connection)
+            return new_connection
+        if not open_connections:
+            return None
+        return min(open_connections, key=lambda each: len(each.calls))
+
+    # For its connections
+
+    async def connect(self) -> tuple[ConnectionHandle, PeerConnection]:
+        """Opens a connection to the counter."""
+        return await self._pool.connect(self._peer)
+
+    def request(self, command: AddToCounter) -> bytes:
+        """The request that makes a call."""
+        key = f"{self._key_prefix}{command.counter_key}"
+        target = f"/counters/{key}?by={command.amount:.12g}&expire_ms={command.ttl_ms:.0f}"
+        return f"POST {target} HTTP/1.1\r\nHost: {self._address}\r\nContent-Length: 0\r\n\r\n".encode()
+
+    def log_fault(self, error: Exception) -> None:
+        """Logs an exception that nobody expected."""
+        self._dispatcher.log_fault(error, "a connection to the counter")
--- a/drumgw/hosting/host_process.py
+++ b/drumgw/hosting/host_process.py
@@ -11,8 +11,9 @@
 
 from drumgw.config.host_file import HostFile
 from drumgw.gateway.clock import MonotonicClock, StallAwareClock
-from drumgw.gateway.process import GC_THRESHOLD, SHUTDOWN_LINGER_MS, handle_signal, ignore_signals
+from drumgw.gateway.process import GC_THRESHOLD, SHUTDOWN_LINGER_MS
 from drumgw.gateway.process_config import RESERVED_DESCRIPTORS, ConfigError, parse_address
+from drumgw.gateway.signals import handle_signal, ignore_signals
 from drumgw.hosting.admin_api import MAX_OPEN_CALLS, AdminApi
 from drumgw.hosting.authentication import ApiToken, Authenticator, Role
 from drumgw.hosting.errors import ApiError
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -761,7 +761,7 @@
         line.write(request(Request_Timeout="60000m"))
         await until(lambda: worker.came)
         process.run.terminate()
-        await process.says(b"told to end")
+        await process.says(b"told to stop")
         process.run.terminate()
         held.set_result(http(b"ok"))
         self.assertIn(b"Connection: close", await line.read(b"ok"))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -757,7 +757,7 @@
         self.assertEqual(counter.came[0][0].split()[1], b"/counters/5?by=-2.5&expire_ms=4000")
         gateway = self.gateway.counter
         assert gateway
-        self.assertEqual((gateway.names, gateway.connections, gateway.waiting), ({}, set(), 0))
+        self.assertEqual((gateway.queues, gateway.connections, gateway.calls_in_flight), ({}, set(), 0))
 
     async def test_a_late_total_reaches_nobody_and_order_is_kept(self) -> None:
         """Guards the books: one call is never answered in time, and the next must not be given its total."""
@@ -771,9 +771,10 @@
             await asyncio.sleep(0.001)
         gateway = self.gateway.counter
         assert gateway
-        ((late, _), lane) = gateway.names[5]
-        assert lane
-        gateway.overdue(late, lane)
+        queue = gateway.queues[5]
+        late, _ = queue.calls
+        assert queue.connection
+        gateway.time_out(late, queue.connection)
         self.call(AddToCounter(5, 1.0, 4000.0))  # on another lane; answered first, told in its turn
         while len(counter.came) < 3 or len(counter.lines) < 2:
             await asyncio.sleep(0.001)
