--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -89,7 +89,7 @@
         self.assertEqual(sum(shares.acquire("big") for _ in range(1000)), 30)  # nothing is left to borrow
         shares.release("one")
         self.assertTrue(shares.acquire("big"))
-        self.assertEqual((shares.tenants["one"].refused_count_count, shares.borrowed), (965, 50))
+        self.assertEqual((shares.tenants["one"].refused_count, shares.borrowed), (965, 50))
 
     def test_any_order_of_calls_adds_up(self) -> None:
         chance = random.Random(5)
--- /dev/null
+++ b/tests/test_lab_on_sockets.py
@@ -0,0 +1,109 @@
+"""The testbed on sockets, with real gateway processes: faults, a stop, gateways that never get ready."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+from typing import Any
+
+from drumgw.testbed.event_log import read_event_log
+from drumgw.testbed.oracle import find_violations
+from drumgw.testbed.socket_runner import SocketRunner
+from tests.command_line_harness import CommandLineCase
+from tests.scenarios import HEAD, PLAIN, day
+
+
+class LabOnSockets(CommandLineCase):
+    def test_a_scenario_with_faults_and_real_gateways(self) -> None:
+        """Gateways are restarted and killed while endpoints, counter, discovery and a zone have faults.
+
+        Every request ends, and each gateway process is ended. What depends on the machine's speed (lateness)
+        is not asserted.
+        """
+        scenario = day(
+            'kind = "restart"; at_s = 0.5; part = 0.5',
+            'kind = "list moves"; at_s = 0.7',
+            'kind = "kill"; at_s = 2.5; part = 1',
+            'kind = "replace"; at_s = 1; worker = 0',
+            'kind = "counter silent"; at_s = 1; for_s = 0.5',
+            'kind = "zone cut"; at_s = 2; zone = "b"; for_s = 0.5',
+            'kind = "resets"; at_s = 0.2; part = 1; size = 0.2; for_s = 2',
+            gatekeepers=2,
+            workers=4,
+        )
+
+        async def run() -> Any:
+            runner = SocketRunner(scenario, 3, self.folder)
+            return await runner.run(), [gateway.process for gateway in runner.gateways]
+
+        event_log, processes = asyncio.run(run())
+        self.assertTrue(all(p is not None and p.returncode is not None for p in processes))
+        violations = find_violations(event_log, scenario)
+        kinds = {violation.rule for violation in violations}
+        self.assertLessEqual(kinds, {"lost"}, [str(violation) for violation in violations])
+        rows = event_log.rows
+        answered = {row["txn"] for row in rows if row["what"] == "answered" and row["status"] == 200}
+        asked = {row["txn"] for row in rows if row["what"] == "asked"}
+        ended = {row["txn"] for row in rows if row["what"] in ("answered", "closed", "unreached", "weary")}
+        self.assertTrue(answered)
+        self.assertEqual(asked - ended, set())
+        states = [row["state"] for row in rows if row["what"] == "gate"]
+        self.assertEqual({"starts", "told to end", "ended", "killed"} - set(states), set())
+        self.assertEqual([row for row in rows if row["what"] == "gate" and row.get("code")], [])
+
+    def test_a_stopped_run_leaves_no_process_behind(self) -> None:
+        """Somebody stops a long run with Ctrl-C.
+
+        It ends with 130, no gateway listens any more, and the event log has what was seen until then.
+        """
+        path = self.write_file(HEAD.format(**{**PLAIN, "seconds": 600}))
+        out = self.folder / "out"
+        event_log = out / "record.jsonl"
+        process = subprocess.Popen(
+            [sys.executable, "-m", "drumgw.cli", "lab", "run", path, "--out", str(out)],
+            stderr=subprocess.PIPE,
+            text=True,
+            start_new_session=True,
+        )
+        self.addCleanup(process.kill)
+        assert process.stderr
+        while not event_log.exists() or '"begins"' not in event_log.read_text():
+            self.assertIsNone(process.poll())
+        process.send_signal(signal.SIGINT)
+        self.assertIn("no gateway was left behind", process.stderr.read())
+        process.stderr.close()
+        self.assertEqual(process.wait(), 130)
+        for n in range(PLAIN["gatekeepers"]):
+            host, _, port = json.loads((out / f"n{n}.json").read_text())["listen"].partition(":")
+            with socket.socket() as probe, self.assertRaises(ConnectionRefusedError):
+                probe.connect((host, int(port)))
+        self.assertTrue(read_event_log(str(event_log)).rows)
+
+    def test_a_gateway_that_never_gets_ready_ends_the_run(self) -> None:
+        """The gateway's program ends at once on this machine.
+
+        That says nothing of how gateways serve: the exit code is 3, with a line on where to look.
+        """
+        path = self.write_file(HEAD.format(**PLAIN))
+        out = self.folder / "out"
+        script = (
+            "import sys; from drumgw.testbed import socket_runner;"
+            "socket_runner.RUN = (sys.executable, '-c', 'raise SystemExit(2)');"
+            "from drumgw.cli.__main__ import main; main()"
+        )
+        result = subprocess.run(
+            [sys.executable, "-c", script, "lab", "run", path, "--out", str(out)],
+            capture_output=True,
+            text=True,
+            env={**os.environ},
+        )
+        self.assertEqual(result.returncode, 3, result.stderr)
+        self.assertIn("was not ready in time", result.stderr)
+        with contextlib.suppress(FileNotFoundError):
+            self.assertIn('"crashed"', (out / "record.jsonl").read_text())
