--- a/drumgw/gateway/clock.py
+++ b/drumgw/gateway/clock.py
@@ -39,7 +39,7 @@
     """A clock that finds out, by a heartbeat in the event loop, for how long its process was stalled.
 
     Args:
-        monotonic: tells the time.
+        monotonic: the process's time.
         loop: the event loop that heartbeats and timers run in.
     """
 
--- a/drumgw/gateway/counter_client.py
+++ b/drumgw/gateway/counter_client.py
@@ -1,8 +1,8 @@
-"""Calls to the shared counter: pipelined over a few connections, with replies told in order.
+"""Calls to the shared counter: pipelined over a few connections, with their ends reported in order.
 
 The policy engine relies on the order of the calls for one counter key. So calls for a key are written one
-behind the other on one connection, none waiting for an earlier one's reply, and their ends are told in the
-order of the calls, even where a later call's reply comes first on another connection.
+behind the other on one connection, none waiting for an earlier one's reply, and their ends are reported in
+the order of the calls, even where a later call's reply comes first on another connection.
 
 A call that was written may have been added, whether or not its reply comes. It ends as timed out then; only
 one that was not written ends as unreachable, and has added nothing.
@@ -38,11 +38,11 @@
 
 @dataclass(slots=True, eq=False)
 class CounterCall:
-    """One call. Its reply counts until it is timed out; its end is told once."""
+    """One call. Its reply counts until it is timed out; its end is reported once."""
 
     command: AddToCounter
     started_at_ms: float
-    """On a clock that stands still while this process is stalled."""
+    """On a clock that does not advance while this process is stalled."""
     is_written: bool = False
     """Whether it may have been added."""
     outcome: Outcome | None = None
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, eq=False)
 class KeyQueue:
-    """The calls for one counter key that have not been told yet."""
+    """The calls for one counter key whose end has not been reported yet."""
 
     calls: deque[CounterCall] = field(default_factory=deque)
     """In the order in which they were made."""
@@ -155,7 +155,7 @@
 
     Args:
         config: says where the counter is, and how long a call may take.
-        dispatcher: is told how each call ends.
+        dispatcher: receives how each call ended.
     """
 
     def __init__(self, config: GatewayConfig, dispatcher: Dispatcher) -> None:
@@ -164,7 +164,7 @@
         self.clock = dispatcher.clock
         self.timeout_ms = config.settings.counter_timeout_ms
         self.connections: set[CounterConnection] = set()  # emptied as they close
-        self.queues: dict[int, KeyQueue] = {}  # by counter key; an entry goes as its last call is told
+        self.queues: dict[int, KeyQueue] = {}  # by counter key; dropped with its last call
         self.calls_in_flight = 0
         self._dispatcher = dispatcher
         self._max_calls_in_flight = CALLS_PER_ENDPOINT_CONNECTION * config.max_endpoint_connections
@@ -210,7 +210,7 @@
         connection.retire()
 
     def end(self, call: CounterCall, outcome: Outcome, total: float) -> None:
-        """Ends a call, and tells of its key's ended calls up to the first that has not ended.
+        """Ends a call, and reports its key's ended calls, up to the first that has not ended.
 
         Does nothing for a call that has ended: a late total reaches nobody.
         """
@@ -228,9 +228,9 @@
             self.calls_in_flight -= 1
             if not calls:
                 del self.queues[counter_key]
-            self._tell(ended)
+            self._report(ended)
 
-    def _tell(self, call: CounterCall) -> None:
+    def _report(self, call: CounterCall) -> None:
         assert call.outcome is not None
         self._dispatcher.post(
             self._dispatcher.lifecycle.counter_replied,
--- a/drumgw/gateway/discovery.py
+++ b/drumgw/gateway/discovery.py
@@ -95,8 +95,8 @@
 
     Args:
         config: says where discovery is, and of which kind.
-        dispatcher: is told the list.
-        endpoint_clients: are told addresses and departures.
+        dispatcher: receives the list.
+        endpoint_clients: receive addresses and departures.
 
     Raises:
         ConfigError: where the configuration's list of known endpoints cannot be read.
@@ -340,8 +340,8 @@
     def _apply(self, change: MembershipChange, origin: str) -> None:
         """Passes a change on.
 
-        The policy engine is told first. As an endpoint drains, its client gives back what was not written
-        yet, and the engine must not send that to another endpoint that drains by the same list.
+        The policy engine is first. As an endpoint drains, its client gives back what was not written yet, and
+        the engine must not forward that to another endpoint that drains by the same list.
         """
         for row in change.ready:
             self._endpoint_clients.set_address(row.info.endpoint_id, row.address, row.info.started_at_ms)
--- a/drumgw/gateway/discovery_log.py
+++ b/drumgw/gateway/discovery_log.py
@@ -1,4 +1,4 @@
-"""What the log tells of discovery: each change of the endpoint list, and each change of mode, once."""
+"""What the log says of discovery: each change of the endpoint list, and each change of mode, once."""
 
 from __future__ import annotations
 
--- a/drumgw/gateway/dispatcher.py
+++ b/drumgw/gateway/dispatcher.py
@@ -72,7 +72,7 @@
 
     Args:
         lifecycle: the requests in flight.
-        clock: tells the time, and how long this process was stalled.
+        clock: the process's time, and for how long it was stalled.
         max_mailbox_entries: what the mailbox may hold. What is posted is bounded by what is in flight, as
             each attempt, counter call and timer ends once; more shows a defect.
         log_prefix: stands before each log message.
--- a/drumgw/gateway/endpoint_list_reader.py
+++ b/drumgw/gateway/endpoint_list_reader.py
@@ -1,6 +1,6 @@
 """Reads discovery's endpoint lists; the names of their fields are mapped here.
 
-A row that tells that an endpoint leaves needs its id and its lifecycle only: a drain must not be missed for a
+A row that says that an endpoint leaves needs its id and its lifecycle only: a drain must not be missed for a
 field that nobody needs any more. A row that cannot be read is counted, and leaves its endpoint as it was.
 """
 
@@ -45,7 +45,7 @@
 
 
 class EndpointList(NamedTuple):
-    """A list that discovery told: all endpoints, or changes only."""
+    """A list as discovery sent it: all endpoints, or changes only."""
 
     generation: int | None
     """Number of this state of the list, growing; None where the list has none that can be used."""
--- a/drumgw/gateway/membership.py
+++ b/drumgw/gateway/membership.py
@@ -1,6 +1,6 @@
 """The endpoint list, and the rule by which updates of it are applied. No I/O, no clock.
 
-Discovery's agent tells the list, complete or as changes, each time with a generation number. An update may
+Discovery's agent sends the list, complete or as changes, each time with a generation number. An update may
 come late, out of order, or from an agent that was restarted or replaced. What must never happen is that a
 request is forwarded to an endpoint which, by what the agent has, is draining or removed. The rule:
 
@@ -31,11 +31,11 @@
 KNOWN_LIST_AFTER_MS = 20000.0
 """Longer than any known outage of discovery."""
 RENUMBERED_AFTER_MS = 6000.0
-"""By then whatever discovery has to tell counts as known (protocol)."""
+"""By then whatever discovery has to say counts as known (protocol)."""
 
 
 class MembershipState(Enum):
-    """How the agent's list stands to the one that is known here."""
+    """How the agent's list compares with the one that is known here."""
 
     WAITING = "waiting for the agent"
     """The agent has not answered yet."""
@@ -76,7 +76,7 @@
     def __init__(self) -> None:
         self.state = MembershipState.WAITING
         self.since: int | None = None
-        """The generation to ask for changes since; None to ask for the complete list."""
+        """The generation to poll for changes since; None to poll for the complete list."""
         self.generation: int | None = None
         """Of the last list applied in sync; None where it had none, or there was none."""
         self.behind_since_ms = 0.0
@@ -91,7 +91,7 @@
         return self.state is MembershipState.BEHIND
 
     def ask_since(self, known: EndpointList) -> None:
-        """Asks first for the changes since a known list; it is not used before they are told.
+        """Asks first for the changes since a known list, which is not used before they have come.
 
         That costs a shared discovery service less than a complete list.
         """
@@ -102,7 +102,7 @@
             self._base = known
 
     def use_known(self, known: EndpointList) -> MembershipChange:
-        """Uses a known list while the agent is silent. Whatever the agent tells first replaces it."""
+        """Uses a known list while the agent is silent. The agent's first list replaces it."""
         return self._apply_all(known._replace(is_complete=True))
 
     def update(self, now: float, endpoint_list: EndpointList, is_answer_to_all: bool) -> MembershipChange:
@@ -110,8 +110,9 @@
 
         Args:
             now: the current time.
-            endpoint_list: what the agent told.
-            is_answer_to_all: whether the complete list was asked for; the answer is, whatever it says.
+            endpoint_list: what the agent sent.
+            is_answer_to_all: whether the complete list was polled for; the answer is complete then, whatever
+                it says of itself.
         """
         update = endpoint_list._replace(is_complete=endpoint_list.is_complete or is_answer_to_all)
         if self.state is MembershipState.WAITING and self._base is not None and not update.is_complete:
@@ -146,7 +147,7 @@
     def _next_since(self, now: float, update: EndpointList) -> int | None:
         """Which generation the next call asks from, or None for the complete list.
 
-        Changes since a generation that the agent never had tell nothing. Once it is no longer behind, what it
+        Changes since a generation that the agent never had say nothing. Once it is no longer behind, what it
         left out meanwhile is found in its complete list only.
         """
         generation = update.generation
@@ -183,7 +184,7 @@
         return self._change(update, changed, is_complete=False)
 
     def _unnamed(self, update: EndpointList) -> dict[str, EndpointRow]:
-        """Rows for the endpoints that a complete list does not name: that, too, tells that they leave."""
+        """Rows for the endpoints that a complete list does not name: that, too, says that they leave."""
         if not update.is_complete:
             return {}
         missing = self.rows.keys() - update.rows.keys()
@@ -201,9 +202,9 @@
                 self.rows.pop(name, None)
             else:
                 self.rows[name] = row
-        told = self.rows.values() if is_complete else changed.values()
+        reported = self.rows.values() if is_complete else changed.values()
         return MembershipChange(
-            EndpointsUpdated(is_complete, tuple(row.info for row in told)),
+            EndpointsUpdated(is_complete, tuple(row.info for row in reported)),
             tuple(row for row in changed.values() if row.info.status is EndpointStatus.READY),
             changes_by_status,
             update.unreadable_count(),
@@ -221,7 +222,7 @@
 
 
 def _is_notable(known: EndpointRow | None, row: EndpointRow) -> bool:
-    """Whether the log should tell it: another status than before, or another start."""
+    """Whether it is worth a line in the log: another status than before, or another start."""
     if known is None:
         return row.info.status is not EndpointStatus.REMOVED
     return known.info.status is not row.info.status or row.info.started_at_ms != known.info.started_at_ms
@@ -234,7 +235,7 @@
     (MembershipState.IN_SYNC, UpdateKind.CURRENT): (MembershipState.IN_SYNC, Membership._apply_all),
     (MembershipState.IN_SYNC, UpdateKind.OLDER): (MembershipState.BEHIND, Membership._apply_departures),
     (MembershipState.BEHIND, UpdateKind.OLDER): (MembershipState.BEHIND, Membership._apply_departures),
-    # The complete list is asked for next; it ends the state.
+    # The complete list is polled for next; it ends the state.
     (MembershipState.BEHIND, UpdateKind.CHANGES_AFTER_GAP): (
         MembershipState.BEHIND,
         Membership._apply_departures,
--- a/drumgw/gateway/process.py
+++ b/drumgw/gateway/process.py
@@ -147,7 +147,7 @@
 
 
 async def _open_unless_stopped(gateway: GatewayProcess) -> bool:
-    """Opens the gateway. Returns False, with all closed, if it was told to stop while it waited."""
+    """Opens the gateway. Returns False, with all closed, if it is asked to stop meanwhile."""
     opening = asyncio.create_task(gateway.open())
     stopping = asyncio.create_task(gateway.stop_requested.wait())
     await asyncio.wait((opening, stopping), return_when=asyncio.FIRST_COMPLETED)
--- a/drumgw/gateway/process_config.py
+++ b/drumgw/gateway/process_config.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayConfig:
-    """What a gateway is told when it starts, or reloads."""
+    """What a gateway needs to know when it starts, or reloads."""
 
     name: str
     listen: tuple[str, int]
--- a/drumgw/gateway/request_lifecycle.py
+++ b/drumgw/gateway/request_lifecycle.py
@@ -1,11 +1,11 @@
-"""The requests in flight: what the policy engine is told of them, and how each of them ends.
+"""The requests in flight: what the policy engine learns of them, and how each of them ends.
 
 This is the gateway's core. It does no I/O and reads no clock: every public method takes the current time and
 returns typed commands (`commands.py`), in the order in which they are to be carried out. Four rules hold
 here, whatever the policy engine does:
 
 * The first attempt that succeeds ends its request; its response goes to the client.
-* The end of an attempt is told to the engine exactly once, also where the attempt was cancelled or timed out.
+* The end of an attempt is reported to the engine exactly once, also if it was cancelled or timed out.
 * A request is answered exactly once. One that the engine leaves open is answered here, at its deadline.
 * An answer of this module's own says "nothing was done" (503) only where no attempt may have run.
 """
@@ -70,7 +70,7 @@
 
     endpoint_id: int
     started_at_ms: float
-    """On a clock that stands still while this process is stalled."""
+    """On a clock that does not advance while this process is stalled."""
 
 
 @dataclass(slots=True)
@@ -156,7 +156,7 @@
         load_report: dict[str, float],
         response: Any,
     ) -> list[Command]:
-        """An attempt ended by itself. Ignored if it was aborted meanwhile: its end has been told already."""
+        """An attempt ended by itself. Ignored if it was aborted meanwhile: its end has been reported."""
         request = self.in_flight.get(request_id)
         if request is None or attempt not in request.attempts:
             return []
@@ -185,7 +185,7 @@
         overdue_attempts = list(request.attempts) if attempt is None else [attempt]
         for overdue in overdue_attempts:
             self._abort_attempt(now, request, overdue, Outcome.TIMED_OUT)
-        commands = self._process(now)  # the engine may answer now that it is told
+        commands = self._process(now)  # the engine may answer as it learns of that
         if is_request_deadline and request.is_answer_owed:
             # Guards the client against an engine that lost its request: it would wait for ever.
             self._answer_without_engine(now, request)
@@ -219,7 +219,7 @@
     # The policy engine: events to it, actions from it
 
     def _process(self, now: float, *events: Event) -> list[Command]:
-        """Tells the engine these events, and then those that its actions cause.
+        """Passes these events to the engine, and then those that its actions cause.
 
         Returns:
             All commands since the last call.
--- a/drumgw/gateway/service.py
+++ b/drumgw/gateway/service.py
@@ -48,7 +48,7 @@
         self.endpoint_clients.check_before_sending(self.discovery.read_pending_updates)
 
     def start(self) -> None:
-        """Starts the policy engine. It knows no endpoint yet; `discovery.start` tells it the list."""
+        """Starts the policy engine. It knows no endpoint yet; `discovery.start` brings the list."""
         self.dispatcher.post(self.dispatcher.lifecycle.start, EndpointsUpdated(True, ()))
 
     def reconfigure(self, config: GatewayConfig) -> None:
--- /dev/null
+++ b/tests/agent_case.py
@@ -0,0 +1,82 @@
+"""A gateway whose discovery is an agent of the test's, with the content that the test sets."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from typing import Any
+
+from drumgw.gateway.process import GatewayProcess
+from tests.scripted_server import StandIn, http
+from tests.test_gateway import GateCase, gateway_config, instance, told
+
+JsonObject = dict[str, Any]
+EVERY_GATEWAY = "units=1,spread=1024,first=1023"
+"""Quota-Info of a customer whose requests come in through all gateways of a large fleet."""
+
+
+def endpoint_list(generation: Any, *rows: Any, complete: bool = True) -> bytes:
+    """A response of discovery's."""
+    content = {"generation": generation, "reset": complete, "instances": rows}
+    return http(json.dumps(content, indent=4).encode())
+
+
+class AgentCase(GateCase):
+    """A gateway, and an agent that has what its test says; a watch is answered as that changes."""
+
+    async def start_agent(self, *rows: Any) -> StandIn:
+        """Starts the agent with a complete list of these rows."""
+        self.content: JsonObject | None = {"generation": 7, "reset": True, "instances": list(rows)}
+        """What the agent has; None for an agent that answers nothing."""
+        self.targets: list[str] = []  # of the calls that came
+        self.content_changed = asyncio.Condition()
+        self.discovery = await self.stand_in(self.answer)
+        return self.discovery
+
+    async def answer(self, head: bytes, _body: bytes) -> bytes | None:
+        """The agent's answer to a call; waits for an update where the call has the content already."""
+        target = head.split()[1].decode()
+        self.targets.append(target)
+        if self.content is None:
+            return None
+        async with self.content_changed:
+            while self.content is not None and f"since={self.content['generation']}&" in target:
+                await self.content_changed.wait()
+        return None if self.content is None else http(json.dumps(self.content).encode())
+
+    async def update_agent(self, generation: int, *rows: Any) -> None:
+        """The agent has an update, and wakes the watch that waits for it."""
+        self.content = {"generation": generation, "reset": False, "instances": list(rows)}
+        async with self.content_changed:
+            self.content_changed.notify_all()
+
+    async def start_gateway(self, known: list[JsonObject], **config: Any) -> GatewayProcess:
+        """Begins to start a gateway."""
+        self.gateway = GatewayProcess(gateway_config(told(self.discovery.address, known, **config)))
+        self.opening = asyncio.create_task(self.gateway.open())
+        self.addAsyncCleanup(self.end)
+        return self.gateway
+
+    async def gateway_opened(self) -> None:
+        """Waits until the gateway accepts clients."""
+        self.place = await self.opening
+
+    async def until_called(self, *words: str) -> None:
+        """Waits until a call has come for each of the words, with that word in its target."""
+        while not all(any(word in target for target in self.targets) for word in words):
+            await asyncio.sleep(0.001)
+
+    def statuses(self) -> dict[str, str]:
+        """Status of each endpoint on the gateway's list."""
+        rows = self.gateway.discovery.membership.rows
+        return {name: row.info.status.value for name, row in rows.items()}
+
+    async def start_endpoints(self) -> tuple[StandIn, StandIn, list[JsonObject]]:
+        """Two endpoints, and their rows."""
+        one, other = await self.stand_in(http(b"one")), await self.stand_in(http(b"other"))
+        return one, other, [instance("s-0", one.address), instance("s-1", other.address)]
+
+    async def ask_for_all_customers(self) -> list[tuple[int, bytes]]:
+        """Requests of 16 customers, ranked by hash: half of them go to each of two endpoints."""
+        answers = [await self.ask(f"/a?account={n:016x}", Request_Id=f"{n:x}") for n in range(16)]
+        return [answer[:2] for answer in answers]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import dataclasses
 import json
 import os
 import sys
@@ -11,85 +10,14 @@
 from typing import Any
 from unittest import mock
 
-from drumgw.gateway.discovery import BACKOFF_BY_OUTCOME
-from drumgw.gateway.discovery_poll import PollOutcome, PollTimes
+from drumgw.gateway.discovery_poll import PollTimes
 from drumgw.gateway.membership import RENUMBERED_AFTER_MS
-from drumgw.gateway.process import GatewayProcess
 from drumgw.gateway.process_config import MAX_BODY_BYTES
+from tests.agent_case import EVERY_GATEWAY, AgentCase, JsonObject, endpoint_list
 from tests.scripted_server import StandIn, http
-from tests.test_gateway import POSTED, GateCase, gateway_config, instance, settings, told
+from tests.test_gateway import POSTED, gateway_config, instance, settings, told
 
-JsonObject = dict[str, Any]
 DISCOVERY = "drumgw.gateway.discovery"
-EVERY_GATEWAY = "units=1,spread=1024,first=1023"
-"""Quota-Info of a customer whose requests come in through all gateways of a large fleet."""
-
-
-def endpoint_list(generation: Any, *rows: Any, complete: bool = True) -> bytes:
-    """A response of discovery's."""
-    content = {"generation": generation, "reset": complete, "instances": rows}
-    return http(json.dumps(content, indent=4).encode())
-
-
-class AgentCase(GateCase):
-    """A gateway, and an agent that has what its test says; a watch is answered as that changes."""
-
-    async def start_agent(self, *rows: Any) -> StandIn:
-        """Starts the agent with a complete list of these rows."""
-        self.content: JsonObject | None = {"generation": 7, "reset": True, "instances": list(rows)}
-        """What the agent has; None for an agent that answers nothing."""
-        self.targets: list[str] = []  # of the calls that came
-        self.content_changed = asyncio.Condition()
-        self.discovery = await self.stand_in(self.answer)
-        return self.discovery
-
-    async def answer(self, head: bytes, _body: bytes) -> bytes | None:
-        """The agent's answer to a call; waits for an update where the call has the content already."""
-        target = head.split()[1].decode()
-        self.targets.append(target)
-        if self.content is None:
-            return None
-        async with self.content_changed:
-            while self.content is not None and f"since={self.content['generation']}&" in target:
-                await self.content_changed.wait()
-        return None if self.content is None else http(json.dumps(self.content).encode())
-
-    async def update_agent(self, generation: int, *rows: Any) -> None:
-        """The agent has an update, and wakes the watch that waits for it."""
-        self.content = {"generation": generation, "reset": False, "instances": list(rows)}
-        async with self.content_changed:
-            self.content_changed.notify_all()
-
-    async def start_gateway(self, known: list[JsonObject], **config: Any) -> GatewayProcess:
-        """Begins to start a gateway."""
-        self.gateway = GatewayProcess(gateway_config(told(self.discovery.address, known, **config)))
-        self.opening = asyncio.create_task(self.gateway.open())
-        self.addAsyncCleanup(self.end)
-        return self.gateway
-
-    async def gateway_opened(self) -> None:
-        """Waits until the gateway accepts clients."""
-        self.place = await self.opening
-
-    async def until_called(self, *words: str) -> None:
-        """Waits until a call has come for each of the words, with that word in its target."""
-        while not all(any(word in target for target in self.targets) for word in words):
-            await asyncio.sleep(0.001)
-
-    def statuses(self) -> dict[str, str]:
-        """Status of each endpoint on the gateway's list."""
-        rows = self.gateway.discovery.membership.rows
-        return {name: row.info.status.value for name, row in rows.items()}
-
-    async def start_endpoints(self) -> tuple[StandIn, StandIn, list[JsonObject]]:
-        """Two endpoints, and their rows."""
-        one, other = await self.stand_in(http(b"one")), await self.stand_in(http(b"other"))
-        return one, other, [instance("s-0", one.address), instance("s-1", other.address)]
-
-    async def ask_for_all_customers(self) -> list[tuple[int, bytes]]:
-        """Requests of 16 customers, ranked by hash: half of them go to each of two endpoints."""
-        answers = [await self.ask(f"/a?account={n:016x}", Request_Id=f"{n:x}") for n in range(16)]
-        return [answer[:2] for answer in answers]
 
 
 class Starts(AgentCase):
@@ -181,7 +109,7 @@
         self.assertEqual((one.came, self.statuses()), ([], {"s-0": "draining", "s-1": "ready"}))
 
     async def test_sigterm_while_it_waits_for_discovery(self) -> None:
-        """A gateway is told to stop before it has served: it exits at once, without an error."""
+        """A gateway is stopped before it has served: it exits at once, without an error."""
         discovery = await self.stand_in(None)
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(told(discovery.address, []), file)
@@ -381,136 +309,3 @@
         self.assertEqual((broken, self.statuses()), ([], {"s-0": "ready", "s-1": "ready"}))
         self.assertEqual(len(lost), 1)
         self.assertEqual(len(gateway.endpoint_clients.clients), 2)
-
-
-class SharedService(AgentCase):
-    """Many gateways poll one service. It queues their calls, and rejects some when the queue is long."""
-
-    SETTINGS = settings(discovery="ask", balancers=1024)
-
-    async def test_a_start_polls_for_the_changes_since_its_known_list(self) -> None:
-        """Complete lists for a whole fleet cost the service too much.
-
-        The known list is completed by the changes; nothing is forwarded by it before they are told.
-        """
-        one, _, known = await self.start_endpoints()
-        await self.start_agent()
-        self.content = {
-            "generation": 8,
-            "reset": False,
-            "instances": [{"instanceId": "s-0", "lifecycle": "draining"}],
-        }
-        config = told(self.discovery.address, known, settings=self.SETTINGS)
-        config["known"] = {"generation": 5, "reset": True, "instances": known}
-        gateway = GatewayProcess(gateway_config(config))
-        self.gateway = gateway
-        self.assertEqual((gateway.discovery.membership.rows, gateway.endpoint_clients.clients), ({}, {}))
-        self.place = await gateway.open()
-        self.addAsyncCleanup(self.end)
-        self.assertEqual((await self.ask(Quota_Info=EVERY_GATEWAY))[:2], (200, b"other"))
-        await self.until_called("since=8&")
-        self.assertEqual(
-            self.targets,
-            ["/registry/instances?since=5&timeout_ms=0", "/registry/instances?since=8&timeout_ms=3500"],
-        )
-        self.assertEqual((one.came, self.statuses()), ([], {"s-0": "draining", "s-1": "ready"}))
-
-    async def test_a_watch_goes_on_after_an_update(self) -> None:
-        """Each answer is followed by one call from its generation, and by no other."""
-        _, _, known = await self.start_endpoints()
-        await self.start_agent(*known)
-        await self.start_gateway([], settings=self.SETTINGS)
-        await self.gateway_opened()
-        await self.until_called("since=7&")
-        await self.update_agent(8, {**known[0], "lifecycle": "draining"})
-        await self.until_called("since=8&")
-        self.assertEqual(self.statuses(), {"s-0": "draining", "s-1": "ready"})
-        self.assertEqual(
-            self.targets,
-            [
-                "/registry/instances?since=1&timeout_ms=0",
-                "/registry/instances?since=7&timeout_ms=3500",
-                "/registry/instances?since=8&timeout_ms=3500",
-            ],
-        )
-
-    async def backoff_delays_ms(self, seed: str, *outcomes: PollOutcome) -> list[float]:
-        """The delays between calls that end so, at a gateway with this seed."""
-        await self.start_agent()
-        config = told(self.discovery.address, [], settings=self.SETTINGS, seed=seed)
-        discovery = GatewayProcess(gateway_config(config)).discovery
-        slept_ms: list[float] = []
-
-        async def sleep(seconds: float) -> None:
-            slept_ms.append(seconds * 1000)
-
-        with (
-            mock.patch.object(discovery, "poll", mock.AsyncMock(side_effect=outcomes)),
-            mock.patch("asyncio.sleep", sleep),
-            self.assertRaises(StopAsyncIteration),
-        ):
-            await discovery.watch_shared_service()
-        return slept_ms
-
-    async def test_backoff_grows_and_differs_between_gateways(self) -> None:
-        """The service rejects the calls of a whole fleet at the same moment.
-
-        Gateways that come back together, and as soon as before, would be rejected again and again.
-        """
-        rejected, failed, answered = PollOutcome.REJECTED, PollOutcome.FAILED, PollOutcome.ANSWERED
-        outcomes = (answered, *[rejected] * 5, answered, rejected, answered, failed, failed)
-        one = await self.backoff_delays_ms("8c1f", *outcomes)
-        other = await self.backoff_delays_ms("8c20", *outcomes)
-        means = 4000.0, 8000.0, 16000.0, 16000.0, 16000.0, 4000.0, 250.0, 500.0
-        for delay, mean in zip(one, means, strict=True):
-            self.assertTrue(0.5 * mean <= delay <= 1.5 * mean, (delay, mean))
-        self.assertEqual(set(one) & set(other), set())
-
-    async def test_a_fleet_that_starts_at_once_is_served_in_turn(self) -> None:
-        """24 gateways start at the same moment; the service can queue 8 calls and rejects the others.
-
-        Each call keeps the service for a while, also one that its gateway has given up. If gateways called
-        again too soon, no call would be answered in time.
-        """
-        service_time_s, max_queued, gateway_count = 0.02, 8, 24
-        queue = asyncio.Lock()
-        targets: list[str] = []
-        queued = 0
-
-        async def serve(head: bytes, _body: bytes) -> bytes | None:
-            nonlocal queued
-            targets.append(head.split()[1].decode())
-            if "since=2&" in targets[-1]:
-                return None  # a watch that goes on costs nothing, and there is no update
-            if queued >= max_queued:
-                return http(status=503)
-            queued += 1
-            async with queue:
-                await asyncio.sleep(service_time_s)
-            queued -= 1
-            return endpoint_list(2, instance("s-0", "127.0.0.1:1"))
-
-        service = await self.stand_in(serve)
-        fleet = [
-            GatewayProcess(
-                gateway_config(told(service.address, [], settings=self.SETTINGS, seed=f"{n + 1:x}"))
-            )
-            for n in range(gateway_count)
-        ]
-        faster = {
-            outcome: dataclasses.replace(
-                backoff, initial_ms=backoff.initial_ms / 8, max_ms=backoff.max_ms / 8
-            )
-            for outcome, backoff in BACKOFF_BY_OUTCOME.items()
-        }
-        opening = [asyncio.create_task(gateway.open()) for gateway in fleet]
-        with (
-            mock.patch("drumgw.gateway.process.SHUTDOWN_LINGER_MS", 0.0),
-            mock.patch.dict(f"{DISCOVERY}.BACKOFF_BY_OUTCOME", faster),
-        ):
-            for gateway, task in zip(fleet, opening, strict=True):
-                await task
-                self.assertTrue(gateway.discovery.has_endpoints.is_set())
-            for gateway in fleet:
-                await gateway.close()
-        self.assertLess(sum("since=2&" not in target for target in targets), 6 * gateway_count)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -25,7 +25,7 @@
 
 
 class MembershipRule(unittest.TestCase):
-    """One gateway's membership, told one list after the other."""
+    """One gateway's membership, and one list after the other."""
 
     def setUp(self) -> None:
         """Begins before the agent's first answer."""
@@ -34,8 +34,8 @@
         self.now = 0.0
         self.trace: list[str] = []
 
-    def tell(self, generation: Any, *rows: Any, complete: bool = False, after_ms: float = 100.0) -> None:
-        """The agent tells a list, some time after the last; notes what it changes."""
+    def receive(self, generation: Any, *rows: Any, complete: bool = False, after_ms: float = 100.0) -> None:
+        """The agent sends a list, some time after the last; notes what it changes."""
         self.now += after_ms
         since = self.membership.since
         polled = "polled for all" if since is None else f"polled since {since}"
@@ -65,17 +65,17 @@
         self.assertFalse(difference, "\n" + "\n".join(difference))
 
     def test_an_older_list_undoes_nothing(self) -> None:
-        """An agent that was restarted from an old copy tells a list from before a drain and a removal.
+        """An agent that was restarted from an old copy sends a list from before a drain and a removal.
 
-        Endpoints that it calls ready again must not be used again. What it tells of departures and of later
-        starts counts. Once it has caught up, its complete list is asked for and applied.
+        Endpoints that it calls ready again must not be used again. What it says of departures and of later
+        starts counts. Once it has caught up, its complete list is polled for and applied.
         """
-        self.tell(41, row("s-a"), row("s-b"), row("s-c"), complete=True)
-        self.tell(43, row("s-a", "draining"), row("s-b", "removed"))
-        self.tell(42, row("s-a"), row("s-b"), row("s-c", "draining"), complete=True)
-        self.tell(42, row("s-a", started_at_ms=9.0), row("s-d"))  # a later start; one that may have left
-        self.tell(43)  # caught up: the complete list is asked for
-        self.tell(43, row("s-a", started_at_ms=9.0), row("s-c"), complete=True)
+        self.receive(41, row("s-a"), row("s-b"), row("s-c"), complete=True)
+        self.receive(43, row("s-a", "draining"), row("s-b", "removed"))
+        self.receive(42, row("s-a"), row("s-b"), row("s-c", "draining"), complete=True)
+        self.receive(42, row("s-a", started_at_ms=9.0), row("s-d"))  # a later start; one that may have left
+        self.receive(43)  # caught up: the complete list is polled for
+        self.receive(43, row("s-a", started_at_ms=9.0), row("s-c"), complete=True)
         self.assert_trace("membership-older")
 
     def test_a_numbering_begun_anew_is_applied_in_time(self) -> None:
@@ -83,26 +83,26 @@
 
         Its lists look older for ever. After 6 s they are applied as they are; its departures count at once.
         """
-        self.tell(41, row("s-a"), row("s-b"), complete=True)
-        self.tell(3)  # changes since a generation that it never had tell nothing
-        self.tell(3, row("s-b"), row("s-c"), complete=True)
-        self.tell(4, row("s-b", "draining"), after_ms=RENUMBERED_AFTER_MS / 2)
-        self.tell(5, after_ms=RENUMBERED_AFTER_MS / 2)
-        self.tell(5, row("s-b", "draining"), row("s-c"), complete=True)
-        self.tell(6, row("s-c", "draining"))
+        self.receive(41, row("s-a"), row("s-b"), complete=True)
+        self.receive(3)  # changes since a generation that it never had say nothing
+        self.receive(3, row("s-b"), row("s-c"), complete=True)
+        self.receive(4, row("s-b", "draining"), after_ms=RENUMBERED_AFTER_MS / 2)
+        self.receive(5, after_ms=RENUMBERED_AFTER_MS / 2)
+        self.receive(5, row("s-b", "draining"), row("s-c"), complete=True)
+        self.receive(6, row("s-c", "draining"))
         self.assert_trace("membership-renumbered")
 
     def test_the_known_list_is_used_only_until_the_agent_answers(self) -> None:
         """The agent was silent at the start. Its first answer counts, though its generation is lower."""
         known = self.reader.read({"generation": 50, "instances": [row("s-a"), row("s-b")]})
         self.note("known", self.membership.use_known(known))
-        self.tell(41, row("s-b", "draining"), row("s-c"))  # the answer to a call for the complete list
+        self.receive(41, row("s-b", "draining"), row("s-c"))  # the answer to a poll for the complete list
         self.assert_trace("membership-known")
 
     def test_a_row_with_missing_or_malformed_fields_hides_no_drain(self) -> None:
         """A row that says that an endpoint leaves needs its id only. Other malformed rows change nothing."""
-        self.tell(1, *(row(f"s-{letter}") for letter in "abcdefg"), complete=True)
-        self.tell(
+        self.receive(1, *(row(f"s-{letter}") for letter in "abcdefg"), complete=True)
+        self.receive(
             2,
             {"instanceId": "s-a", "lifecycle": "draining"},
             {"instanceId": "s-b", "lifecycle": "removed"},
@@ -122,13 +122,13 @@
             {**VALID_ROW, "instanceId": "s-k", "zone": {}},
         ]
         # Endpoints that are named stay what they were; s-c is not named, and is gone.
-        self.tell(3, *malformed, None, "s-d", VALID_ROW, complete=True)
+        self.receive(3, *malformed, None, "s-d", VALID_ROW, complete=True)
         self.assert_trace("membership-rows")
 
     def test_two_rows_of_an_endpoint_in_one_list(self) -> None:
         """An endpoint is replaced, or drains, within one list: the later start counts, then the departure."""
-        self.tell(1, row("s-a"), row("s-b"), row("s-c"), row("s-d"), complete=True)
-        self.tell(
+        self.receive(1, row("s-a"), row("s-b"), row("s-c"), row("s-d"), complete=True)
+        self.receive(
             2,
             row("s-a", "removed"),
             row("s-a", started_at_ms=5.0),  # replaced in one step
@@ -139,14 +139,14 @@
             row("s-d", started_at_ms=5.0),
             {"instanceId": "s-d", "lifecycle": "draining"},
         )
-        self.tell(3, row("s-c"))  # a newer list may take a drain back
+        self.receive(3, row("s-c"))  # a newer list may take a drain back
         self.assert_trace("membership-twice")
 
     def test_a_generation_that_cannot_be_used(self) -> None:
-        """A list whose generation is malformed is applied, and the complete list is asked for next."""
-        self.tell(1, row("s-a"), complete=True)
+        """A list whose generation is malformed is applied, and the complete list is polled for next."""
+        self.receive(1, row("s-a"), complete=True)
         for generation in (None, "2", True, -3, 2.5):
-            self.tell(generation, row("s-a", "draining"))
-        self.tell(2, "no row", {}, complete=True)  # no list
+            self.receive(generation, row("s-a", "draining"))
+        self.receive(2, "no row", {}, complete=True)  # no list
         self.assert_trace("membership-generations")
         self.assertEqual(self.membership.rows["s-a"].info.status, EndpointStatus.DRAINING)
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The request lifecycle: each request is answered once, each attempt's end is told once, whatever happens."""
+"""The request lifecycle: each request is answered once, each attempt's end reported once."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class ScriptedEngine:
-    """A policy engine that reacts to each event as its test says, and records what it was told."""
+    """A policy engine that reacts to each event as its test says, and records the events."""
 
     def __init__(self, reaction: Reaction) -> None:
         self.reaction = reaction
@@ -78,7 +78,7 @@
         return self.lifecycle.attempt_ended(at_ms, 1, attempt, outcome, 3.0, {}, response)
 
     def attempt_ends(self) -> list[tuple[Outcome, float, bool, float]]:
-        """Outcome, duration, whether final, and billed units of each end that the engine was told."""
+        """Outcome, duration, whether final, and billed units of each end reported to the engine."""
         return [
             (event.outcome, event.duration_ms, event.is_final, event.billed_units)
             for event in self.engine.events
@@ -94,10 +94,10 @@
         self.assertEqual(self.lifecycle.in_flight, {})
 
     def test_the_deadline_aborts_attempts_and_keeps_the_engines_answer(self) -> None:
-        """At the deadline the attempt is aborted, and the engine answers as it is told of that.
+        """At the deadline the attempt is aborted, and the engine answers as it learns of that.
 
-        The lifecycle once told the engine twice there and dropped the commands of the first time: the client
-        never got its answer.
+        The lifecycle once called the engine twice there and dropped the commands of the first time. The
+        client never got its answer.
         """
         self.begin()
         self.receive_request()
@@ -116,7 +116,7 @@
         self.assertEqual(self.lifecycle.deadline_reached(510.0, 1, None), [SendResponse(1, 503, 0.0, None)])
         self.assertIsInstance(self.engine.events[-1], ClientDisconnected)
 
-    def test_a_cancelled_attempt_is_told_once_and_the_next_may_start(self) -> None:
+    def test_a_cancelled_attempts_end_is_reported_once_and_the_next_may_start(self) -> None:
         """The engine cancels an attempt and starts another; then the cancelled one's response arrives."""
 
         def reaction(event: Event) -> list[Action]:
@@ -171,7 +171,7 @@
     def test_a_fault_of_the_engine_answers_the_request_and_keeps_the_timer(self) -> None:
         """The engine raises an exception.
 
-        The request it was told of is answered: by 503, which promises that trying again is harmless, only
+        The request concerned is answered: by 503, which promises that trying again is harmless, only
         where no attempt may have run. The engine's timer is set again, as its periodic work hangs on it.
         """
 
