--- a/drumgw/policy/admission.py
+++ b/drumgw/policy/admission.py
@@ -8,14 +8,13 @@
 
 from drumgw.model.settings import GatewaySettings
 from drumgw.policy.class_shares import CLASS_FLOORS, fractions_by_rank
-from drumgw.policy.concurrency_limit import ConcurrencyLimit
 from drumgw.policy.context import DecisionContext
 from drumgw.policy.counter_sync import CounterSync
 from drumgw.policy.overload import OverloadDetector
 from drumgw.policy.quota_account import QuotaAccount
 from drumgw.policy.request_state import PendingRequest
+from drumgw.policy.retry import MIN_RETRY_AFTER_MS
 
-MIN_RETRY_AFTER_MS = 1.0
 MIN_SHED_RETRY_AFTER_FRACTION = 0.3
 """Shed requests come back after this part of the longest Retry-After, or later."""
 
@@ -29,12 +28,11 @@
         settings: GatewaySettings,
         class_shares: list[float],
         counter_sync: CounterSync,
-        limit: ConcurrencyLimit,
         overload: OverloadDetector,
     ) -> None:
         self.context = context
         self.counter_sync = counter_sync
-        self.limit = limit
+        self.limit = overload.limit
         self.overload = overload
         self.class_shares = class_shares
         self.class_floors = fractions_by_rank(CLASS_FLOORS, len(class_shares))
@@ -100,7 +98,7 @@
         class_rank = request.class_rank
         counts_overdue = self.overload.is_late and class_rank > 0
         in_flight = self.limit.in_flight - (0 if counts_overdue else self.limit.overdue)
-        is_full = in_flight + draw.random() > self.limit.limit_of_class(class_rank)
+        is_full = in_flight + draw.random() > self.limit.max_in_flight_for(class_rank)
         if request.retry_after_ms:
             return
         classes_below = len(self.class_shares) - 1 - class_rank
--- a/drumgw/policy/attempt_tracking.py
+++ b/drumgw/policy/attempt_tracking.py
@@ -7,21 +7,17 @@
 from drumgw.model.actions import CancelAttempt
 from drumgw.model.events import AttemptEnded, Outcome
 from drumgw.model.settings import GatewaySettings, Idempotency
-from drumgw.policy.concurrency_limit import ConcurrencyLimit
+from drumgw.policy.back_end import BackEnd
 from drumgw.policy.context import NEVER_MS, DecisionContext
-from drumgw.policy.endpoint_set import EndpointSet
 from drumgw.policy.endpoint_state import AttemptInFlight, EndpointState
 from drumgw.policy.latency import ClassLatency, update_slowness
-from drumgw.policy.outlier_detection import OutlierDetector
 from drumgw.policy.overload import (
     LATE_OBJECTIVE_FRACTION,
     OVERLOADED_UTILIZATION,
     LoadState,
-    OverloadDetector,
 )
 from drumgw.policy.request_state import PendingRequest
 from drumgw.policy.retry import RetryPolicy
-from drumgw.policy.slow_start import SlowStart
 
 OVERDUE_QUANTILE_MULTIPLE = 2.0
 """An attempt is overdue after so many times its endpoint's high latency quantile."""
@@ -35,22 +31,18 @@
         context: DecisionContext,
         settings: GatewaySettings,
         pending: Mapping[int, PendingRequest],
-        endpoints: EndpointSet,
-        limit: ConcurrencyLimit,
-        overload: OverloadDetector,
-        outliers: OutlierDetector,
-        slow_start: SlowStart,
+        back_end: BackEnd,
         retries: RetryPolicy,
     ) -> None:
         self.context = context
         self.request_classes = settings.request_classes
         self.cancellation_allowed = settings.cancellation_allowed
         self.pending = pending
-        self.endpoints = endpoints
-        self.limit = limit
-        self.overload = overload
-        self.outliers = outliers
-        self.slow_start = slow_start
+        self.endpoints = back_end.endpoints
+        self.limit = back_end.limit
+        self.overload = back_end.overload
+        self.outliers = back_end.outliers
+        self.slow_start = back_end.slow_start
         self.retries = retries
         self.latencies = [ClassLatency(each.latency_objective_ms) for each in settings.request_classes]
 
--- /dev/null
+++ b/drumgw/policy/back_end.py
@@ -0,0 +1,22 @@
+"""What this gateway has learnt of the back end, by its endpoint list and by its own attempts."""
+
+from __future__ import annotations
+
+from drumgw.model.settings import GatewaySettings
+from drumgw.policy.concurrency_limit import ConcurrencyLimit
+from drumgw.policy.context import DecisionContext
+from drumgw.policy.endpoint_set import EndpointSet
+from drumgw.policy.outlier_detection import OutlierDetector
+from drumgw.policy.overload import OverloadDetector
+from drumgw.policy.slow_start import SlowStart
+
+
+class BackEnd:
+    """The endpoints, and the parts that judge them singly and as a whole."""
+
+    def __init__(self, context: DecisionContext, settings: GatewaySettings) -> None:
+        self.endpoints = EndpointSet(context, settings)
+        self.limit = ConcurrencyLimit(settings, self.endpoints)
+        self.overload = OverloadDetector(context, self.limit, len(settings.request_classes))
+        self.outliers = OutlierDetector(context, self.endpoints)
+        self.slow_start = SlowStart(context, settings, self.endpoints)
--- a/drumgw/policy/concurrency_limit.py
+++ b/drumgw/policy/concurrency_limit.py
@@ -34,7 +34,7 @@
         self.in_flight = 0
         self.overdue = 0
         """Attempts in flight that are overdue: at best lost, so they take no capacity."""
-        self.limit = MAX_GROWN_LIMIT
+        self.max_in_flight = MAX_GROWN_LIMIT
         self.grown_limit = INITIAL_GROWN_LIMIT
         """Grows with each answer in time; all that a gateway with few endpoints can go by."""
         self.completions_per_ms = 0.0
@@ -83,14 +83,14 @@
         else:
             part_of_fleet = (1 + spare_wait * (1 - lateness)) * part_of_fleet
         by_pace = self.completions_per_ms * (self.unloaded_latency_ms + self.allowed_wait_ms)
-        self.limit = max(self.grown_limit, part_of_fleet, by_pace)
+        self.max_in_flight = max(self.grown_limit, part_of_fleet, by_pace)
         self.completions_per_ms *= 1 - elapsed_ms / COMPLETION_MEMORY_MS
 
-    def limit_of_class(self, class_rank: int) -> float:
+    def max_in_flight_for(self, class_rank: int) -> float:
         """How many attempts may be in flight for a request of this class to be sent."""
-        return self.limit * LOWER_CLASS_FRACTION**class_rank
+        return self.max_in_flight * LOWER_CLASS_FRACTION**class_rank
 
     @property
     def utilization(self) -> float:
         """Attempts in flight that are not overdue, as a multiple of the limit."""
-        return (self.in_flight - self.overdue) / self.limit
+        return (self.in_flight - self.overdue) / self.max_in_flight
--- a/drumgw/policy/counter_sync.py
+++ b/drumgw/policy/counter_sync.py
@@ -11,13 +11,13 @@
 
 from drumgw.model.events import CounterReplied, Outcome
 from drumgw.model.settings import GatewaySettings
+from drumgw.policy.back_end import BackEnd
 from drumgw.policy.context import RATE_MEMORY_MS, DecisionContext
 from drumgw.policy.counter_calls import CounterCall, CounterCalls
 from drumgw.policy.counter_repair import MAX_REPAIR_UNITS, MIN_LOSS_UNITS, CounterRepair
-from drumgw.policy.endpoint_set import EndpointSet
-from drumgw.policy.overload import OverloadDetector
 from drumgw.policy.quota_account import IDLE_ACCOUNT_MS, QuotaAccount
 from drumgw.policy.request_state import NO_EPOCH, CounterExchange, PendingRequest
+from drumgw.policy.retry import MIN_RETRY_AFTER_MS
 
 RESERVATION_MS = 1000.0
 """A reservation covers so much of the demand here, at most."""
@@ -43,15 +43,14 @@
         settings: GatewaySettings,
         class_shares: list[float],
         calls: CounterCalls,
-        endpoints: EndpointSet,
-        overload: OverloadDetector,
+        back_end: BackEnd,
     ) -> None:
         self.context = context
         self.class_shares = class_shares
         self.calls = calls
         self.repair = CounterRepair(context, calls)
-        self.endpoints = endpoints
-        self.overload = overload
+        self.endpoints = back_end.endpoints
+        self.overload = back_end.overload
         self.has_counter = settings.has_counter
         self.timeout_ms = settings.counter_timeout_ms
         self.max_retry_after_ms = settings.max_retry_after_ms
@@ -104,7 +103,7 @@
             return
         is_covered = request.units <= account.allowance_units
         if request.is_client_retry or account.is_cap_below_gateways or not is_covered:
-            request.retry_after_ms = max(1.0, self.max_retry_after_ms)
+            request.retry_after_ms = max(MIN_RETRY_AFTER_MS, self.max_retry_after_ms)
         else:
             account.allowance_units -= request.units
 
--- a/drumgw/policy/endpoint_selection.py
+++ b/drumgw/policy/endpoint_selection.py
@@ -9,13 +9,10 @@
 from itertools import islice
 
 from drumgw.model.settings import DeduplicationScope, Idempotency
-from drumgw.policy.concurrency_limit import ConcurrencyLimit
+from drumgw.policy.back_end import BackEnd
 from drumgw.policy.context import DecisionContext
-from drumgw.policy.endpoint_set import EndpointSet
 from drumgw.policy.endpoint_state import EndpointState, HealthState
-from drumgw.policy.outlier_detection import OutlierDetector
 from drumgw.policy.request_state import PendingRequest
-from drumgw.policy.slow_start import SlowStart
 
 MIN_USABLE_NEARBY = 3
 """With fewer usable nearby endpoints, farther ones join them."""
@@ -31,16 +28,13 @@
     def __init__(
         self,
         context: DecisionContext,
-        endpoints: EndpointSet,
-        limit: ConcurrencyLimit,
-        outliers: OutlierDetector,
-        slow_start: SlowStart,
+        back_end: BackEnd,
     ) -> None:
         self.context = context
-        self.endpoints = endpoints
-        self.limit = limit
-        self.outliers = outliers
-        self.slow_start = slow_start
+        self.endpoints = back_end.endpoints
+        self.limit = back_end.limit
+        self.outliers = back_end.outliers
+        self.slow_start = back_end.slow_start
 
     def select(self, request: PendingRequest) -> EndpointState | None:
         """The endpoint for a request's next attempt; None where there is none.
--- a/drumgw/policy/engine.py
+++ b/drumgw/policy/engine.py
@@ -26,20 +26,16 @@
 from drumgw.model.settings import GatewaySettings
 from drumgw.policy.admission import AdmissionControl
 from drumgw.policy.attempt_tracking import AttemptTracker
+from drumgw.policy.back_end import BackEnd
 from drumgw.policy.class_shares import CLASS_SHARES, fractions_by_rank
-from drumgw.policy.concurrency_limit import ConcurrencyLimit
 from drumgw.policy.context import DecisionContext
 from drumgw.policy.counter_calls import CounterCalls
 from drumgw.policy.counter_sync import CounterSync
 from drumgw.policy.endpoint_selection import EndpointSelector
-from drumgw.policy.endpoint_set import EndpointSet
-from drumgw.policy.outlier_detection import OutlierDetector
-from drumgw.policy.overload import OverloadDetector
 from drumgw.policy.quota_account import IDLE_ACCOUNT_MS, PlanLimits, QuotaAccount
 from drumgw.policy.request_flow import RequestFlow
 from drumgw.policy.request_state import PendingRequest
 from drumgw.policy.retry import RetryPolicy
-from drumgw.policy.slow_start import SlowStart
 
 TICK_MS = 100.0
 """Time between two updates of rates, limits and overdue attempts."""
@@ -72,34 +68,20 @@
         self.max_request_units = settings.max_request_units
         self.plans = [PlanLimits.from_plan(plan) for plan in settings.plans]
         self.accounts: dict[int, QuotaAccount] = {}
+        """By customer."""
         self.pending: dict[int, PendingRequest] = {}
-        self.endpoints = EndpointSet(context, settings)
-        self.limit = ConcurrencyLimit(settings, self.endpoints)
-        self.overload = OverloadDetector(context, self.limit, class_count)
-        self.outliers = OutlierDetector(context, self.endpoints)
-        self.slow_start = SlowStart(context, settings, self.endpoints)
-        self.retries = RetryPolicy(context, settings, self.overload)
-        self.counter_calls = CounterCalls(context, settings, self.overload.describe)
+        """By request id; those that are owed an answer."""
+        self.back_end = BackEnd(context, settings)
+        self.retries = RetryPolicy(context, settings, self.back_end.overload)
+        self.counter_calls = CounterCalls(context, settings, self.back_end.overload.describe)
         self.counter_sync = self.counter_sync_class(
-            context, settings, class_shares, self.counter_calls, self.endpoints, self.overload
+            context, settings, class_shares, self.counter_calls, self.back_end
         )
         self.admission = self.admission_class(
-            context, settings, class_shares, self.counter_sync, self.limit, self.overload
-        )
-        self.selector = self.selector_class(
-            context, self.endpoints, self.limit, self.outliers, self.slow_start
-        )
-        self.attempts = AttemptTracker(
-            context,
-            settings,
-            self.pending,
-            self.endpoints,
-            self.limit,
-            self.overload,
-            self.outliers,
-            self.slow_start,
-            self.retries,
+            context, settings, class_shares, self.counter_sync, self.back_end.overload
         )
+        self.selector = self.selector_class(context, self.back_end)
+        self.attempts = AttemptTracker(context, settings, self.pending, self.back_end, self.retries)
         self.requests = self.request_flow_class(
             context,
             settings,
@@ -145,7 +127,7 @@
         self.attempts.leave_out_stall(stall_ms)
 
     def _endpoints_updated(self, event: EndpointsUpdated) -> None:
-        self.endpoints.update(event)
+        self.back_end.endpoints.update(event)
 
     def _request_received(self, event: RequestReceived) -> None:
         account = self.accounts.get(event.customer)
@@ -165,9 +147,9 @@
 
     def _timer_fired(self, _event: TimerFired) -> None:
         self.context.actions.append(SetTimer(TICK_MS, TICK_TIMER_ID))
-        self.endpoints.fade_completions(TICK_MS)
+        self.back_end.endpoints.fade_completions(TICK_MS)
         self.attempts.check_overdue()
-        self.overload.update(TICK_MS)
+        self.back_end.overload.update(TICK_MS)
         if self.context.random.random() < SWEEP_PROBABILITY:
             self._drop_idle_accounts()
 
--- a/drumgw/policy/overload.py
+++ b/drumgw/policy/overload.py
@@ -113,7 +113,9 @@
     def describe(self) -> str:
         """The load's figures, for the log."""
         limit = self.limit
-        return f"{limit.in_flight} in flight, limit {limit.limit:.0f}, late share {self.late_share:.2f}"
+        return (
+            f"{limit.in_flight} in flight, limit {limit.max_in_flight:.0f}, late share {self.late_share:.2f}"
+        )
 
 
 LOAD_TRANSITIONS: Transitions[LoadState, LoadInput, OverloadDetector, OverloadDetector] = {
--- a/drumgw/policy/quota_account.py
+++ b/drumgw/policy/quota_account.py
@@ -10,13 +10,14 @@
 
 from drumgw.model.events import RequestReceived
 from drumgw.model.settings import Plan
-from drumgw.policy.context import LONG_AGO_MS, NEVER_MS, RATE_MEMORY_MS, DecisionContext
+from drumgw.policy.context import LONG_AGO_MS, RATE_MEMORY_MS, DecisionContext
 from drumgw.stable_hash import stable_hash
 
 EPOCH_MS = 50000.0
 """How long a customer's counter key is used before the next one takes its place."""
 IDLE_ACCOUNT_MS = 20000.0
 """An account unused for so long is dropped; docs/quota-bounds.md depends on it."""
+UNLIMITED_UNITS = float("inf")
 WINDOW_WITHOUT_QUOTA_MS = 1000.0
 MAX_GATEWAYS_PER_CAPPED_ATTEMPT = 4
 """With more gateways to each attempt of a concurrency cap, none can keep the cap alone."""
@@ -46,7 +47,7 @@
         has_quota = plan.units_per_s > 0
         return cls(
             rate_units_per_ms=rate,
-            quota_units=plan.burst_units if has_quota else NEVER_MS,
+            quota_units=plan.burst_units if has_quota else UNLIMITED_UNITS,
             window_ms=plan.burst_units / rate if has_quota else WINDOW_WITHOUT_QUOTA_MS,
             max_concurrent_attempts=plan.max_concurrent_attempts,
             is_soft=plan.over_quota_value_share > plan.over_quota_cost_share,
--- a/drumgw/policy/retry.py
+++ b/drumgw/policy/retry.py
@@ -11,7 +11,10 @@
 BUDGET_PER_FIRST_ATTEMPT = 0.15
 """Retries that each first attempt pays for."""
 MAX_BUDGET = 20.0
+MIN_RETRY_AFTER_MS = 1.0
+"""Of a request that is rejected by quota or load."""
 DEFAULT_RETRY_AFTER_MS = 1000.0
+"""Where nothing else tells when a retry may succeed."""
 MAX_RETRY_AFTER_JITTER = 1.2
 """Clients that were rejected together come back spread over a fifth of the time."""
 RETRY_AFTER_WINDOW_FRACTION = 0.5
--- a/drumgw/policy/slow_start.py
+++ b/drumgw/policy/slow_start.py
@@ -34,7 +34,7 @@
         return min(1.0, self.initial_fraction + (1 - self.initial_fraction) * progress)
 
     def may_send(self, endpoint: EndpointState) -> bool:
-        """Whether an endpoint is warm, or has a token for an attempt."""
+        """Whether an endpoint is warm, or has a token for an attempt; its tokens are refilled up to now."""
         fraction = self.warm_up_fraction(endpoint)
         if fraction >= 1.0:
             return True
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -192,7 +192,7 @@
             n for n, w in self.gateway.endpoint_clients.clients.items() if w.place[0] == bad.address
         )
         policy = self.gateway.dispatcher.lifecycle.policy
-        policy.endpoints.preferred.sort(key=lambda w: w.endpoint_id != number)  # type: ignore[attr-defined]
+        policy.back_end.endpoints.preferred.sort(key=lambda w: w.endpoint_id != number)  # type: ignore[attr-defined]
         selector = policy.selector  # type: ignore[attr-defined]
         select = selector.select
 
@@ -637,8 +637,8 @@
 
     def empty(self) -> bool:
         dispatcher, policy = self.gateway.dispatcher, self.gateway.dispatcher.lifecycle.policy
-        held = policy.pending or policy.limit.in_flight  # type: ignore[attr-defined]
-        held = held or policy.endpoints.with_attempts  # type: ignore[attr-defined]
+        held = policy.pending or policy.back_end.limit.in_flight  # type: ignore[attr-defined]
+        held = held or policy.back_end.endpoints.with_attempts  # type: ignore[attr-defined]
         out = any(a.attempts_in_flight for a in policy.accounts.values())  # type: ignore[attr-defined]
         return not (
             held
