--- a/drumgw/cli/lab_commands.py
+++ b/drumgw/cli/lab_commands.py
@@ -32,20 +32,21 @@
 def run_scenario(scenario: str, seed: int, virtual: bool, out: str | None, quiet: bool) -> None:
     """Play SCENARIO, a scenario file, with real gateways on loopback, or on a virtual clock."""
     from drumgw.config.file_reader import FileError
-    from drumgw.testbed.report import rules, text
-    from drumgw.testbed.runner import Stopped, run_day
+    from drumgw.testbed import runner
+    from drumgw.testbed.report import format_runs, violation_lines
+    from drumgw.testbed.runner import RunStoppedError
     from drumgw.testbed.scenario import read_scenario
 
     try:
         name = read_scenario(scenario).name
-        figures = run_day(scenario, seed, out or f"runs/{name}-{seed}", virtual)
+        figures = runner.run_scenario(scenario, seed, out or f"runs/{name}-{seed}", virtual)
     except FileError as error:
         exit_with_error(error)
-    except Stopped:
+    except RunStoppedError:
         exit_with_error("stopped; no gateway was left behind", ExitCode.STOPPED)
     except (RuntimeError, OSError) as error:
         exit_with_error(error, ExitCode.CANNOT_RUN)
-    click.echo("\n".join(rules([figures])) if quiet else text([figures]))
+    click.echo("\n".join(violation_lines([figures])) if quiet else format_runs([figures]))
     sys.exit(_exit_code([figures]))
 
 
@@ -74,20 +75,20 @@
     except (FileError, EventLogError) as error:
         exit_with_error(error)
     if as_json:
-        click.echo(reports.as_json([*figures, *compared]))
+        click.echo(reports.format_json([*figures, *compared]))
     elif compared:
-        click.echo(reports.beside(figures, compared))
+        click.echo(reports.format_comparison(figures, compared))
     else:
-        click.echo(reports.text(figures))
+        click.echo(reports.format_runs(figures))
     if plots is not None:
         _draw(figures, plots, form)
     sys.exit(_exit_code(figures))
 
 
 def _draw(figures: list[dict[str, Any]], folder: str, form: str) -> None:
-    from drumgw.testbed.plots import plot
+    from drumgw.testbed.plots import plot_runs
 
-    for path in plot(figures, folder, form):
+    for path in plot_runs(figures, folder, form):
         click.echo(f"drawn: {path}")
 
 
--- a/drumgw/testbed/clients.py
+++ b/drumgw/testbed/clients.py
@@ -1,225 +1,230 @@
-"""The clients behind their front: they send when the day says, and try again as products allow."""
+"""The clients, behind a load balancer: they send when the workload says, and retry as their classes allow."""
 
 from __future__ import annotations
 
-import random
 from collections.abc import Iterator
 from typing import Protocol
 
-from drumgw.config.sections import RequestClassSection
-from drumgw.testbed.clocks import Handle, TestbedClock
+from drumgw.testbed.client_requests import ClientAttempt, ClientRequest
+from drumgw.testbed.clocks import TestbedClock
 from drumgw.testbed.event_log import EventLog
-from drumgw.testbed.scenario import Scenario
+from drumgw.testbed.logged_events import (
+    REJECTION_STATUSES,
+    STATUS_SUCCEEDED,
+    AttemptSent,
+    ClientGaveUp,
+    ClientLeft,
+    ConnectFailed,
+    ConnectionClosed,
+    RequestCreated,
+    ResponseReceived,
+    SentLate,
+)
+from drumgw.testbed.scenario import IDEMPOTENT, Scenario
 from drumgw.testbed.workload import Arrival, Customer, Workload
 
-STAYS_MS = 500.0  # a client listens so long beyond its time; an answer in that time earns nothing
-TERM_SEEN_MS = 300.0  # until the front sends no more clients to a gatekeeper told to end
-LATE_MS = 20.0  # sent later than intended by more than this: the lab could not keep up
-
-
-class ClientRequest:
-    """What a client wants; its tries follow one another."""
-
-    __slots__ = ("arrival", "deadline_ms", "attempt_count", "idempotency_key")
-
-    def __init__(self, arrival: Arrival, now: float) -> None:
-        self.arrival, self.deadline_ms, self.attempt_count = arrival, now + arrival.request_class.expiry_ms, 0
-        self.idempotency_key = f"{arrival.number:x}"
-
-
-class ClientAttempt:
-    """One request of a client. Over at its answer, its end, or when the client goes away."""
-
-    __slots__ = ("attempt_id", "request", "gateway", "time_left_ms", "sent_at_ms", "is_closed", "timers")
-
-    def __init__(self, name: str, order: ClientRequest, gate: int, left_ms: float, sent_at: float) -> None:
-        self.attempt_id, self.request, self.gateway, self.time_left_ms, self.sent_at_ms = (
-            name,
-            order,
-            gate,
-            left_ms,
-            sent_at,
-        )
-        self.is_closed, self.timers = False, list[Handle]()
-
-    @property
-    def request_class(self) -> RequestClassSection:
-        return self.request.arrival.request_class
-
-    @property
-    def customer(self) -> Customer:
-        return self.request.arrival.customer
-
-    @property
-    def work_ms(self) -> float:
-        return self.request.arrival.work_ms
-
-    @property
-    def idempotency_key(self) -> str:
-        return self.request.idempotency_key
+GIVE_UP_AFTER_MS = 500.0
+"""A client listens so long beyond its deadline; a response in that time earns nothing."""
+DRAIN_NOTICED_MS = 300.0
+"""Until the load balancer sends nothing more to a gateway that shuts down."""
+MAX_LATENESS_MS = 20.0
+"""A request sent later than intended by more than this: the testbed could not keep up."""
+MIN_TIME_LEFT_MS = 5.0
+"""With less time left, nothing is sent any more."""
 
 
 class AttemptSender(Protocol):
-    """How tries reach gatekeepers; the clients are told by answered, closed or unreached."""
+    """How attempts reach gateways.
 
-    def send(self, one: ClientAttempt) -> None: ...
+    It reports back with `response_received`, `connection_closed` or `connect_failed`.
+    """
 
-    def cancel(self, one: ClientAttempt) -> None: ...
+    def send(self, attempt: ClientAttempt) -> None:
+        """Sends an attempt to its gateway."""
+
+    def cancel(self, attempt: ClientAttempt) -> None:
+        """The client closes the attempt's connection."""
 
 
 class ClientPopulation:
-    def __init__(self, day: Scenario, book: Workload, clock: TestbedClock, record: EventLog) -> None:
-        self.scenario, self.workload, self.clock, self.event_log = day, book, clock, record
-        self.random: random.Random = book.random_stream("clients")
+    """All clients of a scenario, and what their load balancer believes of the gateways."""
+
+    def __init__(
+        self, scenario: Scenario, workload: Workload, clock: TestbedClock, event_log: EventLog
+    ) -> None:
         self.sender: AttemptSender | None = None
         self.start_ms = 0.0
-        self.arrivals: Iterator[Arrival] = iter(())
-        self.in_rotation = [True] * day.fleet.gatekeepers  # by the front: it takes clients
-        self.open_attempts: dict[str, ClientAttempt] = {}  # emptied as tries end
-        self.known_attempts: dict[str, ClientAttempt] = {}  # known to stand-in workers; emptied a while after
-        self.leave_share = day.clients.leave
-        self.sent_count = self.sent_late_count = 0
+        self.known_attempts: dict[str, ClientAttempt] = {}
+        """By id: what endpoints may still see; an attempt is forgotten a while after its end."""
+        self.leave_share = scenario.clients.leave
+        self.sent_count = 0
+        self.sent_late_count = 0
+        self._scenario = scenario
+        self._workload = workload
+        self._clock = clock
+        self._event_log = event_log
+        self._random = workload.random_stream("clients")
+        self._arrivals: Iterator[Arrival] = iter(())
+        self._in_rotation = [True] * scenario.fleet.gatekeepers
 
     def start(self) -> None:
-        self.start_ms, self.arrivals = self.clock.now(), self.workload.arrivals()
-        self.schedule()
-
-    def schedule(self) -> None:
-        arrival = next(self.arrivals, None)
-        if arrival is not None:
-            self.clock.call_at(self.start_ms + arrival.at_ms, lambda: self.arrive(arrival))
-
-    def arrive(self, arrival: Arrival) -> None:
-        self.schedule()
-        intended = self.start_ms + arrival.at_ms
+        """From now on requests come."""
+        self.start_ms = self._clock.now()
+        self._arrivals = self._workload.arrivals()
+        self._schedule_next()
+
+    def receive_arrival(self, arrival: Arrival) -> None:
+        """A client wants a request answered; its time runs from when it should have been sent."""
+        self._schedule_next()
+        now = self._clock.now()
+        intended_ms = self.start_ms + arrival.at_ms
         self.sent_count += 1
-        if (late := self.clock.now() - intended) > LATE_MS:
+        if now - intended_ms > MAX_LATENESS_MS:
             self.sent_late_count += 1
-            self.event_log.add(self.clock.now(), "lab late", by=round(late, 3))
-        order = ClientRequest(arrival, intended)  # its time runs from when it should have been sent
-        self.event_log.add(
-            self.clock.now(),
-            "wanted",
-            order=arrival.number,
-            product=arrival.request_class.name,
-            plan=arrival.customer.plan.name,
-            units=arrival.units,
-            intended=round(intended, 3),
+            self._event_log.add(SentLate(now, late_by_ms=round(now - intended_ms, 3)))
+        self._event_log.add(
+            RequestCreated(
+                now,
+                request=arrival.number,
+                request_class=arrival.request_class.name,
+                plan=arrival.customer.plan.name,
+                units=arrival.units,
+                intended_ms=round(intended_ms, 3),
+            )
         )
-        self.attempt(order)
+        self._send_attempt(ClientRequest(arrival, intended_ms))
 
-    # Tries
+    def set_in_rotation(self, gateway: int, is_ready: bool) -> None:
+        """The load balancer learns that a gateway takes clients, or that it does not."""
+        self._in_rotation[gateway] = is_ready
 
-    def attempt(self, order: ClientRequest) -> None:
-        now, a = self.clock.now(), order.arrival
-        left = (order.deadline_ms - now) * self.random.uniform(self.scenario.clients.patience, 1.0)
-        if left < 5.0:
+    # What comes back
+
+    def response_received(
+        self, attempt: ClientAttempt, status: int, made_for: str, retry_after_ms: float
+    ) -> None:
+        """A response is here; `made_for` is the attempt that its body names."""
+        now = self._clock.now()
+        if attempt.is_closed:
+            self._event_log.add(
+                ResponseReceived(now, attempt.attempt_id, status, made_for, is_duplicate=True)
+            )
             return
-        gate, order.attempt_count = self.choose(a.customer), order.attempt_count + 1
-        one = ClientAttempt(f"{self.random.getrandbits(64):016x}", order, gate, round(left, 3), now)
-        self.open_attempts[one.attempt_id] = self.known_attempts[one.attempt_id] = one
-        self.event_log.add(
-            now,
-            "asked",
-            txn=one.attempt_id,
-            order=a.number,
-            gate=gate,
-            product=a.request_class.name,
-            plan=a.customer.plan.name,
-            customer=a.customer.number,
-            units=a.units,
-            left=one.time_left_ms,
+        self._close(attempt)
+        self._event_log.add(
+            ResponseReceived(now, attempt.attempt_id, status, made_for, round(retry_after_ms, 3))
         )
-        one.timers.append(self.clock.call_at(now + left + STAYS_MS, lambda: self.weary(one)))
-        if self.leave_share and self.random.random() < self.leave_share:
-            one.timers.append(
-                self.clock.call_at(now + left * self.random.uniform(0.05, 0.6), lambda: self.go(one))
-            )
-        assert self.sender is not None
-        self.sender.send(one)
+        if status in REJECTION_STATUSES:
+            self._retry(attempt, retry_after_ms)
+        elif status != STATUS_SUCCEEDED:
+            self._retry_if_idempotent(attempt)
+
+    def connection_closed(self, attempt: ClientAttempt) -> None:
+        """The gateway's connection ended without a complete response."""
+        if self._close(attempt):
+            self._event_log.add(ConnectionClosed(self._clock.now(), attempt.attempt_id))
+            self._retry_if_idempotent(attempt)
+
+    def connect_failed(self, attempt: ClientAttempt) -> None:
+        """No connection came up: the gateway never had it, so that a retry is harmless."""
+        if self._close(attempt):
+            self._event_log.add(ConnectFailed(self._clock.now(), attempt.attempt_id))
+            self._retry(attempt)
+
+    # Attempts
+
+    def _schedule_next(self) -> None:
+        arrival = next(self._arrivals, None)
+        if arrival is not None:
+            self._clock.call_at(self.start_ms + arrival.at_ms, lambda: self.receive_arrival(arrival))
 
-    def choose(self, c: Customer) -> int:
-        up = [(g, w) for g, w in zip(c.gateways, c.weights, strict=True) if self.in_rotation[g]]
-        gates, weights = zip(*(up or zip(c.gateways, c.weights, strict=True)), strict=True)
-        return int(self.random.choices(gates, weights)[0])
+    def _send_attempt(self, request: ClientRequest) -> None:
+        now = self._clock.now()
+        patience = self._random.uniform(self._scenario.clients.patience, 1.0)
+        time_left_ms = (request.deadline_ms - now) * patience
+        if time_left_ms < MIN_TIME_LEFT_MS:
+            return
+        gateway = self._choose_gateway(request.arrival.customer)
+        request.attempt_count += 1
+        attempt_id = f"{self._random.getrandbits(64):016x}"
+        attempt = ClientAttempt(attempt_id, request, gateway, round(time_left_ms, 3), now)
+        self.known_attempts[attempt_id] = attempt
+        self._log_sent(attempt)
+        give_up_ms = now + time_left_ms + GIVE_UP_AFTER_MS
+        attempt.timers.append(self._clock.call_at(give_up_ms, lambda: self._give_up(attempt)))
+        if self.leave_share and self._random.random() < self.leave_share:
+            leave_ms = now + time_left_ms * self._random.uniform(0.05, 0.6)
+            attempt.timers.append(self._clock.call_at(leave_ms, lambda: self._leave(attempt)))
+        assert self.sender is not None
+        self.sender.send(attempt)
+
+    def _log_sent(self, attempt: ClientAttempt) -> None:
+        arrival = attempt.request.arrival
+        self._event_log.add(
+            AttemptSent(
+                attempt.sent_at_ms,
+                attempt_id=attempt.attempt_id,
+                request=arrival.number,
+                gateway=attempt.gateway,
+                request_class=arrival.request_class.name,
+                plan=arrival.customer.plan.name,
+                customer=arrival.customer.number,
+                units=arrival.units,
+                time_left_ms=attempt.time_left_ms,
+            )
+        )
 
-    def over(self, one: ClientAttempt) -> bool:
-        """True once; from then on nothing more is expected of it."""
-        if one.is_closed:
+    def _choose_gateway(self, customer: Customer) -> int:
+        """One of the customer's gateways that are in rotation; of all, where none is."""
+        weighted = list(zip(customer.gateways, customer.weights, strict=True))
+        usable = [pair for pair in weighted if self._in_rotation[pair[0]]] or weighted
+        gateways = [gateway for gateway, _ in usable]
+        weights = [weight for _, weight in usable]
+        return int(self._random.choices(gateways, weights)[0])
+
+    def _close(self, attempt: ClientAttempt) -> bool:
+        """Nothing more is expected of it; False where that was so before."""
+        if attempt.is_closed:
             return False
-        one.is_closed = True
-        self.open_attempts.pop(one.attempt_id, None)
-        for timer in one.timers:
+        attempt.is_closed = True
+        for timer in attempt.timers:
             timer.cancel()
-        self.clock.call_at(self.clock.now() + 2 * one.request_class.expiry_ms, lambda: self.forget(one))
+        forget_ms = self._clock.now() + 2 * attempt.request_class.expiry_ms
+        self._clock.call_at(forget_ms, lambda: self._forget(attempt))
         return True
 
-    def forget(self, one: ClientAttempt) -> None:
-        self.known_attempts.pop(one.attempt_id, None)
+    def _forget(self, attempt: ClientAttempt) -> None:
+        self.known_attempts.pop(attempt.attempt_id, None)
 
-    def go(self, one: ClientAttempt) -> None:
-        if self.over(one):
-            self.event_log.add(self.clock.now(), "left", txn=one.attempt_id)
-            assert self.sender is not None
-            self.sender.cancel(one)
+    def _leave(self, attempt: ClientAttempt) -> None:
+        if self._close(attempt):
+            self._event_log.add(ClientLeft(self._clock.now(), attempt.attempt_id))
+            self._cancel(attempt)
 
-    def weary(self, one: ClientAttempt) -> None:
-        """Never answered; the judge says whose fault that is."""
-        if self.over(one):
-            self.event_log.add(self.clock.now(), "weary", txn=one.attempt_id)
-            assert self.sender is not None
-            self.sender.cancel(one)
-            self.again(one, one.request_class.repeat == "inquiry-like", 0.0)
+    def _give_up(self, attempt: ClientAttempt) -> None:
+        """Never answered; the oracle says whose fault that is."""
+        if self._close(attempt):
+            self._event_log.add(ClientGaveUp(self._clock.now(), attempt.attempt_id))
+            self._cancel(attempt)
+            self._retry_if_idempotent(attempt)
 
-    # What comes back
-
-    def response_received(self, one: ClientAttempt, status: int, mark: str, retry_after_ms: float) -> None:
-        """mark: the txn that the answer was made for, as its body says."""
-        if one.is_closed:
-            self.event_log.add(
-                self.clock.now(), "answered", txn=one.attempt_id, status=status, mark=mark, more=True
-            )
-            return
-        self.over(one)
-        self.event_log.add(
-            self.clock.now(),
-            "answered",
-            txn=one.attempt_id,
-            status=status,
-            mark=mark,
-            wait=round(retry_after_ms, 3),
-        )
-        if status != 200:
-            declined = status in (429, 503)
-            self.again(
-                one,
-                declined or one.request_class.repeat == "inquiry-like",
-                retry_after_ms if declined else 0.0,
-            )
-
-    def connection_closed(self, one: ClientAttempt) -> None:
-        """Its connection ended with no whole answer."""
-        if self.over(one):
-            self.event_log.add(self.clock.now(), "closed", txn=one.attempt_id)
-            self.again(one, one.request_class.repeat == "inquiry-like", 0.0)
-
-    def connect_failed(self, one: ClientAttempt) -> None:
-        """No connection came up: the gatekeeper never had it."""
-        if self.over(one):
-            self.event_log.add(self.clock.now(), "unreached", txn=one.attempt_id)
-            self.again(one, True, 0.0)
-
-    def again(self, one: ClientAttempt, harmless: bool, wait_ms: float) -> None:
-        kind = self.scenario.clients
-        if not harmless or one.request.attempt_count > kind.retries:
+    def _cancel(self, attempt: ClientAttempt) -> None:
+        assert self.sender is not None
+        self.sender.cancel(attempt)
+
+    def _retry_if_idempotent(self, attempt: ClientAttempt) -> None:
+        """It may have run: only an idempotent request is sent again."""
+        if attempt.request_class.repeat == IDEMPOTENT:
+            self._retry(attempt)
+
+    def _retry(self, attempt: ClientAttempt, retry_after_ms: float = 0.0) -> None:
+        """Sends the request again after Retry-After, or after a backoff, where time is left then."""
+        section = self._scenario.clients
+        request = attempt.request
+        if request.attempt_count > section.retries:
             return
-        observes = wait_ms > 0 and self.random.random() < kind.observe
-        wait = wait_ms if observes else kind.backoff_ms * self.random.uniform(0.5, 1.5)
-        if self.clock.now() + wait < one.request.deadline_ms:
-            self.clock.call_at(self.clock.now() + wait, lambda: self.attempt(one.request))
-
-    # The front
-
-    def set_in_rotation(self, gate: int, up: bool) -> None:
-        """Told at once who is ready, and after some time who has died."""
-        self.in_rotation[gate] = up
+        observes = retry_after_ms > 0 and self._random.random() < section.observe
+        wait_ms = retry_after_ms if observes else section.backoff_ms * self._random.uniform(0.5, 1.5)
+        retry_ms = self._clock.now() + wait_ms
+        if retry_ms < request.deadline_ms:
+            self._clock.call_at(retry_ms, lambda: self._send_attempt(request))
--- a/drumgw/testbed/counter.py
+++ b/drumgw/testbed/counter.py
@@ -1,80 +1,128 @@
-"""A stand-in counter: named numbers that live for a time, calls in turn, and what can go wrong with it."""
+"""An emulated shared counter: named totals that live for a time, calls served in turn, and its faults."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Literal
+from dataclasses import dataclass
+from enum import Enum
 
 from drumgw.testbed.clocks import TestbedClock
 from drumgw.testbed.scenario import CounterSection
 
-MOST_LIVES_MS = 60000.0
-Says = Literal["added", "turned away"]
-Store = dict[str, tuple[float, float]]  # name: total, forgotten at; emptied by calls, as names die
-Tell = Callable[[Says, float], None]
+MAX_TTL_MS = 60_000.0
+CLEANUP_SIZE = 10_000
+"""A store with so many names is searched for expired ones."""
+
+
+class CounterStatus(Enum):
+    """How a call ended."""
+
+    ADDED = "added"
+    REJECTED = "rejected"
+
+
+@dataclass(slots=True)
+class Total:
+    """One named value of the counter."""
+
+    value: float
+    expires_at_ms: float
+
+
+Store = dict[str, Total]
+ReplyCallback = Callable[[CounterStatus, float], None]
+"""Takes the call's status and the total after it."""
 
 
 class EmulatedCounter:
-    def __init__(self, kind: CounterSection, clock: TestbedClock) -> None:
-        self.section, self.clock = kind, clock
-        self.stores: list[Store] = [{}]  # two while it is split
-        self.free_at_ms = [0.0]  # of each: when its turn is over
-        self.slowdown, self.is_silent, self.rejects_calls = 1.0, False, False
+    """One counter service. While it is split, each half of the gateways sees a replica of its own."""
+
+    def __init__(self, section: CounterSection, clock: TestbedClock) -> None:
+        self._section = section
+        self._clock = clock
+        self._replicas: list[Store] = [{}]
+        self._free_at_ms = [0.0]
+        """By replica: when it has served the calls it took."""
+        self._totals_at_split: Store = {}
         self.call_count = 0
+        self.slowdown = 1.0
+        self.is_silent = False
+        self.rejects_calls = False
+
+    def call(self, gateway: int, name: str, amount: float, ttl_ms: float, on_reply: ReplyCallback) -> None:
+        """Adds to a total and calls back when the call was served; never while the counter is silent.
 
-    def call(self, gate: int, name: str, amount: float, lives_ms: float, tell: Tell) -> None:
-        """Told when the call has had its turn, however late. While silent nothing is told, or even added."""
+        A new total is kept for `ttl_ms`, at most MAX_TTL_MS.
+        """
         self.call_count += 1
         if self.is_silent:
             return
-        now, half = self.clock.now(), gate % len(self.stores)
-        waits = max(0.0, self.free_at_ms[half] - now)
-        turn = 1000.0 / self.section.calls_per_s * self.slowdown
-        if self.rejects_calls or waits > self.section.line * turn:
-            self.clock.call_at(now + self.section.call_ms, lambda: tell("turned away", 0.0))
+        now = self._clock.now()
+        replica = gateway % len(self._replicas)
+        wait_ms = max(0.0, self._free_at_ms[replica] - now)
+        service_ms = 1000.0 / self._section.calls_per_s * self.slowdown
+        if self.rejects_calls or wait_ms > self._section.line * service_ms:
+            self._clock.call_at(now + self._section.call_ms, lambda: on_reply(CounterStatus.REJECTED, 0.0))
             return
-        self.free_at_ms[half] = now + waits + turn
-        store = self.stores[half]
+        self._free_at_ms[replica] = now + wait_ms + service_ms
+        store = self._replicas[replica]
 
-        def served() -> None:
+        def serve() -> None:
             if not self.is_silent:
-                tell("added", self.add(store, name, amount, lives_ms))
+                on_reply(CounterStatus.ADDED, self._add(store, name, amount, ttl_ms))
 
-        self.clock.call_at(self.free_at_ms[half] + self.section.call_ms * self.slowdown, served)
+        self._clock.call_at(self._free_at_ms[replica] + self._section.call_ms * self.slowdown, serve)
 
-    def add(self, store: Store, name: str, amount: float, lives_ms: float) -> float:
-        now = self.clock.now()
-        if len(store) > 9999:
-            for dead in [n for n, (_, until) in store.items() if until <= now]:
-                del store[dead]
-        total, until = store.get(name, (0.0, 0.0))
-        if until <= now:
-            total, until = 0.0, now + min(lives_ms, MOST_LIVES_MS)
-        store[name] = total + amount, until
-        return float(f"{total + amount:.7g}")
-
-    # Troubles
+    def _add(self, store: Store, name: str, amount: float, ttl_ms: float) -> float:
+        now = self._clock.now()
+        if len(store) >= CLEANUP_SIZE:
+            _drop_expired(store, now)
+        total = store.get(name)
+        if total is None or total.expires_at_ms <= now:
+            total = store[name] = Total(0.0, now + min(ttl_ms, MAX_TTL_MS))
+        total.value += amount
+        return float(f"{total.value:.7g}")
 
     def clear(self) -> None:
-        for store in self.stores:
+        """Replaced by an empty counter."""
+        for store in self._replicas:
             store.clear()
 
     def scale_totals(self, share: float) -> None:
-        """Replaced by one that knows a share of each total."""
-        for store in self.stores:
-            for name, (total, until) in store.items():
-                store[name] = total * share, until
+        """Replaced by an older copy, which holds this share of each total."""
+        for store in self._replicas:
+            for total in store.values():
+                total.value *= share
 
     def split(self) -> None:
-        """Each half of the gatekeepers sees a counter of its own, equal at first."""
-        self.stores, self.free_at_ms = [self.stores[0], dict(self.stores[0])], [self.free_at_ms[0]] * 2
-        self.totals_at_split = dict(self.stores[0])
+        """Each half of the gateways sees a replica of its own; both begin with the same totals."""
+        first = self._replicas[0]
+        self._replicas = [first, _copy(first)]
+        self._free_at_ms = [self._free_at_ms[0]] * 2
+        self._totals_at_split = _copy(first)
 
     def heal(self) -> None:
-        """One again, with what both halves added."""
-        one, other = self.stores[0], self.stores[-1]
-        if other is not one:
-            for name, (total, until) in other.items():
-                before, at = self.totals_at_split.get(name, (0.0, until)), one.get(name)
-                one[name] = (at[0] if at else before[0]) + total - before[0], until
-        self.stores, self.free_at_ms = [one], [max(self.free_at_ms)]
+        """One counter again, with what was added to either replica."""
+        first = self._replicas[0]
+        second = self._replicas[-1]
+        if second is not first:
+            for name, total in second.items():
+                self._merge(first, name, total)
+        self._replicas = [first]
+        self._free_at_ms = [max(self._free_at_ms)]
+
+    def _merge(self, store: Store, name: str, other: Total) -> None:
+        at_split = self._totals_at_split.get(name)
+        value_at_split = at_split.value if at_split is not None else 0.0
+        own = store.get(name)
+        own_value = own.value if own is not None else value_at_split
+        store[name] = Total(own_value + other.value - value_at_split, other.expires_at_ms)
+
+
+def _copy(store: Store) -> Store:
+    return {name: Total(total.value, total.expires_at_ms) for name, total in store.items()}
+
+
+def _drop_expired(store: Store, now: float) -> None:
+    for name in [name for name, total in store.items() if total.expires_at_ms <= now]:
+        del store[name]
--- a/drumgw/testbed/endpoint.py
+++ b/drumgw/testbed/endpoint.py
@@ -1,6 +1,7 @@
-"""A stand-in worker: cores, a queue, a cold start and falling over, drains, and what can be wrong with it.
+"""An emulated endpoint: cores, a queue, a cold start that can be overloaded, draining, and its faults.
 
-No I/O: whoever carries submissions to it (a socket, or the virtual wire) hands in a Ticket and is told once.
+No I/O: whoever carries attempts to it (a socket server, or the virtual network) hands in a `ReceivedAttempt`
+and is called back once, unless the attempt was abandoned or its response is lost.
 """
 
 from __future__ import annotations
@@ -9,297 +10,357 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Literal
+from enum import Enum
+from typing import NamedTuple
 
-from drumgw.config.sections import RulesSection
-from drumgw.testbed.clocks import Handle, TestbedClock
+from drumgw.config.sections import RequestClassSection, RulesSection
+from drumgw.testbed.client_requests import ClientAttempt
+from drumgw.testbed.clocks import TestbedClock, TimerHandle
+from drumgw.testbed.deduplication import DeduplicationStore
 from drumgw.testbed.event_log import EventLog
-from drumgw.testbed.scenario import EndpointSection
+from drumgw.testbed.logged_events import (
+    AttemptAbandoned,
+    EndpointChanged,
+    EndpointFinished,
+    EndpointOutcome,
+    EndpointReceived,
+    EndpointState,
+    RequestExecuted,
+    ResponseLost,
+)
+from drumgw.testbed.scenario import IDEMPOTENT_WITH_KEY, EndpointSection
 
-if TYPE_CHECKING:
-    from drumgw.testbed.clients import ClientAttempt
+RECALL_MS = 0.1
+"""Time to answer a request whose idempotency key is remembered."""
+CHANCE_MULTIPLE = 3
+"""While warming up, so many times the last request's work more is borne, for chance."""
+SERVICE_TIME_SMOOTHING = 0.1
+"""Weight of the last request in the mean service time that load reports tell."""
 
-Says = Literal["settled", "error", "full", "reset", "spoilt"]
-Tell = Callable[["ReceivedAttempt", Says], None]
+
+class ReceivedState(Enum):
+    """Where an attempt stands in its endpoint."""
+
+    QUEUED = "queued"
+    RUNNING = "running"
+    OVER = "over"
+
+
+EndCallback = Callable[["ReceivedAttempt", EndpointOutcome], None]
 
 
 class ReceivedAttempt:
-    """One submission that came whole to a worker. Told once, unless it was given up or its answer is lost."""
+    """One attempt that reached an endpoint completely."""
 
-    __slots__ = ("number", "attempt_id", "client_attempt", "gateway", "on_end", "endpoint", "state", "timer")
+    __slots__ = ("receipt", "attempt_id", "client_attempt", "gateway", "on_end", "endpoint", "state", "timer")
 
-    def __init__(self, number: int, name: str, asked: ClientAttempt | None, gate: int, tell: Tell) -> None:
-        self.number, self.attempt_id, self.client_attempt, self.gateway, self.on_end = (
-            number,
-            name,
-            asked,
-            gate,
-            tell,
-        )
+    def __init__(
+        self,
+        receipt: int,
+        attempt_id: str,
+        client_attempt: ClientAttempt | None,
+        gateway: int,
+        on_end: EndCallback,
+    ) -> None:
+        self.receipt = receipt
+        self.attempt_id = attempt_id
+        self.client_attempt = client_attempt
+        """What the client sent; None where no client sent this."""
+        self.gateway = gateway
+        self.on_end = on_end
         self.endpoint: EmulatedEndpoint | None = None
-        self.state: Literal["queued", "running", "over"] = "queued"
-        self.timer: Handle | None = None
+        self.state = ReceivedState.QUEUED
+        self.timer: TimerHandle | None = None
 
 
 @dataclass
 class ActiveFaults:
-    """What is wrong with a worker now; troubles change it and put it back."""
+    """What is wrong with an endpoint now; faults change it and put it back."""
 
     slowdown: float = 1.0
-    failing_classes: set[str | None] = field(default_factory=set)  # products; none: all
-    is_silent: bool = False  # takes connections and says nothing
-    reset_share: float = 0.0  # share of submissions whose connection breaks
-    lost_share: float = 0.0  # share whose answer never comes, though they ran
+    failing_classes: set[str | None] = field(default_factory=set)
+    """Request classes that fail; None stands for all."""
+    is_silent: bool = False
+    """Takes connections and never answers."""
+    reset_share: float = 0.0
+    """Share of attempts whose connection is reset."""
+    lost_share: float = 0.0
+    """Share of attempts that run and whose response is never sent."""
     delay_ms: float = 0.0
+    """How much later responses are sent."""
     corrupt_share: float = 0.0
+    """Share of attempts that are answered with bytes that are no response."""
     max_connections: int | None = None
+    """In place of the endpoint's own limit."""
 
 
-class DeduplicationStore:
-    """Referenced txns that groups of workers remember; emptied by time."""
+class EndpointIdentity(NamedTuple):
+    """What tells one endpoint from others."""
 
-    def __init__(self, clock: TestbedClock) -> None:
-        self.clock, self.remembered_until = clock, dict[tuple[str, object], float]()
+    name: str
+    number: int
+    """Its position in the fleet; a replacement takes over the number under a new name."""
+    zone: str
+    cell: int
 
-    def is_repeat(self, name: str, group: object, for_ms: float) -> bool:
-        now = self.clock.now()
-        self.remembered_until = (
-            {k: until for k, until in self.remembered_until.items() if until > now}
-            if len(self.remembered_until) > 999
-            else self.remembered_until
-        )
-        known = self.remembered_until.get((name, group), 0.0) > now
-        if not known:
-            self.remembered_until[name, group] = now + for_ms
-        return known
 
-
-def nothing() -> None: ...
+def _no_hook() -> None:
+    """For endpoints without a machine of their own."""
 
 
 class EmulatedEndpoint:
+    """One endpoint."""
+
     def __init__(
         self,
-        name: str,
-        number: int,
-        zone: str,
-        cell: int,
-        born_ms: float | None,
-        kind: EndpointSection,
+        identity: EndpointIdentity,
+        started_at_ms: float | None,
+        section: EndpointSection,
         rules: RulesSection,
         clock: TestbedClock,
-        record: EventLog,
-        memory: DeduplicationStore,
-        chance: random.Random,
+        event_log: EventLog,
+        deduplication: DeduplicationStore,
+        random_stream: random.Random,
     ) -> None:
-        self.name, self.number, self.zone, self.cell, self.started_at_ms = name, number, zone, cell, born_ms
-        self.section, self.rules, self.clock, self.event_log, self.deduplication = (
-            kind,
-            rules,
-            clock,
-            record,
-            memory,
-        )
-        self.random, self.faults = chance, ActiveFaults()
-        self.speed = kind.speed * chance.uniform(1 - kind.speed_spread, 1 + kind.speed_spread)
-        self.is_up, self.is_draining = True, False
-        self.running: dict[int, ReceivedAttempt] = {}  # emptied as they end
-        self.queue: deque[ReceivedAttempt] = deque()  # bounded by the kind's queue
-        self.connections: dict[int, int] = {}  # connections by gatekeeper; emptied as they close
-        self.recent_work: deque[tuple[float, float]] = deque()  # work that came within the falling time
-        self.service_ms = 0.0
-        self.on_down: Callable[[], None] = nothing  # what its machine does then, where it is on sockets
-        self.on_up: Callable[[], None] = nothing
-        record.add(
-            clock.now(),
-            "worker",
-            worker=name,
-            state="starts",
-            zone=zone,
-            cell=cell,
-            cold=born_ms is not None,
-            cores=kind.cores,
-            speed=round(self.speed, 4),
-        )
+        self.identity = identity
+        self.started_at_ms = started_at_ms
+        """When it started cold; None for one that is warm from the beginning."""
+        self.section = section
+        self.faults = ActiveFaults()
+        self.is_up = True
+        self.is_draining = False
+        self.running: dict[int, ReceivedAttempt] = {}
+        """By receipt."""
+        self.queue: deque[ReceivedAttempt] = deque()
+        self.connections: dict[int, int] = {}
+        """Open connections by gateway."""
+        self.mean_service_ms = 0.0
+        self.on_down: Callable[[], None] = _no_hook
+        """What its machine does when the process dies."""
+        self.on_up: Callable[[], None] = _no_hook
+        self._rules = rules
+        self._clock = clock
+        self._event_log = event_log
+        self._deduplication = deduplication
+        self._random = random_stream
+        self._recent_work: deque[tuple[float, float]] = deque()
+        """Arrival time and work of what came within the overload window."""
+        self.speed = section.speed * random_stream.uniform(1 - section.speed_spread, 1 + section.speed_spread)
+        self._log_start(clock.now(), is_cold=started_at_ms is not None)
+
+    @property
+    def name(self) -> str:
+        """Its name on the endpoint list."""
+        return self.identity.name
+
+    @property
+    def number(self) -> int:
+        """Its position in the fleet."""
+        return self.identity.number
+
+    @property
+    def zone(self) -> str:
+        """The zone that it stands in."""
+        return self.identity.zone
+
+    @property
+    def cell(self) -> int:
+        """The cell that it belongs to."""
+        return self.identity.cell
 
     # Connections
 
-    def accept_connection(self, gate: int) -> bool:
-        """A new connection; the machine refuses it when it is down or holds as many as it can."""
-        most = (
-            self.faults.max_connections
-            if self.faults.max_connections is not None
-            else self.section.connections
-        )
-        if not self.is_up or sum(self.connections.values()) >= most:
+    def accept_connection(self, gateway: int) -> bool:
+        """Whether a new connection is taken: not while it is down or holds as many as it can."""
+        limit = self.faults.max_connections
+        if limit is None:
+            limit = self.section.connections
+        if not self.is_up or sum(self.connections.values()) >= limit:
             return False
-        self.connections[gate] = self.connections.get(gate, 0) + 1
+        self.connections[gateway] = self.connections.get(gateway, 0) + 1
         return True
 
-    def connection_closed(self, gate: int) -> None:
-        self.connections[gate] = self.connections.get(gate, 0) - 1
-        if self.connections[gate] <= 0:
-            del self.connections[gate]
+    def connection_closed(self, gateway: int) -> None:
+        """A connection of this gateway has ended."""
+        self.connections[gateway] = self.connections.get(gateway, 0) - 1
+        if self.connections[gateway] <= 0:
+            del self.connections[gateway]
 
-    # Submissions
+    # Attempts
 
-    def warm_up_fraction(self) -> float:
-        if self.started_at_ms is None:
-            return 1.0
-        age = (self.clock.now() - self.started_at_ms) / max(1.0, self.rules.cold_ms)
-        return min(1.0, self.rules.cold_from + (1 - self.rules.cold_from) * age)
-
-    def receive(self, ticket: ReceivedAttempt, first_ms: float | None = None) -> None:
-        """Its last byte is here. The work of what is turned away presses a cold worker too."""
-        now, asked = self.clock.now(), ticket.client_attempt
-        ticket.endpoint = self
-        work = asked.work_ms if asked else 0.0
-        self.log_received(ticket, now if first_ms is None else first_ms, work)
+    def receive(self, attempt: ReceivedAttempt, first_byte_ms: float | None = None) -> None:
+        """Takes an attempt whose last byte is here. Work that is rejected counts for an overload too."""
+        now = self._clock.now()
+        attempt.endpoint = self
+        work_ms = attempt.client_attempt.work_ms if attempt.client_attempt else 0.0
+        self.log_received(attempt, now if first_byte_ms is None else first_byte_ms, work_ms)
         if not self.is_up:
-            return self.end_attempt(ticket, "reset", ran=False)
-        if self.press(now, work):
-            return None
-        if self.faults.is_silent:
-            return None  # it may stay out until it is given up
-        if self.random.random() < self.faults.reset_share:
-            return self.begin(ticket, "reset")
-        if (
-            self.is_draining
-            or len(self.running) >= self.section.cores
-            and len(self.queue) >= self.section.queue
-        ):
-            return self.end_attempt(ticket, "full", ran=False)
-        if len(self.running) >= self.section.cores:
-            self.queue.append(ticket)
-            return None
-        return self.begin(ticket)
-
-    def log_received(self, ticket: ReceivedAttempt, first_ms: float, work: float = 0.0) -> None:
-        """It came whole, whatever becomes of it."""
-        self.event_log.add(
-            self.clock.now(),
-            "came",
-            txn=ticket.attempt_id,
-            ticket=ticket.number,
-            worker=self.name,
-            gate=ticket.gateway,
-            first=round(first_ms, 3),
-            work=round(work, 3),
+            self.end_attempt(attempt, EndpointOutcome.CONNECTION_RESET, has_run=False)
+        elif self._is_overloaded(now, work_ms):
+            self._event_log.add(EndpointChanged(now, self.name, EndpointState.OVERLOADED))
+            self.go_down(self.section.down_ms)
+        elif not self.faults.is_silent:
+            self._serve(attempt)
+
+    def log_received(self, attempt: ReceivedAttempt, first_byte_ms: float, work_ms: float = 0.0) -> None:
+        """Logs that an attempt came, whatever becomes of it."""
+        self._event_log.add(
+            EndpointReceived(
+                self._clock.now(),
+                attempt_id=attempt.attempt_id,
+                receipt=attempt.receipt,
+                endpoint=self.name,
+                gateway=attempt.gateway,
+                first_byte_ms=first_byte_ms,
+                work_ms=work_ms,
+            )
         )
 
-    def press(self, now: float, work: float) -> bool:
-        """True where a cold worker falls over: more came within the window than it can bear."""
-        warmth = self.warm_up_fraction()
-        if warmth >= 1.0:
-            return False
-        self.recent_work.append((now, work))
-        while self.recent_work[0][0] <= now - self.rules.fall_ms:
-            self.recent_work.popleft()
-        can = self.section.cores * self.speed * warmth * self.rules.fall_ms
-        if (
-            sum(w for _, w in self.recent_work) <= self.rules.fall_multiple * can + 3 * work
-        ):  # a little for chance
-            return False
-        self.event_log.add(now, "worker", worker=self.name, state="falls")
-        self.go_down(self.section.down_ms)
-        return True
-
-    def begin(self, ticket: ReceivedAttempt, ends: Says | None = None) -> None:
-        asked = ticket.client_attempt
-        assert asked is not None
-        ticket.state = "running"
-        self.running[ticket.number] = ticket
-        product = asked.request_class
-        took = asked.work_ms / self.speed / self.warm_up_fraction() * self.faults.slowdown
-        if product.repeat == "referenced":
-            group = {"all": None, "zone": self.zone, "cell": self.cell}[product.group]
-            if self.deduplication.is_repeat(asked.idempotency_key, group, product.remember_ms):
-                took = 0.1  # known by its reference: answered without running again
-            else:
-                self.event_log.add(
-                    self.clock.now(),
-                    "ran",
-                    txn=ticket.attempt_id,
-                    reference=asked.idempotency_key,
-                    worker=self.name,
-                )
-        self.service_ms += 0.1 * (took - self.service_ms)
-        ticket.timer = self.clock.call_at(
-            self.clock.now() + took, lambda: self.done(ticket, ends or self.says(asked))
+    def abandon(self, attempt: ReceivedAttempt) -> None:
+        """The gateway closed its connection: what runs goes on, what waits is dropped."""
+        if attempt.state is ReceivedState.OVER:
+            return
+        self._event_log.add(AttemptAbandoned(self._clock.now(), attempt.attempt_id, attempt.receipt))
+        if attempt.state is ReceivedState.QUEUED and attempt in self.queue:
+            self.queue.remove(attempt)
+        attempt.state = ReceivedState.OVER
+
+    def end_attempt(self, attempt: ReceivedAttempt, outcome: EndpointOutcome, has_run: bool) -> None:
+        """Ends an attempt and tells whoever carried it here; once only."""
+        if attempt.state is ReceivedState.OVER:
+            return
+        attempt.state = ReceivedState.OVER
+        self._event_log.add(
+            EndpointFinished(self._clock.now(), attempt.attempt_id, attempt.receipt, outcome, has_run)
         )
+        attempt.on_end(attempt, outcome)
 
-    def says(self, asked: ClientAttempt) -> Says:
-        if asked.request_class.name in self.faults.failing_classes or None in self.faults.failing_classes:
-            return "error"
-        return "spoilt" if self.random.random() < self.faults.corrupt_share else "settled"
+    def warm_up_fraction(self) -> float:
+        """Share of its full speed that it has by now."""
+        if self.started_at_ms is None:
+            return 1.0
+        initial = self._rules.cold_from
+        age = (self._clock.now() - self.started_at_ms) / max(1.0, self._rules.cold_ms)
+        return min(1.0, initial + (1 - initial) * age)
+
+    def _serve(self, attempt: ReceivedAttempt) -> None:
+        are_cores_busy = len(self.running) >= self.section.cores
+        is_queue_full = len(self.queue) >= self.section.queue
+        if self._random.random() < self.faults.reset_share:
+            self._run(attempt, EndpointOutcome.CONNECTION_RESET)
+        elif self.is_draining or (are_cores_busy and is_queue_full):
+            self.end_attempt(attempt, EndpointOutcome.REJECTED, has_run=False)
+        elif are_cores_busy:
+            self.queue.append(attempt)
+        else:
+            self._run(attempt)
 
-    def done(self, ticket: ReceivedAttempt, says: Says) -> None:
-        self.running.pop(ticket.number, None)
-        if self.faults.lost_share and self.random.random() < self.faults.lost_share:
-            self.event_log.add(self.clock.now(), "lost answer", txn=ticket.attempt_id, ticket=ticket.number)
+    def _is_overloaded(self, now: float, work_ms: float) -> bool:
+        """Whether more came within the overload window than it can bear while it warms up."""
+        warm_up_fraction = self.warm_up_fraction()
+        if warm_up_fraction >= 1.0:
+            return False
+        window_ms = self._rules.fall_ms
+        self._recent_work.append((now, work_ms))
+        while self._recent_work[0][0] <= now - window_ms:
+            self._recent_work.popleft()
+        capacity_ms = self.section.cores * self.speed * warm_up_fraction * window_ms
+        received_ms = sum(recent_ms for _, recent_ms in self._recent_work)
+        return received_ms > self._rules.fall_multiple * capacity_ms + CHANCE_MULTIPLE * work_ms
+
+    def _run(self, attempt: ReceivedAttempt, forced_outcome: EndpointOutcome | None = None) -> None:
+        client_attempt = attempt.client_attempt
+        assert client_attempt is not None
+        attempt.state = ReceivedState.RUNNING
+        self.running[attempt.receipt] = attempt
+        service_ms = self._service_ms(attempt, client_attempt)
+        self.mean_service_ms += SERVICE_TIME_SMOOTHING * (service_ms - self.mean_service_ms)
+
+        def finish() -> None:
+            self._finish(attempt, forced_outcome or self._draw_outcome(client_attempt))
+
+        attempt.timer = self._clock.call_at(self._clock.now() + service_ms, finish)
+
+    def _service_ms(self, attempt: ReceivedAttempt, client_attempt: ClientAttempt) -> float:
+        service_ms = client_attempt.work_ms / self.speed / self.warm_up_fraction() * self.faults.slowdown
+        request_class = client_attempt.request_class
+        if request_class.repeat != IDEMPOTENT_WITH_KEY:
+            return service_ms
+        key = client_attempt.idempotency_key
+        if self._deduplication.is_repeat(key, self._scope(request_class), request_class.remember_ms):
+            return RECALL_MS
+        self._event_log.add(RequestExecuted(self._clock.now(), attempt.attempt_id, key, self.name))
+        return service_ms
+
+    def _scope(self, request_class: RequestClassSection) -> object:
+        """What the endpoints that share its memory for this class have in common."""
+        return {"all": None, "zone": self.zone, "cell": self.cell}[request_class.group]
+
+    def _draw_outcome(self, client_attempt: ClientAttempt) -> EndpointOutcome:
+        failing = self.faults.failing_classes
+        if client_attempt.request_class.name in failing or None in failing:
+            return EndpointOutcome.FAILED
+        if self._random.random() < self.faults.corrupt_share:
+            return EndpointOutcome.CORRUPT_RESPONSE
+        return EndpointOutcome.SUCCEEDED
+
+    def _finish(self, attempt: ReceivedAttempt, outcome: EndpointOutcome) -> None:
+        """It has run: its response is sent now, later, or never."""
+        now = self._clock.now()
+        self.running.pop(attempt.receipt, None)
+        if self.faults.lost_share and self._random.random() < self.faults.lost_share:
+            self._event_log.add(ResponseLost(now, attempt.attempt_id, attempt.receipt))
         elif self.faults.delay_ms:
-            self.clock.call_at(
-                self.clock.now() + self.faults.delay_ms, lambda: self.end_attempt(ticket, says, ran=True)
+            self._clock.call_at(
+                now + self.faults.delay_ms, lambda: self.end_attempt(attempt, outcome, has_run=True)
             )
         else:
-            self.end_attempt(ticket, says, ran=True)
-        self.next()
-
-    def next(self) -> None:
+            self.end_attempt(attempt, outcome, has_run=True)
         while self.queue and len(self.running) < self.section.cores and self.is_up:
-            self.begin(self.queue.popleft())
-
-    def end_attempt(self, ticket: ReceivedAttempt, says: Says, ran: bool) -> None:
-        if ticket.state == "over":
-            return
-        ticket.state = "over"
-        self.event_log.add(
-            self.clock.now(), "ended", txn=ticket.attempt_id, ticket=ticket.number, how=says, ran=ran
-        )
-        ticket.on_end(ticket, says)
+            self._run(self.queue.popleft())
 
-    def abandon(self, ticket: ReceivedAttempt) -> None:
-        """Its connection was closed by the gatekeeper. What runs goes on; what waits is dropped."""
-        if ticket.state == "over":
-            return
-        self.event_log.add(self.clock.now(), "given up", txn=ticket.attempt_id, ticket=ticket.number)
-        if ticket.state == "queued" and ticket in self.queue:
-            self.queue.remove(ticket)
-        ticket.state = "over"
-
-    # The machine
-
-    def drop_all(self, ran: bool = True) -> None:
-        tickets = [*self.running.values(), *self.queue]
-        self.running.clear()
-        self.queue.clear()
-        for ticket in tickets:
-            if ticket.timer is not None:
-                ticket.timer.cancel()
-            self.end_attempt(ticket, "reset", ran=ran and ticket.state == "running")
+    # The process
 
-    def go_down(self, for_ms: float | None) -> None:
-        """Its process dies; it is back after a time, cold, or not at all."""
+    def go_down(self, duration_ms: float | None) -> None:
+        """The process dies; it starts again after this time, cold, or for None not by itself."""
         self.is_up = False
         self.connections.clear()
-        self.drop_all()
-        self.event_log.add(self.clock.now(), "worker", worker=self.name, state="down")
+        self._reset_attempts()
+        self._event_log.add(EndpointChanged(self._clock.now(), self.name, EndpointState.DOWN))
         self.on_down()
-        if for_ms is not None:
-            self.clock.call_at(self.clock.now() + for_ms, self.come_back)
+        if duration_ms is not None:
+            self._clock.call_at(self._clock.now() + duration_ms, self.come_back)
 
     def come_back(self) -> None:
-        self.is_up, self.is_draining, self.started_at_ms = True, False, self.clock.now()
-        self.recent_work.clear()
-        self.event_log.add(
-            self.started_at_ms,
-            "worker",
-            worker=self.name,
-            state="starts",
-            zone=self.zone,
-            cell=self.cell,
-            cold=True,
-            cores=self.section.cores,
-            speed=round(self.speed, 4),
-        )
+        """The process starts again, cold."""
+        now = self._clock.now()
+        self.is_up = True
+        self.is_draining = False
+        self.started_at_ms = now
+        self._recent_work.clear()
+        self._log_start(now, is_cold=True)
         self.on_up()
+
+    def _reset_attempts(self) -> None:
+        attempts = [*self.running.values(), *self.queue]
+        self.running.clear()
+        self.queue.clear()
+        for attempt in attempts:
+            if attempt.timer is not None:
+                attempt.timer.cancel()
+            has_run = attempt.state is ReceivedState.RUNNING
+            self.end_attempt(attempt, EndpointOutcome.CONNECTION_RESET, has_run)
+
+    def _log_start(self, now: float, is_cold: bool) -> None:
+        self._event_log.add(
+            EndpointChanged(
+                now,
+                self.name,
+                EndpointState.STARTED,
+                zone=self.zone,
+                cell=self.cell,
+                is_cold=is_cold,
+                cores=self.section.cores,
+                speed=round(self.speed, 4),
+            )
+        )
--- a/drumgw/testbed/endpoint_registry.py
+++ b/drumgw/testbed/endpoint_registry.py
@@ -1,135 +1,186 @@
-"""A stand-in discovery: one list of workers, told to each gatekeeper late, or not at all.
+"""Emulated discovery: one endpoint list, of which each gateway's agent hears late, or not at all.
 
-What a gatekeeper's agent has counts as told, from the first moment of a new process, read or not.
+What a gateway's agent has counts as known to the gateway, from the first moment of a new process, whether the
+gateway read it or not. Rows and updates have the names of the discovery protocol.
 """
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Iterable
+from functools import partial
+from typing import Any, NamedTuple
 
 from drumgw.testbed.clocks import TestbedClock
 from drumgw.testbed.event_log import EventLog
+from drumgw.testbed.logged_events import LIFECYCLE_REMOVED, LIFECYCLE_UP, EndpointAnnounced
 from drumgw.testbed.scenario import DiscoverySection
 
-KEPT = 200  # changes that are remembered; who is further behind gets the whole list
+MAX_CHANGES = 200
+"""Changes that are remembered; who is further behind gets the complete list."""
+RETRY_MS = 100.0
+"""How often an agent asks again while discovery is silent."""
+Row = dict[str, Any]
+Update = dict[str, Any]
+
+
+class _Change(NamedTuple):
+    """What one generation of the list changed."""
+
+    generation: int
+    name: str
+    row: Row
+
+
+class _Word(NamedTuple):
+    """What an agent has of one endpoint."""
+
+    lifecycle: str
+    started_at_ms: float
 
 
 class EmulatedDiscovery:
+    """The endpoint list and each gateway's view of it."""
+
     def __init__(
         self,
-        kind: DiscoverySection,
-        gatekeepers: int,
+        section: DiscoverySection,
+        gateway_count: int,
         clock: TestbedClock,
-        record: EventLog,
-        chance: random.Random,
+        event_log: EventLog,
+        random_stream: random.Random,
     ) -> None:
-        self.section, self.clock, self.event_log, self.random = kind, clock, record, chance
-        self.generation = 1
-        self.rows: dict[str, dict[str, Any]] = {}  # the list; emptied as workers go
-        self.removed_rows: dict[str, dict[str, Any]] = {}  # last rows of those that went; a day has few
-        self.changes: list[tuple[int, str, dict[str, Any]]] = []  # the last KEPT, and what each said
-        self.seen_generations = [1] * gatekeepers  # the generation that each one's agent has
-        self.known_states: list[dict[str, str]] = [{} for _ in range(gatekeepers)]  # what each was told
-        self.extra_delay_ms, self.is_silent = 0.0, False
-        self.watchers: list[Callable[[], None] | None] = [None] * gatekeepers  # a watch that is out
-
-    def put(self, name: str, zone: str, cell: int, born_ms: float | None, state: str = "up") -> None:
+        self.rows: dict[str, Row] = {}
+        """The list, by endpoint name."""
+        self.watchers: list[Callable[[], None] | None] = [None] * gateway_count
+        """By gateway: called once when its agent has an update."""
+        self.extra_delay_ms = 0.0
+        self.is_silent = False
+        self._section = section
+        self._clock = clock
+        self._event_log = event_log
+        self._random = random_stream
+        self._generation = 1
+        self._removed_rows: dict[str, Row] = {}
+        self._changes: list[_Change] = []
+        self._agent_generations = [1] * gateway_count
+        self._agent_words: list[dict[str, _Word]] = [{} for _ in range(gateway_count)]
+
+    def put(
+        self,
+        name: str,
+        zone: str,
+        cell: int,
+        started_at_ms: float | None,
+        lifecycle: str = LIFECYCLE_UP,
+    ) -> None:
+        """Adds an endpoint to the list, or replaces its row."""
         self.rows[name] = {
             "instanceId": name,
             "zone": zone,
             "machineType": "std",
             "cell": cell,
-            "lifecycle": state,
+            "lifecycle": lifecycle,
             "weight": 1.0,
-            "startedAtMs": round(born_ms or 0.0, 3),
+            "startedAtMs": round(started_at_ms or 0.0, 3),
         }
-        self.change(name)
-
-    def set_lifecycle(self, name: str, state: str) -> None:
-        if name in self.rows:
-            if state == "removed":
-                self.removed_rows[name] = {**self.rows.pop(name), "lifecycle": state}
-            else:
-                self.rows[name] = {**self.rows[name], "lifecycle": state}
-            self.change(name)
-
-    def change(self, name: str) -> None:
-        """Each agent hears of it after a time of its own."""
-        self.generation += 1
-        row = self.rows.get(name) or self.removed_rows[name]
-        self.changes = [*self.changes[1 - KEPT :], (self.generation, name, row)]
-        generation = self.generation
-        for gate in range(len(self.seen_generations)):
-            delay = (
-                self.section.delay_ms + self.extra_delay_ms + self.random.uniform(0, self.section.spread_ms)
-            )
-            self.clock.call_at(self.clock.now() + delay, lambda gate=gate: self.reach(gate, generation))  # type: ignore[misc]
-
-    def reach(self, gate: int, generation: int) -> None:
-        if self.is_silent:  # the agent asks again by itself
-            self.clock.call_at(self.clock.now() + 100.0, lambda: self.reach(gate, generation))
+        self._publish(name)
+
+    def set_lifecycle(self, name: str, lifecycle: str) -> None:
+        """Changes an endpoint's lifecycle; one that is removed leaves the list."""
+        if name not in self.rows:
             return
-        before, self.seen_generations[gate] = (
-            self.seen_generations[gate],
-            max(self.seen_generations[gate], generation),
-        )
-        self.note(
-            gate,
-            [row for g, _, row in self.changes if before < g <= self.seen_generations[gate]],
-            whole=False,
-        )
-        waiting, self.watchers[gate] = self.watchers[gate], None
-        if waiting is not None:
-            waiting()
-
-    def publish_initial_list(self) -> dict[str, Any]:
-        """The list as all have it when the day begins."""
-        self.seen_generations = [self.generation] * len(self.seen_generations)
-        return self.whole()
-
-    def whole(self) -> dict[str, Any]:
-        return {"generation": self.generation, "reset": True, "instances": list(self.rows.values())}
-
-    def updates_since(self, gate: int, since: int | None) -> dict[str, Any] | None:
-        """What a watch from that generation is answered; none while there is nothing newer."""
-        seen = self.seen_generations[gate]
-        if since is not None and seen <= since:
+        if lifecycle == LIFECYCLE_REMOVED:
+            self._removed_rows[name] = {**self.rows.pop(name), "lifecycle": lifecycle}
+        else:
+            self.rows[name] = {**self.rows[name], "lifecycle": lifecycle}
+        self._publish(name)
+
+    def publish_initial_list(self) -> Update:
+        """The list as all agents have it when the run begins."""
+        self._agent_generations = [self._generation] * len(self._agent_generations)
+        return _complete_list(self._generation, self.rows.values())
+
+    def updates_since(self, gateway: int, generation: int | None) -> Update | None:
+        """What a watch from this generation is answered; None while its agent has nothing newer."""
+        agent_generation = self._agent_generations[gateway]
+        if generation is not None and agent_generation <= generation:
             return None
-        oldest = self.changes[0][0] if self.changes else 0
-        if since is None or since < oldest - 1:
-            return {"generation": seen, "reset": True, "instances": self.had(gate)}
-        rows = {name: row for g, name, row in self.changes if since < g <= seen}
-        return {"generation": seen, "reset": False, "instances": list(rows.values())}
-
-    def had(self, gate: int) -> list[dict[str, Any]]:
-        """The whole list as its agent has it: what it has not got yet is undone."""
-        rows, late = dict(self.rows), set[str]()
-        for generation, name, row in reversed(self.changes):
-            if generation > self.seen_generations[gate]:
-                rows.pop(name, None)
-                late.add(name)
-            elif name in late:
-                late.discard(name)
-                if row["lifecycle"] != "removed":
-                    rows[name] = row
+        oldest = self._changes[0].generation if self._changes else 0
+        if generation is None or generation < oldest - 1:
+            return _complete_list(agent_generation, self._agent_rows(gateway))
+        rows = {
+            change.name: change.row
+            for change in self._changes
+            if generation < change.generation <= agent_generation
+        }
+        return {"generation": agent_generation, "reset": False, "instances": list(rows.values())}
+
+    def empty_update(self, gateway: int, generation: int | None) -> Update:
+        """What a watch from this generation is answered when nothing changed in its time."""
+        return {
+            "generation": generation or self._agent_generations[gateway],
+            "reset": False,
+            "instances": [],
+        }
+
+    def gateway_started(self, gateway: int) -> None:
+        """A new process: what its agent has binds it at once. Called after its start was logged."""
+        self._agent_words[gateway].clear()
+        self._announce(gateway, self._agent_rows(gateway), is_complete=True)
+
+    def _publish(self, name: str) -> None:
+        """A new generation of the list; each agent hears of it after a time of its own."""
+        self._generation += 1
+        generation = self._generation
+        row = self.rows.get(name) or self._removed_rows[name]
+        self._changes = [*self._changes[1 - MAX_CHANGES :], _Change(generation, name, row)]
+        for gateway in range(len(self._agent_generations)):
+            spread_ms = self._random.uniform(0, self._section.spread_ms)
+            delay_ms = self._section.delay_ms + self.extra_delay_ms + spread_ms
+            self._clock.call_at(self._clock.now() + delay_ms, partial(self._reach_agent, gateway, generation))
+
+    def _reach_agent(self, gateway: int, generation: int) -> None:
+        if self.is_silent:
+            self._clock.call_at(self._clock.now() + RETRY_MS, partial(self._reach_agent, gateway, generation))
+            return
+        before = self._agent_generations[gateway]
+        after = max(before, generation)
+        self._agent_generations[gateway] = after
+        rows = [change.row for change in self._changes if before < change.generation <= after]
+        self._announce(gateway, rows, is_complete=False)
+        watcher = self.watchers[gateway]
+        self.watchers[gateway] = None
+        if watcher is not None:
+            watcher()
+
+    def _agent_rows(self, gateway: int) -> list[Row]:
+        """The complete list as this gateway's agent has it: changes that it has not got are undone."""
+        rows = dict(self.rows)
+        undone: set[str] = set()
+        for change in reversed(self._changes):
+            if change.generation > self._agent_generations[gateway]:
+                rows.pop(change.name, None)
+                undone.add(change.name)
+            elif change.name in undone:
+                undone.discard(change.name)
+                if change.row["lifecycle"] != LIFECYCLE_REMOVED:
+                    rows[change.name] = change.row
         return list(rows.values())
 
-    def gateway_started(self, gate: int) -> None:
-        """A new process: what its agent has binds it at once. Call after its start was recorded."""
-        self.known_states[gate].clear()
-        self.note(gate, self.had(gate), whole=True)
-
-    def note(self, gate: int, rows: list[dict[str, Any]], whole: bool) -> None:
-        """Its agent has it: from now on that binds."""
-        states = {row["instanceId"]: (row["lifecycle"], row["startedAtMs"]) for row in rows}
-        knew = self.known_states[gate]
-        if whole:
-            states |= {name: ("removed", 0.0) for name in knew if name not in states}
-        for name, (state, born) in states.items():
-            if knew.get(name) != f"{state}/{born}":
-                knew[name] = f"{state}/{born}"
-                self.event_log.add(self.clock.now(), "told", gate=gate, worker=name, state=state, born=born)
-            if state == "removed":
-                knew.pop(name, None)
+    def _announce(self, gateway: int, rows: Iterable[Row], is_complete: bool) -> None:
+        """The agent has these rows: from now on they bind the gateway."""
+        words = {row["instanceId"]: _Word(row["lifecycle"], row["startedAtMs"]) for row in rows}
+        known = self._agent_words[gateway]
+        if is_complete:
+            words |= {name: _Word(LIFECYCLE_REMOVED, 0.0) for name in known if name not in words}
+        for name, word in words.items():
+            if known.get(name) != word:
+                known[name] = word
+                self._event_log.add(EndpointAnnounced(self._clock.now(), gateway, name, *word))
+            if word.lifecycle == LIFECYCLE_REMOVED:
+                known.pop(name, None)
+
+
+def _complete_list(generation: int, rows: Iterable[Row]) -> Update:
+    return {"generation": generation, "reset": True, "instances": list(rows)}
--- /dev/null
+++ b/drumgw/testbed/endpoint_rules.py
@@ -0,0 +1,156 @@
+"""The oracle's rules about endpoints, ceilings and the gateways' own processes."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+
+from drumgw.config.sections import RulesSection
+from drumgw.testbed.logged_events import (
+    LIFECYCLE_UP,
+    EndpointAnnounced,
+    EndpointChanged,
+    EndpointReceived,
+    EndpointState,
+    GatewayChanged,
+    GatewayState,
+)
+from drumgw.testbed.observations import Observations, RuleName, Violation
+
+CHANCE_MULTIPLE = 3
+"""A warming endpoint's budget allows so many times the last request's work more, for chance."""
+START_TOLERANCE_MS = 1
+"""By which an announced start may lie before the start that was observed."""
+UNITS_TOLERANCE = 1e-6
+
+
+def draining_rule(observations: Observations) -> Iterator[Violation]:
+    """Nothing new is sent to an endpoint after the grace time that follows word that it drains or is gone."""
+    grace_ms = observations.scenario.rules.drain_grace_ms + observations.slack_ms
+    announced: dict[tuple[int, str], EndpointAnnounced] = {}
+    for event in observations.events:
+        match event:
+            case EndpointAnnounced():
+                announced[event.gateway, event.endpoint] = event
+            case GatewayChanged(state=GatewayState.STARTED):
+                # A new process knows nothing of what the last one was told.
+                for key in [key for key in announced if key[0] == event.gateway]:
+                    del announced[key]
+            case EndpointReceived():
+                word = announced.get((event.gateway, event.endpoint))
+                if word is not None and word.lifecycle != LIFECYCLE_UP:
+                    after_ms = event.first_byte_ms - word.time_ms
+                    if event.first_byte_ms > word.time_ms + grace_ms:
+                        yield _draining_violation(event, word.lifecycle, after_ms)
+
+
+def _draining_violation(received: EndpointReceived, lifecycle: str, after_ms: float) -> Violation:
+    return Violation(
+        RuleName.DRAINING,
+        received.time_ms,
+        received.attempt_id,
+        (received.gateway,),
+        f"sent to {received.endpoint}, {lifecycle}, {after_ms:.0f} ms after that was announced",
+    )
+
+
+@dataclass(slots=True)
+class _WarmUp:
+    """An endpoint that started cold."""
+
+    started_at_ms: float
+    warm_work_per_ms: float
+    """Work that it can do in a millisecond once it is warm."""
+    recent: deque[EndpointReceived] = field(default_factory=deque)
+    """What it received within the overload window."""
+    informed_gateways: set[int] = field(default_factory=set)
+    """Gateways that were told of this start."""
+
+
+def warm_up_rule(observations: Observations) -> Iterator[Violation]:
+    """An endpoint that warms up is not sent more than a multiple of what it can do.
+
+    An overload counts only where two thirds of the work came from gateways that were told of the start.
+    """
+    warming: dict[str, _WarmUp] = {}
+    for event in observations.events:
+        match event:
+            case EndpointChanged(state=EndpointState.STARTED, is_cold=True, cores=int(cores), speed=speed):
+                warming[event.endpoint] = _WarmUp(event.time_ms, cores * (speed or 0.0))
+            case EndpointAnnounced(lifecycle="up") if event.endpoint in warming:
+                warm_up = warming[event.endpoint]
+                if event.started_at_ms >= warm_up.started_at_ms - START_TOLERANCE_MS:
+                    warm_up.informed_gateways.add(event.gateway)
+            case EndpointReceived() if event.endpoint in warming:
+                violation = _check_overload(event, warming[event.endpoint], observations.scenario.rules)
+                if violation is not None:
+                    yield violation
+                    del warming[event.endpoint]  # it is down; what comes after is another matter
+
+
+def _check_overload(received: EndpointReceived, warm_up: _WarmUp, rules: RulesSection) -> Violation | None:
+    age_ms = received.time_ms - warm_up.started_at_ms
+    warm_up_fraction = min(1.0, rules.cold_from + (1 - rules.cold_from) * age_ms / max(1.0, rules.cold_ms))
+    if warm_up_fraction >= 1.0:
+        return None
+    recent = warm_up.recent
+    recent.append(received)
+    while recent[0].time_ms <= received.time_ms - rules.fall_ms:
+        recent.popleft()
+    work_ms = sum(event.work_ms for event in recent)
+    capacity_ms = rules.fall_multiple * warm_up.warm_work_per_ms * warm_up_fraction * rules.fall_ms
+    if work_ms <= capacity_ms + CHANCE_MULTIPLE * received.work_ms:
+        return None
+    informed_work_ms = sum(event.work_ms for event in recent if event.gateway in warm_up.informed_gateways)
+    if informed_work_ms < 2 * work_ms / 3:
+        return None  # too much of it came from gateways that could not know
+    gateways = tuple(sorted({event.gateway for event in recent}))
+    description = f"{received.endpoint} was sent {work_ms:.0f} ms of work while warming up"
+    return Violation(RuleName.WARM_UP, received.time_ms, received.attempt_id, gateways, description)
+
+
+@dataclass(slots=True)
+class _CeilingAccount:
+    """What a customer may still send under its plan's ceiling."""
+
+    units: float
+    updated_at_ms: float
+
+
+def ceiling_rule(observations: Observations) -> Iterator[Violation]:
+    """What all gateways forward for a customer never passes its plan's ceiling by more than the slack.
+
+    Only the first forwarded attempt of each client's attempt counts.
+    """
+    accounts: dict[int, _CeilingAccount] = {}
+    counted: set[str] = set()
+    for event in observations.events:
+        if not isinstance(event, EndpointReceived) or event.attempt_id in counted:
+            continue
+        history = observations.attempts.get(event.attempt_id)
+        if history is None:
+            continue
+        counted.add(event.attempt_id)
+        sent = history.sent
+        plan = observations.plans[sent.plan]
+        if not plan.ceiling_per_s:
+            continue
+        units_per_ms = plan.ceiling_per_s / 1000.0
+        account = accounts.setdefault(sent.customer, _CeilingAccount(plan.ceiling_burst, event.time_ms))
+        refilled = account.units + units_per_ms * (event.time_ms - account.updated_at_ms)
+        account.units = min(plan.ceiling_burst, refilled) - sent.units
+        account.updated_at_ms = event.time_ms
+        slack_units = plan.ceiling_slack + units_per_ms * observations.ceiling_slack_ms + UNITS_TOLERANCE
+        if account.units < -slack_units:
+            description = f"customer {sent.customer} is {-account.units:.1f} units beyond its ceiling"
+            yield Violation(RuleName.CEILING, event.time_ms, event.attempt_id, (event.gateway,), description)
+
+
+def gateway_rule(observations: Observations) -> Iterator[Violation]:
+    """No gateway ends by itself, and each becomes ready."""
+    for gateway, changes in observations.gateway_changes.items():
+        for change in changes:
+            if change.state in (GatewayState.CRASHED, GatewayState.NEVER_READY):
+                description = f"the gateway {change.state}"
+                yield Violation(RuleName.GATEWAY, change.time_ms, "", (gateway,), description)
--- /dev/null
+++ b/drumgw/testbed/gateway_subprocess.py
@@ -0,0 +1,199 @@
+"""A real gateway process, started as in production, with its configuration file and its log."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import json
+import os
+import pathlib
+import random
+import signal
+import sys
+from dataclasses import dataclass
+from functools import partial
+from typing import Any
+
+from drumgw.testbed.background_tasks import BackgroundTasks
+from drumgw.testbed.clients import DRAIN_NOTICED_MS
+from drumgw.testbed.clocks import TestbedClock
+from drumgw.testbed.environment import Environment
+from drumgw.testbed.logged_events import GatewayChanged, GatewayState
+from drumgw.testbed.socket_network import HOST, SocketNetwork, free_port
+from drumgw.testbed.socket_servers import add_addresses
+
+GATEWAY_COMMAND = (sys.executable, "-O", "-m", "drumgw")
+READY_TIMEOUT_MS = 20_000.0
+"""Until a gateway takes clients; longer is a failed start."""
+READY_CHECK_TIMEOUT_S = 2.0
+READY_CHECK_INTERVAL_S = 0.05
+KILL_AFTER_MS = 1200.0
+"""From SIGTERM to SIGKILL, beyond the longest deadline."""
+PROCESS_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
+
+
+@dataclass
+class GatewaySurroundings:
+    """What the gateways of a run share."""
+
+    environment: Environment
+    clock: TestbedClock
+    network: SocketNetwork
+    tasks: BackgroundTasks
+    folder: pathlib.Path
+    """For configurations and logs."""
+    random: random.Random
+    """Source of the gateways' seeds."""
+    initial_list: dict[str, Any]
+    """The endpoint list that gateways know before they hear discovery."""
+
+
+class GatewaySubprocess:
+    """One gateway of the fleet, over the lives of its processes."""
+
+    def __init__(self, surroundings: GatewaySurroundings, number: int) -> None:
+        self.number = number
+        self.port = free_port()
+        self.process: asyncio.subprocess.Process | None = None
+        self.is_ready = False
+        self.is_end_expected = False
+        """The testbed ends the process, or will."""
+        self._surroundings = surroundings
+        self._environment = surroundings.environment
+        self._clock = surroundings.clock
+        self._discovery_address = ""
+        self._counter_address = ""
+
+    @property
+    def is_running(self) -> bool:
+        """Whether there is a process."""
+        return self.process is not None and self.process.returncode is None
+
+    async def open_services(self) -> None:
+        """Opens its addresses of discovery and counter; they count from the next configuration on."""
+        network = self._surroundings.network
+        self._discovery_address = await network.serve_discovery(self.number)
+        self._counter_address = await network.serve_counter(self.number)
+
+    def write_configuration(self) -> None:
+        """Writes the file that the process reads at its start and at SIGHUP."""
+        surroundings = self._surroundings
+        initial_list = surroundings.initial_list
+        rows = add_addresses(initial_list["instances"], self.number, surroundings.network.endpoint_address)
+        configuration = {
+            "name": f"n{self.number}",
+            "listen": f"{HOST}:{self.port}",
+            "discovery": self._discovery_address,
+            "counter": self._counter_address or None,
+            "seed": f"{surroundings.random.getrandbits(64):016x}",
+            "limits": PROCESS_LIMITS,
+            "known": {**initial_list, "instances": rows},
+            "settings": self._environment.gateway_settings(self.number),
+        }
+        new_path = self._configuration_path.with_suffix(".new")
+        new_path.write_text(json.dumps(configuration))
+        new_path.replace(self._configuration_path)
+
+    async def start(self) -> None:
+        """Starts a process and waits until it takes clients."""
+        self.write_configuration()
+        self.is_end_expected = False
+        self.is_ready = False
+        process = await self._create_process()
+        self.process = process
+        self._log_state(GatewayState.STARTED)
+        self._environment.discovery.gateway_started(self.number)
+        self._surroundings.tasks.spawn(self._watch(process))
+        self.is_ready = await self._wait_ready(process)
+        if self.is_ready:
+            self._environment.clients.set_in_rotation(self.number, True)
+        elif not self.is_end_expected:
+            self._log_state(GatewayState.NEVER_READY)
+
+    def send_signal(self, signal_number: int) -> None:
+        """Sends a signal, where there is a process."""
+        if self.process is not None and self.process.returncode is None:
+            self.process.send_signal(signal_number)
+
+    async def restart(self, signal_number: int) -> None:
+        """Ends the process by SIGTERM or SIGKILL, and starts another after the fleet's time."""
+        process = self.process
+        if process is None or process.returncode is not None or self.is_end_expected:
+            return
+        self.is_end_expected = True
+        is_killed = signal_number == signal.SIGKILL
+        fleet = self._environment.scenario.fleet
+        self._log_state(GatewayState.KILLED if is_killed else GatewayState.STOPPING)
+        self.send_signal(signal_number)
+        noticed_ms = fleet.front_notices_ms if is_killed else DRAIN_NOTICED_MS
+        self._clock.call_at(self._clock.now() + noticed_ms, partial(self._notice_end, process))
+        await self._wait_end(process)
+        if not is_killed:
+            self._log_state(GatewayState.ENDED, process.returncode)
+        await asyncio.sleep(fleet.restart_ms / 1000.0)
+        await self.start()
+
+    def kill_now(self) -> None:
+        """Kills the process, also where it is paused; no other is started."""
+        self.is_end_expected = True
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGKILL)
+
+    @property
+    def _configuration_path(self) -> pathlib.Path:
+        return self._surroundings.folder / f"n{self.number}.json"
+
+    async def _create_process(self) -> asyncio.subprocess.Process:
+        with open(self._surroundings.folder / f"n{self.number}.log", "ab") as log:
+            return await asyncio.create_subprocess_exec(
+                *GATEWAY_COMMAND,
+                env={**os.environ, "GW_CONFIG": str(self._configuration_path)},
+                stderr=log,
+                stdout=log,
+                stdin=asyncio.subprocess.DEVNULL,
+                start_new_session=True,
+            )
+
+    async def _wait_ready(self, process: asyncio.subprocess.Process) -> bool:
+        end_ms = self._clock.now() + READY_TIMEOUT_MS
+        while self._clock.now() < end_ms and process.returncode is None:
+            with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.TimeoutError):
+                if await self._answers_ready():
+                    return True
+            await asyncio.sleep(READY_CHECK_INTERVAL_S)
+        return False
+
+    async def _answers_ready(self) -> bool:
+        async with asyncio.timeout(READY_CHECK_TIMEOUT_S):
+            reader, writer = await asyncio.open_connection(HOST, self.port)
+            try:
+                writer.write(b"GET /health/ready HTTP/1.1\r\nHost: lab\r\n\r\n")
+                return b" 200 " in await reader.readline()
+            finally:
+                writer.close()
+
+    async def _watch(self, process: asyncio.subprocess.Process) -> None:
+        exit_code = await process.wait()
+        if not self.is_end_expected:
+            self._log_state(GatewayState.CRASHED, exit_code)
+            self._environment.clients.set_in_rotation(self.number, False)
+
+    async def _wait_end(self, process: asyncio.subprocess.Process) -> None:
+        """Waits until the process has ended; one that does not end in time is killed."""
+        timeout_ms = self._environment.scenario.longest_deadline_ms() + KILL_AFTER_MS
+        try:
+            async with asyncio.timeout(timeout_ms / 1000.0):
+                await process.wait()
+        except TimeoutError:
+            self.send_signal(signal.SIGKILL)
+            await process.wait()
+
+    def _notice_end(self, process: asyncio.subprocess.Process) -> None:
+        """The load balancer notices, unless another process has taken over by now."""
+        if self.process is process and (not self.is_ready or self.is_end_expected):
+            self._environment.clients.set_in_rotation(self.number, False)
+
+    def _log_state(self, state: GatewayState, exit_code: int | None = None) -> None:
+        self._environment.event_log.add(
+            GatewayChanged(self._clock.now(), self.number, state, exit_code=exit_code)
+        )
--- a/drumgw/testbed/plots.py
+++ b/drumgw/testbed/plots.py
@@ -1,4 +1,4 @@
-"""Plots of runs, as files: what was served over time, and how answer times spread."""
+"""Plots of runs, as files: results over time, and how evenly gateways and endpoints were used."""
 
 from __future__ import annotations
 
@@ -11,54 +11,83 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402
 
-ENDS = ("in time", "late", "declined", "voided", "unreached", "lost")
-COLOURS = ("#2a7f4f", "#c9a227", "#8a8a8a", "#b5442e", "#5b6fa8", "#000000")
-Figures = dict[str, Any]
+from drumgw.testbed.metrics import Figures  # noqa: E402
 
+RESULT_COLOURS = {
+    "in time": "#2a7f4f",
+    "late": "#c9a227",
+    "declined": "#8a8a8a",
+    "voided": "#b5442e",
+    "unreached": "#5b6fa8",
+    "lost": "#000000",
+}
+BAR_SHARE = 0.9
+"""Share of a window's width that its bar takes."""
 
-def over_time(runs: list[Figures], path: pathlib.Path, form: str) -> pathlib.Path:
-    """Orders of each window by what became of them, and the share of value served."""
+
+def plot_runs(runs: list[Figures], folder: str, file_format: str) -> list[pathlib.Path]:
+    """Draws all plots into a folder, which is made where it does not exist; returns their paths."""
+    path = pathlib.Path(folder)
+    path.mkdir(parents=True, exist_ok=True)
+    return [_plot_results(runs, path, file_format), _plot_balance(runs, path, file_format)]
+
+
+def _plot_results(runs: list[Figures], folder: pathlib.Path, file_format: str) -> pathlib.Path:
+    """Requests of each time window by their results, and the share of the value that was earned."""
     figure, (upper, lower) = pyplot.subplots(2, 1, sharex=True, figsize=(8, 6), layout="constrained")
-    windows = sorted({w for run in runs for w in run["by time"]})
-    at = [float(w.split()[0]) for w in windows]
-    wide = min((b - a for a, b in pairwise(at)), default=1.0)
-    base = [0.0] * len(at)
-    for end, colour in zip(ENDS, COLOURS, strict=True):
-        counts = [sum(run["by time"].get(w, {}).get(end, 0) for run in runs) / len(runs) for w in windows]
-        upper.bar(at, counts, bottom=base, width=0.9 * wide, align="edge", color=colour, label=end)
-        base = [b + c for b, c in zip(base, counts, strict=True)]
-    upper.set_ylabel("orders")
-    upper.legend(ncols=6, fontsize="small", loc="lower center", bbox_to_anchor=(0.5, 1.0))
+    windows = sorted({window for run in runs for window in run["by time"]})
+    starts_s = [float(window.split()[0]) for window in windows]
+    width_s = min((after - before for before, after in pairwise(starts_s)), default=1.0)
+    _stack_results(upper, runs, windows, starts_s, width_s)
     for run in runs:
-        served = [run["by time"].get(w, {}).get("served") for w in windows]
-        lower.plot([a + 0.45 * wide for a in at], served, marker=".", label=f"seed {run['seed']}")
+        served = [run["by time"].get(window, {}).get("served") for window in windows]
+        middles_s = [start_s + BAR_SHARE / 2 * width_s for start_s in starts_s]
+        lower.plot(middles_s, served, marker=".", label=f"seed {run['seed']}")
     lower.set_ylim(0, 1.02)
     lower.set_ylabel("value served")
-    lower.set_xlabel("seconds of the day")
+    lower.set_xlabel("seconds of the run")
     lower.legend(fontsize="small")
     figure.suptitle(f"{runs[0]['day']}, {runs[0]['clock']} clock")
-    return save(figure, path / f"over-time.{form}")
+    return _save(figure, folder / f"over-time.{file_format}")
+
 
+def _stack_results(
+    axis: Any, runs: list[Figures], windows: list[str], starts_s: list[float], width_s: float
+) -> None:
+    bottoms = [0.0] * len(windows)
+    for result, colour in RESULT_COLOURS.items():
+        counts = [
+            sum(run["by time"].get(window, {}).get(result, 0) for run in runs) / len(runs)
+            for window in windows
+        ]
+        axis.bar(
+            starts_s,
+            counts,
+            bottom=bottoms,
+            width=BAR_SHARE * width_s,
+            align="edge",
+            color=colour,
+            label=result,
+        )
+        bottoms = [bottom + count for bottom, count in zip(bottoms, counts, strict=True)]
+    axis.set_ylabel("requests")
+    axis.legend(ncols=6, fontsize="small", loc="lower center", bbox_to_anchor=(0.5, 1.0))
 
-def by_gatekeeper(runs: list[Figures], path: pathlib.Path, form: str) -> pathlib.Path:
-    """How evenly gatekeepers and workers were used."""
+
+def _plot_balance(runs: list[Figures], folder: pathlib.Path, file_format: str) -> pathlib.Path:
+    """How evenly gateways and endpoints were used."""
     figure, axes = pyplot.subplots(1, 2, figsize=(8, 3.5), layout="constrained")
-    for axis, name in zip(axes, ("by gatekeeper", "by worker"), strict=True):
+    labels = {"by gatekeeper": "gateways", "by worker": "endpoints"}
+    for axis, (part, label) in zip(axes, labels.items(), strict=True):
         for run in runs:
-            axis.plot(sorted(run[name].values()), marker=".", linestyle="none", label=f"seed {run['seed']}")
-        axis.set_xlabel(name[3:] + "s, least used first")
-        axis.set_ylabel("submissions")
+            axis.plot(sorted(run[part].values()), marker=".", linestyle="none", label=f"seed {run['seed']}")
+        axis.set_xlabel(f"{label}, least used first")
+        axis.set_ylabel("forwarded attempts")
         axis.set_ylim(bottom=0)
-    return save(figure, path / f"load.{form}")
+    return _save(figure, folder / f"load.{file_format}")
 
 
-def save(figure: Any, path: pathlib.Path) -> pathlib.Path:
+def _save(figure: Any, path: pathlib.Path) -> pathlib.Path:
     figure.savefig(path, metadata={"Date": None} if path.suffix == ".svg" else None)
     pyplot.close(figure)
     return path
-
-
-def plot(runs: list[Figures], folder: str, form: str) -> list[pathlib.Path]:
-    place = pathlib.Path(folder)
-    place.mkdir(parents=True, exist_ok=True)
-    return [over_time(runs, place, form), by_gatekeeper(runs, place, form)]
--- /dev/null
+++ b/drumgw/testbed/request_outcomes.py
@@ -0,0 +1,122 @@
+"""What became of each request of a run, and what it earned.
+
+Response times count from when the request should have been sent: what the testbed or a retry delayed is in
+them.
+"""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from dataclasses import dataclass
+from enum import StrEnum
+
+from drumgw.config.sections import RequestClassSection
+from drumgw.testbed.event_log import EventLog
+from drumgw.testbed.logged_events import (
+    REJECTION_STATUSES,
+    STATUS_SUCCEEDED,
+    AttemptSent,
+    ClientEvent,
+    ClientLeft,
+    ConnectFailed,
+    RequestCreated,
+    ResponseReceived,
+)
+from drumgw.testbed.scenario import Scenario
+
+
+class RequestResult(StrEnum):
+    """What became of a request, by the names that figures have."""
+
+    IN_TIME = "in time"
+    LATE = "late"
+    REJECTED = "declined"
+    FAILED = "voided"
+    UNREACHABLE = "unreached"
+    UNANSWERED = "lost"
+    CLIENT_LEFT = "left"
+
+
+@dataclass(frozen=True, slots=True)
+class RequestOutcome:
+    """One request and its result."""
+
+    request: RequestCreated
+    result: RequestResult
+    value: float
+    """What it earns when answered within the latency objective."""
+    earned: float
+    response_time_ms: float | None
+    """None unless it was served."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Result:
+    result: RequestResult
+    earned_share: float = 0.0
+    response_time_ms: float | None = None
+
+
+class RequestOutcomes:
+    """The requests of a run, with their responses and the gateways they were first sent to."""
+
+    def __init__(self, event_log: EventLog, scenario: Scenario) -> None:
+        self._request_classes = {section.name: section for section in scenario.product}
+        self._plans = {section.name: section for section in scenario.plan}
+        self._requests: dict[int, RequestCreated] = {}
+        self._request_by_attempt: dict[str, int] = {}
+        self._ends: dict[int, list[ResponseReceived | ClientEvent]] = defaultdict(list)
+        self.first_gateways: dict[int, int] = {}
+        """By request number."""
+        for event in event_log.events:
+            match event:
+                case RequestCreated():
+                    self._requests[event.request] = event
+                case AttemptSent():
+                    self._request_by_attempt[event.attempt_id] = event.request
+                    self.first_gateways.setdefault(event.request, event.gateway)
+                case ResponseReceived() | ClientEvent():
+                    request = self._request_by_attempt.get(event.attempt_id)
+                    if request is not None:
+                        self._ends[request].append(event)
+
+    @property
+    def request_count(self) -> int:
+        """Number of requests that clients wanted answered."""
+        return len(self._requests)
+
+    def all(self) -> list[RequestOutcome]:
+        """Each request's outcome, in the order of their numbers."""
+        return [self._outcome(request) for request in self._requests.values()]
+
+    def _outcome(self, request: RequestCreated) -> RequestOutcome:
+        request_class = self._request_classes[request.request_class]
+        value = request_class.value * self._plans[request.plan].price * request.units
+        result = self._result(request, request_class)
+        return RequestOutcome(
+            request, result.result, value, value * result.earned_share, result.response_time_ms
+        )
+
+    def _result(self, request: RequestCreated, request_class: RequestClassSection) -> _Result:
+        ends = self._ends[request.request]
+        for end in ends:
+            if isinstance(end, ResponseReceived) and end.status == STATUS_SUCCEEDED:
+                return _served(end.time_ms - request.intended_ms, request_class)
+        last = ends[-1] if ends else None
+        match last:
+            case ResponseReceived():
+                is_rejection = last.status in REJECTION_STATUSES
+                return _Result(RequestResult.REJECTED if is_rejection else RequestResult.FAILED)
+            case ClientLeft():
+                return _Result(RequestResult.CLIENT_LEFT)
+            case ConnectFailed():
+                return _Result(RequestResult.UNREACHABLE)
+        return _Result(RequestResult.UNANSWERED)
+
+
+def _served(response_time_ms: float, request_class: RequestClassSection) -> _Result:
+    if response_time_ms > request_class.expiry_ms:
+        return _Result(RequestResult.LATE, 0.0, response_time_ms)
+    if response_time_ms <= request_class.sla_ms:
+        return _Result(RequestResult.IN_TIME, 1.0, response_time_ms)
+    return _Result(RequestResult.LATE, request_class.late_value, response_time_ms)
--- a/drumgw/testbed/runner.py
+++ b/drumgw/testbed/runner.py
@@ -1,4 +1,4 @@
-"""Runs a day and leaves a folder: the day, the record, the figures, and on sockets the gatekeepers' logs."""
+"""Plays a scenario and leaves a folder: the scenario, the event log, the figures, and the gateways' logs."""
 
 from __future__ import annotations
 
@@ -7,48 +7,62 @@
 import pathlib
 import shutil
 import signal
-from typing import Any
 
-from drumgw.testbed.event_log import EventLog
-from drumgw.testbed.metrics import figures
+from drumgw.testbed.event_log import EventLog, RunHeader
+from drumgw.testbed.logged_events import ClockKind
+from drumgw.testbed.metrics import Figures, run_figures
+from drumgw.testbed.report import EVENT_LOG_FILE, SCENARIO_FILE
 from drumgw.testbed.scenario import Scenario, read_scenario
 
+FIGURES_FILE = "figures.json"
 
-class Stopped(Exception):
-    """Told to stop before the day was over."""
 
+class RunStoppedError(Exception):
+    """The run was stopped by a signal before its end."""
 
-def run_day(path: str, seed: int, folder: str, virtual: bool) -> dict[str, Any]:
-    day = read_scenario(path)  # checked before anything is made
-    place = pathlib.Path(folder)
-    place.mkdir(parents=True, exist_ok=True)
-    shutil.copyfile(path, place / "day.toml")
-    head = {"day": day.name, "seed": seed, "clock": "virtual" if virtual else "sockets"}
-    with open(place / "record.jsonl", "w", encoding="utf-8") as file:
-        record = EventLog(head, file)
-        play_virtual(day, seed, record) if virtual else play_sockets(day, seed, place, record)
-    found = figures(record, day)
-    (place / "figures.json").write_text(json.dumps(found, indent=1, sort_keys=True) + "\n")
-    return found
 
+def run_scenario(path: str, seed: int, folder: str, on_virtual_clock: bool) -> Figures:
+    """Plays a scenario file and returns the run's figures.
 
-def play_virtual(day: Scenario, seed: int, record: EventLog) -> None:
+    Raises:
+        FileError: where the scenario cannot be read; nothing is written then.
+        RunStoppedError: after SIGINT or SIGTERM.
+        CannotRunError: where the testbed could not play it.
+    """
+    scenario = read_scenario(path)
+    run_folder = pathlib.Path(folder)
+    run_folder.mkdir(parents=True, exist_ok=True)
+    shutil.copyfile(path, run_folder / SCENARIO_FILE)
+    header = RunHeader(scenario.name, seed, ClockKind.VIRTUAL if on_virtual_clock else ClockKind.SOCKETS)
+    with open(run_folder / EVENT_LOG_FILE, "w", encoding="utf-8") as file:
+        event_log = EventLog(header, file)
+        if on_virtual_clock:
+            _play_virtually(scenario, seed, event_log)
+        else:
+            _play_on_sockets(scenario, seed, run_folder, event_log)
+    figures = run_figures(event_log, scenario)
+    (run_folder / FIGURES_FILE).write_text(json.dumps(figures, indent=1, sort_keys=True) + "\n")
+    return figures
+
+
+def _play_virtually(scenario: Scenario, seed: int, event_log: EventLog) -> None:
     from drumgw.testbed.virtual_runner import VirtualRunner
 
-    VirtualRunner(day, seed, record=record).run()
+    VirtualRunner(scenario, seed, event_log=event_log).run()
 
 
-def play_sockets(day: Scenario, seed: int, place: pathlib.Path, record: EventLog) -> None:
+def _play_on_sockets(scenario: Scenario, seed: int, folder: pathlib.Path, event_log: EventLog) -> None:
     from drumgw.testbed.socket_runner import SocketRunner
 
     async def play() -> None:
-        task, loop = asyncio.current_task(), asyncio.get_running_loop()
+        task = asyncio.current_task()
         assert task is not None
-        for number in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(number, task.cancel)
+        loop = asyncio.get_running_loop()
+        for signal_number in (signal.SIGINT, signal.SIGTERM):
+            loop.add_signal_handler(signal_number, task.cancel)
         try:
-            await SocketRunner(day, seed, place, record).run()
-        except asyncio.CancelledError as told:
-            raise Stopped from told
+            await SocketRunner(scenario, seed, folder, event_log).run()
+        except asyncio.CancelledError as error:
+            raise RunStoppedError from error
 
     asyncio.run(play())
--- a/drumgw/testbed/socket_servers.py
+++ b/drumgw/testbed/socket_servers.py
@@ -1,170 +1,224 @@
-"""Stand-ins on sockets: each gatekeeper has addresses of its own for every party, so all know who asks."""
+"""Emulated parties on sockets: the server's side of a gateway's connections.
+
+Each gateway has addresses of its own for every party, so that a server knows which gateway calls.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import json
 import math
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
-from drumgw.testbed.endpoint import EmulatedEndpoint, ReceivedAttempt, Says
-from drumgw.testbed.http_wire import Messages, Turns, answer, headers
+from drumgw.testbed.clocks import TestbedClock
+from drumgw.testbed.counter import CounterStatus
+from drumgw.testbed.endpoint import EmulatedEndpoint, ReceivedAttempt, ReceivedState
+from drumgw.testbed.environment import Environment
+from drumgw.testbed.http_wire import MessageProtocol, OrderedReplies, format_response, parse_headers
+from drumgw.testbed.logged_events import EndpointOutcome
+
+CORRUPT_RESPONSE = b"\x00\x01spoilt\xff\r\n\r\n"
+MAX_WATCH_MS = 60_000.0
+MAX_COUNTER_AMOUNT = 1e9
+MAX_COUNTER_NAME = 64
+STATUS_OK = 200
+STATUS_BAD_REQUEST = 400
+STATUS_UNKNOWN_REQUEST = 404
+STATUS_FAILED = 500
+STATUS_REJECTED = 503
+
 
-if TYPE_CHECKING:
-    from drumgw.testbed.socket_runner import SocketRunner
+@dataclass
+class ServerContext:
+    """What the servers' connections need of the run."""
 
-NOISE = b"\x00\x01spoilt\xff\r\n\r\n"
+    environment: Environment
+    clock: TestbedClock
+    endpoint_address: Callable[[int, str], str]
+    """Address of an endpoint for a gateway."""
+    endpoint_connections: set[EndpointConnection] = field(default_factory=set)
+    """Open ones."""
 
 
-class Line(Messages):
-    """A gatekeeper's connection to a stand-in."""
+class ServerConnection(MessageProtocol):
+    """A gateway's connection to an emulated party."""
 
-    def __init__(self, lab: SocketRunner, gate: int) -> None:
+    def __init__(self, context: ServerContext, gateway: int) -> None:
         super().__init__()
-        self.lab, self.gate = lab, gate
+        self._context = context
+        self._environment = context.environment
+        self._gateway = gateway
 
-    def clock(self) -> float:
-        return self.lab.clock.now()
+    def now(self) -> float:
+        """The testbed's time, in milliseconds."""
+        return self._context.clock.now()
 
 
-class WorkerLine(Line):
-    """A connection to a worker; one submission at a time."""
+class EndpointConnection(ServerConnection):
+    """A connection to an endpoint; one attempt at a time."""
 
-    def __init__(self, lab: SocketRunner, worker: EmulatedEndpoint, gate: int) -> None:
-        super().__init__(lab, gate)
-        self.worker = worker
-        self.ticket: ReceivedAttempt | None = None
-        self.held = False
+    def __init__(self, context: ServerContext, endpoint: EmulatedEndpoint, gateway: int) -> None:
+        super().__init__(context, gateway)
+        self.endpoint = endpoint
+        self._attempt: ReceivedAttempt | None = None
+        self._is_accepted = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop."""
         super().connection_made(transport)
-        self.held = self.worker.accept_connection(self.gate)
-        self.lab.endpoint_connections.add(self)
+        self._is_accepted = self.endpoint.accept_connection(self._gateway)
+        self._context.endpoint_connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.lab.endpoint_connections.discard(self)
-        if self.held:
-            self.worker.connection_closed(self.gate)
-        if self.ticket is not None and self.ticket.state != "over":
-            self.worker.abandon(self.ticket)
-
-    def message(self, head: bytes, body: bytes, first_at: float) -> None:
-        world, name = self.lab.environment, headers(head).get("request-id", "")
-        if world.is_partitioned(self.gate, self.worker.zone):
+        """Called by the event loop."""
+        self._context.endpoint_connections.discard(self)
+        if self._is_accepted:
+            self.endpoint.connection_closed(self._gateway)
+        if self._attempt is not None and self._attempt.state is not ReceivedState.OVER:
+            self.endpoint.abandon(self._attempt)
+
+    def message_received(self, head: bytes, body: bytes, first_byte_ms: float) -> None:
+        """A gateway has sent an attempt; across a partition it is neither taken nor answered."""
+        if self._environment.is_partitioned(self._gateway, self.endpoint.zone):
             return
-        asked = world.clients.known_attempts.get(name)
-        self.ticket = ReceivedAttempt(world.next_attempt_number(), name, asked, self.gate, self.told)
-        if asked is None:
-            self.worker.log_received(self.ticket, first_at)
-            self.write(answer(400 if name else 404))
-        elif not self.held:
-            self.worker.log_received(self.ticket, first_at)
-            self.worker.end_attempt(self.ticket, "full", ran=False)
+        attempt_id = parse_headers(head).get("request-id", "")
+        client_attempt = self._environment.clients.known_attempts.get(attempt_id)
+        self._attempt = ReceivedAttempt(
+            self._environment.next_receipt(),
+            attempt_id,
+            client_attempt,
+            self._gateway,
+            self._attempt_ended,
+        )
+        if client_attempt is None:
+            self.endpoint.log_received(self._attempt, first_byte_ms)
+            self.write(format_response(STATUS_BAD_REQUEST if attempt_id else STATUS_UNKNOWN_REQUEST))
+        elif not self._is_accepted:
+            self.endpoint.log_received(self._attempt, first_byte_ms)
+            self.endpoint.end_attempt(self._attempt, EndpointOutcome.REJECTED, has_run=False)
         else:
-            self.worker.receive(self.ticket, first_at)
+            self.endpoint.receive(self._attempt, first_byte_ms)
 
-    def told(self, ticket: ReceivedAttempt, says: Says) -> None:
-        if self.lab.environment.is_partitioned(self.gate, self.worker.zone):
+    def _attempt_ended(self, attempt: ReceivedAttempt, outcome: EndpointOutcome) -> None:
+        if self._environment.is_partitioned(self._gateway, self.endpoint.zone):
             return
-        if says == "settled":
-            assert ticket.client_attempt is not None
-            self.write(
-                answer(
-                    200,
-                    ticket.attempt_id.encode(),
-                    Billed_Units=str(ticket.client_attempt.request.arrival.true_units),
-                    Server_Load=f"TEXT mean_ms={self.worker.service_ms:.1f}",
-                )
-            )
-        elif says == "full":
-            self.write(answer(503, Not_Started="1"))
-        elif says == "error":
-            self.write(answer(500))
-        elif says == "spoilt":
-            self.write(NOISE)
-        else:
-            self.abort()
+        match outcome:
+            case EndpointOutcome.SUCCEEDED:
+                self.write(self._success_response(attempt))
+            case EndpointOutcome.REJECTED:
+                self.write(format_response(STATUS_REJECTED, Not_Started="1"))
+            case EndpointOutcome.FAILED:
+                self.write(format_response(STATUS_FAILED))
+            case EndpointOutcome.CORRUPT_RESPONSE:
+                self.write(CORRUPT_RESPONSE)
+            case EndpointOutcome.CONNECTION_RESET:
+                self.abort()
+
+    def _success_response(self, attempt: ReceivedAttempt) -> bytes:
+        """Its body names the attempt that it was made for."""
+        assert attempt.client_attempt is not None
+        return format_response(
+            STATUS_OK,
+            attempt.attempt_id.encode(),
+            Billed_Units=str(attempt.client_attempt.request.arrival.true_units),
+            Server_Load=f"TEXT mean_ms={self.endpoint.mean_service_ms:.1f}",
+        )
+
+
+class CounterCall(NamedTuple):
+    """One call to the shared counter."""
 
+    name: str
+    amount: float
+    ttl_ms: float
 
-class CounterLine(Line):
-    """Calls may be written one behind another; answers come in their order."""
 
-    def __init__(self, lab: SocketRunner, gate: int) -> None:
-        super().__init__(lab, gate)
-        self.turns = Turns(self.write)
+class CounterConnection(ServerConnection):
+    """A connection to the counter; calls may be pipelined, replies come in their order."""
 
-    def message(self, head: bytes, body: bytes, first_at: float) -> None:
-        ready, counter = self.turns.take(), self.lab.environment.counter
-        called = read_call(head)
-        if called is None or counter is None:
-            ready(answer(400))
+    def __init__(self, context: ServerContext, gateway: int) -> None:
+        super().__init__(context, gateway)
+        self._replies = OrderedReplies(self.write)
+
+    def message_received(self, head: bytes, body: bytes, first_byte_ms: float) -> None:
+        """A gateway has called the counter."""
+        send_reply = self._replies.reserve()
+        counter = self._environment.counter
+        call = parse_counter_call(head)
+        if call is None or counter is None:
+            send_reply(format_response(STATUS_BAD_REQUEST))
             return
-        name, amount, lives = called
-        counter.call(
-            self.gate,
-            name,
-            amount,
-            lives,
-            lambda says, total: ready(
-                answer(200, f"{total:.7g}".encode()) if says == "added" else answer(503)
-            ),
-        )
 
+        def on_reply(status: CounterStatus, total: float) -> None:
+            if status is CounterStatus.ADDED:
+                send_reply(format_response(STATUS_OK, f"{total:.7g}".encode()))
+            else:
+                send_reply(format_response(STATUS_REJECTED))
 
-def read_call(head: bytes) -> tuple[str, float, float] | None:
+        counter.call(self._gateway, call.name, call.amount, call.ttl_ms, on_reply)
+
+
+def parse_counter_call(head: bytes) -> CounterCall | None:
+    """The call that a request's head makes; None where it is none."""
     method, target, _ = head.split(b"\r\n", 1)[0].decode("latin-1").split(" ", 2)
     url = urlsplit(target)
     query = parse_qs(url.query)
     try:
-        amount, lives = float(query["by"][0]), float(query["expire_ms"][0])
+        amount = float(query["by"][0])
+        ttl_ms = float(query["expire_ms"][0])
     except (KeyError, ValueError):
         return None
     name = url.path.removeprefix("/counters/")
-    fits = method == "POST" and url.path != name and 1 <= len(name) <= 64 and abs(amount) <= 1e9
-    return (name, amount, lives) if fits and math.isfinite(amount) and math.isfinite(lives) else None
+    is_counter_path = method == "POST" and url.path != name and 1 <= len(name) <= MAX_COUNTER_NAME
+    is_in_range = abs(amount) <= MAX_COUNTER_AMOUNT and math.isfinite(amount) and math.isfinite(ttl_ms)
+    return CounterCall(name, amount, ttl_ms) if is_counter_path and is_in_range else None
 
 
-class RegistryLine(Line):
-    """The agent: lists and watches."""
+class DiscoveryConnection(ServerConnection):
+    """A connection to a gateway's discovery agent: lists and watches. A silent agent answers nothing."""
 
-    def message(self, head: bytes, body: bytes, first_at: float) -> None:
+    def message_received(self, head: bytes, body: bytes, first_byte_ms: float) -> None:
+        """A gateway asks for the list, or watches for changes since a generation."""
         target = head.split(b" ", 2)[1].decode("latin-1")
         query = parse_qs(urlsplit(target).query)
-        since = int(query["since"][0]) if "since" in query else None
-        wait = float(query["timeout_ms"][0]) if "timeout_ms" in query else 0.0
-        registry = self.lab.environment.discovery
-        if registry.is_silent:
-            return  # the agent says nothing while discovery is down
-        told = registry.updates_since(self.gate, since)
-        if told is not None:
-            self.tell(told)
+        generation = int(query["since"][0]) if "since" in query else None
+        timeout_ms = float(query["timeout_ms"][0]) if "timeout_ms" in query else 0.0
+        discovery = self._environment.discovery
+        if discovery.is_silent:
+            return
+        update = discovery.updates_since(self._gateway, generation)
+        if update is not None:
+            self._send(update)
             return
-        timer = self.lab.clock.call_at(self.clock() + min(wait, 60000.0), lambda: self.wake(since))
+        timer = self._context.clock.call_at(
+            self.now() + min(timeout_ms, MAX_WATCH_MS), lambda: self._end_watch(generation)
+        )
 
-        def woken() -> None:
+        def changed() -> None:
             timer.cancel()
-            self.wake(since)
-
-        registry.watchers[self.gate] = woken
-
-    def wake(self, since: int | None) -> None:
-        registry = self.lab.environment.discovery
-        registry.watchers[self.gate] = None
-        if not registry.is_silent:
-            self.tell(
-                registry.updates_since(self.gate, since)
-                or {
-                    "generation": since or registry.seen_generations[self.gate],
-                    "reset": False,
-                    "instances": [],
-                }
-            )
-
-    def tell(self, told: dict[str, Any]) -> None:
-        if self.transport is not None and not self.transport.is_closing():
-            rows = [
-                {**row, "hostPort": self.lab.address(self.gate, row["instanceId"])}
-                for row in told["instances"]
-            ]
-            self.write(answer(200, json.dumps({**told, "instances": rows}).encode()))
+            self._end_watch(generation)
+
+        discovery.watchers[self._gateway] = changed
+
+    def _end_watch(self, generation: int | None) -> None:
+        discovery = self._environment.discovery
+        discovery.watchers[self._gateway] = None
+        if not discovery.is_silent:
+            update = discovery.updates_since(self._gateway, generation)
+            self._send(update or discovery.empty_update(self._gateway, generation))
+
+    def _send(self, update: dict[str, Any]) -> None:
+        if self.transport is None or self.transport.is_closing():
+            return
+        rows = add_addresses(update["instances"], self._gateway, self._context.endpoint_address)
+        self.write(format_response(STATUS_OK, json.dumps({**update, "instances": rows}).encode()))
+
+
+def add_addresses(
+    rows: list[dict[str, Any]], gateway: int, endpoint_address: Callable[[int, str], str]
+) -> list[dict[str, Any]]:
+    """Discovery's rows with the addresses that a gateway reaches the endpoints at."""
+    return [{**row, "hostPort": endpoint_address(gateway, row["instanceId"])} for row in rows]
--- /dev/null
+++ b/drumgw/testbed/virtual_gateway.py
@@ -0,0 +1,297 @@
+"""A gateway on the virtual clock: the request lifecycle and the policy engine, without their I/O.
+
+What surrounds them on sockets (client connections, the connection pool, the discovery and counter clients) is
+emulated as far as it decides nothing.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+from typing import Any
+
+from drumgw.gateway.clock import STALL_THRESHOLD_MS
+from drumgw.gateway.commands import (
+    AbortAttempt,
+    Command,
+    ReportFault,
+    ScheduleDeadline,
+    SendResponse,
+    StartAttempt,
+)
+from drumgw.gateway.discovery import MAX_POLL_INTERVAL_MS
+from drumgw.gateway.endpoint_list_reader import STATUS_BY_LIFECYCLE, endpoint_id_of
+from drumgw.gateway.request_lifecycle import PolicyEngineProtocol, RequestLifecycle
+from drumgw.model.actions import AddToCounter, LogMessage, SetTimer
+from drumgw.model.events import EndpointInfo, EndpointStatus, EndpointsUpdated, Outcome, RequestReceived
+from drumgw.model.settings import GatewaySettings
+from drumgw.model.settings_reader import read_settings
+from drumgw.testbed.client_requests import ClientAttempt
+from drumgw.testbed.clocks import TimerHandle
+from drumgw.testbed.counter import CounterStatus
+from drumgw.testbed.endpoint import EmulatedEndpoint
+from drumgw.testbed.environment import Environment
+from drumgw.testbed.logged_events import EngineFailed, GatewayLogged
+from drumgw.testbed.virtual_endpoint_client import AttemptKey, VirtualEndpointClient
+
+EngineFactory = Callable[[int, GatewaySettings], PolicyEngineProtocol]
+"""Makes a policy engine from a seed and its settings."""
+
+
+class VirtualGateway:
+    """One gateway process, from its start to its end."""
+
+    def __init__(
+        self, environment: Environment, number: int, seed: int, engine_factory: EngineFactory
+    ) -> None:
+        self.environment = environment
+        self.clock = environment.clock
+        self.number = number
+        self.is_alive = True
+        self.is_stopping = False
+        self.list_generation: int | None = None
+        """Of the endpoint list; None before the agent was heard."""
+        settings, self._names = read_settings(environment.gateway_settings(number))
+        self.lifecycle = RequestLifecycle(engine_factory(seed, settings), settings)
+        self.client_attempts: dict[int, ClientAttempt] = {}
+        """By request id: what clients wait for."""
+        self.request_ids: dict[str, int] = {}
+        """The same, by the client's attempt."""
+        self._endpoint_client = VirtualEndpointClient(environment, self)
+        self._listed: dict[int, EmulatedEndpoint] = {}
+        """By endpoint id: endpoints of the list."""
+        self._not_ready_ids: set[int] = set()
+        """Endpoints that drain or were removed."""
+        self._paused_until_ms = 0.0
+        self.execute(self.lifecycle.start(self.clock.now(), EndpointsUpdated(True, ())))
+
+    # Time
+
+    def call_at(self, at_ms: float, callback: Callable[[], None]) -> TimerHandle:
+        """Calls back at this time, later where the gateway is paused then."""
+        return self.clock.call_at(at_ms, partial(self.run_unless_paused, callback))
+
+    def call_after(self, delay_ms: float, callback: Callable[[], None]) -> TimerHandle:
+        """Calls back after this time, later where the gateway is paused then."""
+        return self.call_at(self.clock.now() + delay_ms, callback)
+
+    def run_unless_paused(self, callback: Callable[[], None]) -> None:
+        """Calls back now, or as soon as the gateway is not paused any more; never once it has ended."""
+        if self._paused_until_ms > self.clock.now():
+            self.clock.call_at(self._paused_until_ms, partial(self.run_unless_paused, callback))
+        elif self.is_alive:
+            callback()
+
+    def pause(self, duration_ms: float) -> None:
+        """What reaches the gateway in this time waits until its end."""
+        self._paused_until_ms = self.clock.now() + duration_ms
+        self.lifecycle.stalled_ms += duration_ms
+
+    # Discovery
+
+    def watch(self) -> None:
+        """Reads what the agent has and watches for more; a silent agent is asked again."""
+        if not self.is_alive:
+            return
+        discovery = self.environment.discovery
+        if discovery.is_silent:
+            self.call_after(MAX_POLL_INTERVAL_MS, self.watch)
+            return
+        self.read_update()
+        discovery.watchers[self.number] = partial(self.run_unless_paused, self.watch)
+
+    def read_update(self) -> None:
+        """Applies what the agent has; done before anything is written to an endpoint, too."""
+        discovery = self.environment.discovery
+        if discovery.is_silent:
+            return
+        update = discovery.updates_since(self.number, self.list_generation)
+        if update is not None:
+            endpoints = self.apply_update(update)
+            self.execute(self.lifecycle.endpoints_updated(self.clock.now(), endpoints))
+
+    def apply_update(self, update: dict[str, Any]) -> EndpointsUpdated:
+        """Takes over an update of the endpoint list, and returns the engine's event for it."""
+        endpoints: list[EndpointInfo] = []
+        for row in update["instances"]:
+            info = self._read_row(row)
+            endpoints.append(info)
+            if info.status is EndpointStatus.READY:
+                self._listed[info.endpoint_id] = self.environment.endpoints[row["instanceId"]]
+                self._not_ready_ids.discard(info.endpoint_id)
+            elif info.endpoint_id in self._listed:
+                self._stop_sending_to(info.endpoint_id, is_removed=info.status is EndpointStatus.REMOVED)
+        if update["reset"]:
+            for endpoint_id in set(self._listed) - {info.endpoint_id for info in endpoints}:
+                self._stop_sending_to(endpoint_id, is_removed=True)
+        self.list_generation = update["generation"]
+        return EndpointsUpdated(update["reset"], tuple(endpoints))
+
+    def _read_row(self, row: dict[str, Any]) -> EndpointInfo:
+        return EndpointInfo(
+            endpoint_id=endpoint_id_of(row["instanceId"]),
+            zone=self._names.zone_index(row["zone"]),
+            cell=row["cell"],
+            machine_type=row["machineType"],
+            status=STATUS_BY_LIFECYCLE[row["lifecycle"]],
+            started_at_ms=row["startedAtMs"] or None,
+            weight=row["weight"],
+        )
+
+    def _stop_sending_to(self, endpoint_id: int, is_removed: bool) -> None:
+        self._not_ready_ids.add(endpoint_id)
+        self._endpoint_client.stop_sending_to(self._listed[endpoint_id])
+        if is_removed:
+            del self._listed[endpoint_id]
+
+    # Commands of the request lifecycle
+
+    def execute(self, commands: list[Command]) -> None:
+        """Carries the lifecycle's commands out, in their order."""
+        for command in commands:
+            match command:
+                case StartAttempt():
+                    self._forward(command)
+                case AbortAttempt():
+                    self._endpoint_client.abort(AttemptKey(command.request_id, command.attempt))
+                case SendResponse():
+                    self.respond(command)
+                case ScheduleDeadline():
+                    self.call_at(command.at_ms, partial(self._deadline_reached, command))
+                case SetTimer():
+                    self.call_after(command.delay_ms, partial(self._timer_fired, command.timer_id))
+                case AddToCounter():
+                    self._call_counter(command)
+                case ReportFault():
+                    self.environment.event_log.add(
+                        EngineFailed(self.clock.now(), self.number, repr(command.error))
+                    )
+                case LogMessage():
+                    self.environment.event_log.add(GatewayLogged(self.clock.now(), self.number, command.text))
+
+    def _deadline_reached(self, deadline: ScheduleDeadline) -> None:
+        self.execute(self.lifecycle.deadline_reached(self.clock.now(), deadline.request_id, deadline.attempt))
+
+    def _timer_fired(self, timer_id: int) -> None:
+        self.execute(self.lifecycle.timer_fired(self.clock.now(), timer_id))
+
+    # Clients
+
+    def receive(self, attempt: ClientAttempt) -> None:
+        """A client's request is read; late, where the gateway was paused."""
+        now = self.clock.now()
+        arrival = attempt.request.arrival
+        customer = arrival.customer
+        unread_ms = now - attempt.sent_at_ms
+        request = RequestReceived(
+            request_id=0,
+            time_left_ms=attempt.time_left_ms,
+            plan=self._names.plans[customer.plan.name],
+            customer=customer.number,
+            request_class=self._names.request_classes[arrival.request_class.name],
+            units=float(arrival.units),
+            is_client_retry=False,
+            gateway_count=len(customer.gateways),
+            first_gateway=customer.gateways[0],
+        )
+        request_id = self.lifecycle.received_count + 1
+        self.client_attempts[request_id] = attempt
+        self.request_ids[attempt.attempt_id] = request_id
+        waited_ms = unread_ms if unread_ms > STALL_THRESHOLD_MS else 0.0
+        _, commands = self.lifecycle.request_received(now, request, waited_ms)
+        self.execute(commands)
+
+    def client_disconnected(self, attempt: ClientAttempt) -> None:
+        """The client has closed its connection."""
+        request_id = self.request_ids.pop(attempt.attempt_id, None)
+        if request_id is not None:
+            self.client_attempts.pop(request_id, None)
+            self.execute(self.lifecycle.client_disconnected(self.clock.now(), request_id))
+
+    def respond(self, response: SendResponse) -> None:
+        """Sends a response to the client that waits for it."""
+        attempt = self.client_attempts.pop(response.request_id, None)
+        if attempt is None:
+            return
+        self.request_ids.pop(attempt.attempt_id, None)
+        self.clock.call_at(
+            self.clock.now() + self.environment.scenario.fleet.client_ms,
+            partial(
+                self.environment.clients.response_received,
+                attempt,
+                response.status,
+                response.response or "",
+                response.retry_after_ms,
+            ),
+        )
+
+    def client_attempt(self, request_id: int) -> ClientAttempt | None:
+        """What the client sent; None where it has been answered or has gone."""
+        return self.client_attempts.get(request_id)
+
+    # Endpoints
+
+    def _forward(self, command: StartAttempt) -> None:
+        key = AttemptKey(command.request_id, command.attempt)
+        endpoint = self._listed.get(command.endpoint_id)
+        if endpoint is None or command.endpoint_id in self._not_ready_ids:
+            self.call_after(0.0, partial(self.attempt_ended, key, Outcome.NOT_SENT))
+        else:
+            self._endpoint_client.forward(key, endpoint)
+
+    def attempt_ended(
+        self, key: AttemptKey, outcome: Outcome, billed_units: float = 0.0, made_for: str = ""
+    ) -> None:
+        """An attempt has ended by itself."""
+        self._endpoint_client.forget(key)
+        self.execute(
+            self.lifecycle.attempt_ended(
+                self.clock.now(), key.request_id, key.attempt, outcome, billed_units, {}, made_for
+            )
+        )
+
+    # The shared counter
+
+    def _call_counter(self, command: AddToCounter) -> None:
+        """Calls the counter; its reply or the timeout counts, whichever comes first."""
+        counter = self.environment.counter
+        section = self.environment.scenario.counter
+        assert counter is not None
+        assert section is not None
+        one_way_ms = section.one_way_ms
+        called_ms = self.clock.now()
+        is_finished = False
+
+        def finish(outcome: Outcome, total: float) -> None:
+            nonlocal is_finished
+            if is_finished:
+                return
+            is_finished = True
+            now = self.clock.now()
+            self.execute(
+                self.lifecycle.counter_replied(now, command.counter_key, outcome, total, now - called_ms)
+            )
+
+        def reply(status: CounterStatus, total: float) -> None:
+            outcome = Outcome.SUCCEEDED if status is CounterStatus.ADDED else Outcome.REJECTED
+            self.call_after(one_way_ms, partial(finish, outcome, total))
+
+        def reach_counter() -> None:
+            counter.call(self.number, str(command.counter_key), command.amount, command.ttl_ms, reply)
+
+        self.clock.call_at(called_ms + one_way_ms, reach_counter)
+        timeout_ms = self.environment.scenario.allowed.counter_wait_ms
+        self.call_after(timeout_ms, partial(finish, Outcome.TIMED_OUT, 0.0))
+
+    # Its end
+
+    def stop(self) -> None:
+        """The process has ended, or was killed: its connections are reset."""
+        self.is_alive = False
+        self._endpoint_client.abort_all()
+        for endpoint in self.environment.endpoints.values():
+            endpoint.connections.pop(self.number, None)
+        self.environment.discovery.watchers[self.number] = None
+        closed_ms = self.clock.now() + self.environment.scenario.fleet.client_ms
+        for attempt in list(self.client_attempts.values()):
+            self.clock.call_at(closed_ms, partial(self.environment.clients.connection_closed, attempt))
--- a/drumgw/testbed/workload.py
+++ b/drumgw/testbed/workload.py
@@ -1,4 +1,8 @@
-"""What a day asks, drawn ahead from its seed: customers, and arrivals that wait for no answer."""
+"""What clients ask in a scenario, drawn ahead from its seed.
+
+Arrivals come at their times whatever was answered before (open-loop load): a slow gateway does not slow the
+load down.
+"""
 
 from __future__ import annotations
 
@@ -8,94 +12,137 @@
 from typing import NamedTuple
 
 from drumgw.config.sections import PlanSection, RequestClassSection
-from drumgw.testbed.scenario import CustomersSection, Scenario
+from drumgw.testbed.scenario import CustomersSection, FaultKind, Scenario, WorkSection
+
+MIN_WORK_MS = 0.1
 
 
 class Customer(NamedTuple):
+    """One customer, its plan and how its requests come in."""
+
     number: int
     plan: PlanSection
-    gateways: tuple[int, ...]  # its set, in a row
-    weights: tuple[float, ...]  # how its txns are dealt among them
+    gateways: tuple[int, ...]
+    """The gateways that its requests come in through; consecutive numbers."""
+    weights: tuple[float, ...]
+    """How its requests are dealt among them."""
     requests_per_s: float
 
 
 class Arrival(NamedTuple):
-    at_ms: float  # from the day's start
+    """A request that a client wants answered."""
+
+    at_ms: float
+    """Since the load began."""
     number: int
     customer: Customer
     request_class: RequestClassSection
     units: int
+    """Estimated cost, as the client states it."""
     true_units: int
     work_ms: float
+    """Processor time that it costs an endpoint of speed 1."""
+
+
+class _ArrivalTime(NamedTuple):
+    """An arrival of one customer, before its content is drawn."""
+
+    at_s: float
+    customer_number: int
+    customer: Customer
+    random: random.Random
 
 
 class Workload:
-    def __init__(self, day: Scenario, seed: int) -> None:
-        self.scenario, self.seed = day, seed
-        self.request_classes = {p.name: p for p in day.product}
-        self.plans = {p.name: p for p in day.plan}
-        self.customers = [c for group in day.customers for c in self.group(group)]
-
-    def random_stream(self, *what: object) -> random.Random:
-        """A stream of its own for each use, so that one more draw in one changes no other."""
-        return random.Random("/".join(map(str, (self.seed, *what))))
-
-    def group(self, group: CustomersSection) -> Iterator[Customer]:
-        plan, gatekeepers = self.plans[group.plan], self.scenario.fleet.gatekeepers
-        for k in range(group.number):
-            chance = self.random_stream("customer", group.plan, k)
-            number, first = chance.randrange(2**33), chance.randrange(gatekeepers)
-            gates = tuple((first + i) % gatekeepers for i in range(group.gatekeepers))
-            use = group.use * (group.heavy_x if chance.random() < group.heavy else 1.0)
+    """The customers of a scenario and their arrivals."""
+
+    def __init__(self, scenario: Scenario, seed: int) -> None:
+        self._scenario = scenario
+        self._seed = seed
+        self._request_classes = {section.name: section for section in scenario.product}
+        self._plans = {section.name: section for section in scenario.plan}
+        self.customers = [customer for group in scenario.customers for customer in self._draw_group(group)]
+
+    def random_stream(self, *use: object) -> random.Random:
+        """A random source for one use: one more draw from it changes no other."""
+        return random.Random("/".join(map(str, (self._seed, *use))))
+
+    def arrivals(self) -> Iterator[Arrival]:
+        """All arrivals in the order of their times; never all in memory at once."""
+        peak_factor = self._peak_factor()
+        streams = [self._arrival_times(customer, peak_factor) for customer in self.customers]
+        merged = heapq.merge(*streams, key=lambda time: (time.at_s, time.customer_number))
+        for number, time in enumerate(merged):
+            yield self._draw_arrival(time, number)
+
+    def _draw_group(self, group: CustomersSection) -> Iterator[Customer]:
+        plan = self._plans[group.plan]
+        fleet_size = self._scenario.fleet.gatekeepers
+        for index in range(group.number):
+            stream = self.random_stream("customer", group.plan, index)
+            number = stream.randrange(2**33)
+            first_gateway = stream.randrange(fleet_size)
+            gateways = tuple((first_gateway + offset) % fleet_size for offset in range(group.gatekeepers))
+            is_heavy = stream.random() < group.heavy
+            quota_share = group.use * (group.heavy_x if is_heavy else 1.0)
             yield Customer(
-                number,
-                plan,
-                gates,
-                tuple(chance.uniform(0.3, 1.0) for _ in gates),
-                plan.units_per_s * use / self.scenario.mean_units(),
+                number=number,
+                plan=plan,
+                gateways=gateways,
+                weights=tuple(stream.uniform(0.3, 1.0) for _ in gateways),
+                requests_per_s=plan.units_per_s * quota_share / self._scenario.mean_units(),
             )
 
-    def factor(self, at_s: float) -> float:
+    def _load_factor(self, at_s: float) -> float:
         """How much more is asked at this moment than the customers' own rates say."""
-        now = 1.0
-        for step in self.scenario.load:
+        factor = 1.0
+        for step in self._scenario.load:
             if step.at_s <= at_s:
-                now = step.factor
-        for t in self.scenario.trouble:
-            if t.kind == "rush" and t.at_s <= at_s < t.at_s + t.for_s:
-                now *= t.size or 0.0
-        return now
-
-    def most(self) -> float:
-        """No moment asks more than this many times the customers' own rates."""
-        edges = [0.0, *(s.at_s for s in self.scenario.load)]
-        for t in self.scenario.trouble:
-            if t.kind == "rush":
-                edges += [t.at_s, t.at_s + t.for_s]
-        return max(self.factor(edge) for edge in edges)
-
-    def arrivals(self) -> Iterator[Arrival]:
-        """In the order of their times; never all at once in memory."""
-        most = self.most()
-        streams = [self.of(c, most) for c in self.customers]
-        for order, (at_s, _, c, chance) in enumerate(heapq.merge(*streams, key=lambda x: x[:2])):
-            yield self.fill(at_s, order, c, chance)
-
-    def of(self, c: Customer, most: float) -> Iterator[tuple[float, int, Customer, random.Random]]:
-        chance, at_s, rate = self.random_stream("arrivals", c.number), 0.0, c.requests_per_s * most
-        while rate > 0 and (at_s := at_s + chance.expovariate(rate)) < self.scenario.seconds:
-            if chance.random() * most < self.factor(at_s):
-                yield at_s, c.number, c, chance
-
-    def fill(self, at_s: float, order: int, c: Customer, chance: random.Random) -> Arrival:
-        work = chance.choices(self.scenario.work, [w.share for w in self.scenario.work])[0]
-        units = chance.randint(1, int(self.scenario.allowed.most_units))
-        true = max(
-            1, round(units * chance.uniform(1 - self.scenario.units_spread, 1 + self.scenario.units_spread))
-        )
-        cost = work.mean_ms
-        if work.spread:
-            cost = chance.gammavariate(work.spread**-2, work.mean_ms * work.spread**2)
+                factor = step.factor
+        for fault in self._scenario.trouble:
+            if fault.kind is FaultKind.LOAD_SURGE and fault.at_s <= at_s < fault.at_s + fault.for_s:
+                factor *= fault.size or 0.0
+        return factor
+
+    def _peak_factor(self) -> float:
+        """The largest load factor of the scenario."""
+        change_times = [0.0, *(step.at_s for step in self._scenario.load)]
+        for fault in self._scenario.trouble:
+            if fault.kind is FaultKind.LOAD_SURGE:
+                change_times += [fault.at_s, fault.at_s + fault.for_s]
+        return max(self._load_factor(at_s) for at_s in change_times)
+
+    def _arrival_times(self, customer: Customer, peak_factor: float) -> Iterator[_ArrivalTime]:
+        """A Poisson process at the peak rate, thinned to the rate of each moment."""
+        stream = self.random_stream("arrivals", customer.number)
+        peak_rate = customer.requests_per_s * peak_factor
+        if peak_rate <= 0:
+            return
+        at_s = stream.expovariate(peak_rate)
+        while at_s < self._scenario.seconds:
+            if stream.random() * peak_factor < self._load_factor(at_s):
+                yield _ArrivalTime(at_s, customer.number, customer, stream)
+            at_s += stream.expovariate(peak_rate)
+
+    def _draw_arrival(self, time: _ArrivalTime, number: int) -> Arrival:
+        stream = time.random
+        kinds = self._scenario.work
+        work = stream.choices(kinds, [kind.share for kind in kinds])[0]
+        units = stream.randint(1, int(self._scenario.allowed.most_units))
+        spread = self._scenario.units_spread
+        true_units = max(1, round(units * stream.uniform(1 - spread, 1 + spread)))
         return Arrival(
-            at_s * 1000.0, order, c, self.request_classes[work.product], units, true, max(0.1, cost)
+            at_ms=time.at_s * 1000.0,
+            number=number,
+            customer=time.customer,
+            request_class=self._request_classes[work.product],
+            units=units,
+            true_units=true_units,
+            work_ms=max(MIN_WORK_MS, _draw_work_ms(work, stream)),
         )
+
+
+def _draw_work_ms(work: WorkSection, stream: random.Random) -> float:
+    if not work.spread:
+        return work.mean_ms
+    return stream.gammavariate(work.spread**-2, work.mean_ms * work.spread**2)
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -15,11 +15,14 @@
 from drumgw.policy.request_flow import RequestFlow
 from drumgw.policy.request_state import PendingRequest, RequestInput, RequestState
 from drumgw.testbed.event_log import EventLog
-from drumgw.testbed.oracle import Violation, find_violations
+from drumgw.testbed.observations import Violation
+from drumgw.testbed.oracle import find_violations
 from drumgw.testbed.scenario import Scenario, read_scenario
-from drumgw.testbed.virtual_runner import VirtualGateway, VirtualRunner
+from drumgw.testbed.virtual_endpoint_client import AttemptKey
+from drumgw.testbed.virtual_gateway import VirtualGateway
+from drumgw.testbed.virtual_runner import VirtualRunner
 
-HEAD = """
+SCENARIO_TEMPLATE = """
 version = 1
 name = "short"
 seconds = {seconds}
@@ -91,7 +94,7 @@
 number = 6
 use = {use}
 """
-PLAIN: dict[str, Any] = {
+DEFAULT_VALUES: dict[str, Any] = {
     "seconds": 3,
     "gatekeepers": 3,
     "workers": 6,
@@ -104,11 +107,11 @@
 }
 
 
-def day(*troubles: str, **figures: Any) -> Scenario:
-    """Each trouble: its keys as TOML, in one line."""
-    text = HEAD.format(**{**PLAIN, **figures})
-    for trouble in troubles:
-        text += "[[trouble]]\n" + trouble.replace("; ", "\n") + "\n"
+def make_scenario(*faults: str, **values: Any) -> Scenario:
+    """A short scenario; each fault is given by its keys as TOML, in one line."""
+    text = SCENARIO_TEMPLATE.format(**{**DEFAULT_VALUES, **values})
+    for fault in faults:
+        text += "[[trouble]]\n" + fault.replace("; ", "\n") + "\n"
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(text)
         file.flush()
@@ -116,16 +119,21 @@
 
 
 def play(
-    of: Scenario, seed: int = 1, engine: Any = PolicyEngine, gate: type[VirtualGateway] = VirtualGateway
+    scenario: Scenario,
+    seed: int = 1,
+    engine: Any = PolicyEngine,
+    gateway: type[VirtualGateway] = VirtualGateway,
 ) -> tuple[EventLog, list[Violation]]:
-    class Broken(VirtualRunner):
-        gateway_class = gate
+    """Plays a scenario on the virtual clock; returns its event log and the rules that were broken."""
 
-    record = Broken(of, seed, engine).run()
-    return record, find_violations(record, of)
+    class Runner(VirtualRunner):
+        gateway_class = gateway
 
+    event_log = Runner(scenario, seed, engine).run()
+    return event_log, find_violations(event_log, scenario)
 
-# Gatekeepers that break one rule each
+
+# Gateways that break one rule each
 
 
 class RetryAnything(RequestFlow):
@@ -198,45 +206,55 @@
     request_flow_class = RejectAlways
 
 
-class Deaf(VirtualGateway):
-    """Takes draining workers for ready ones."""
+class IgnoresDraining(VirtualGateway):
+    """Takes draining endpoints for ready ones."""
 
-    def apply_update(self, told: dict[str, Any]) -> EndpointsUpdated:
-        rows = [{**row, "lifecycle": "up"} for row in told["instances"]]
-        return super().apply_update({**told, "instances": rows, "reset": False})
+    def apply_update(self, update: dict[str, Any]) -> EndpointsUpdated:
+        """Every row of the update says that its endpoint is up, and none is missing."""
+        rows = [{**row, "lifecycle": "up"} for row in update["instances"]]
+        return super().apply_update({**update, "instances": rows, "reset": False})
 
 
-class Eager(VirtualGateway):
-    """Goes by the list of the day's beginning for its first second, as a start without its agent's word."""
+class DoesNotWaitForDiscovery(VirtualGateway):
+    """Goes by the list of the run's beginning in its first second, as if its agent had not spoken yet."""
 
-    def __init__(self, runner: VirtualRunner, number: int, seed: int) -> None:
-        super().__init__(runner, number, seed)
-        self.eager_until = self.clock.now() + 1000.0
-        first = [row for row in self.environment.discovery.rows.values() if not row["startedAtMs"]]
-        rows = [{**row, "lifecycle": "up"} for row in first]
-        told = {"generation": 0, "reset": True, "instances": rows}
-        self.execute(self.lifecycle.endpoints_updated(self.clock.now(), self.apply_update(told)))
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
+        self.ignore_until_ms = self.clock.now() + 1000.0
+        rows = self.environment.discovery.rows.values()
+        first_rows = [{**row, "lifecycle": "up"} for row in rows if not row["startedAtMs"]]
+        endpoints = self.apply_update({"generation": 0, "reset": True, "instances": first_rows})
+        self.execute(self.lifecycle.endpoints_updated(self.clock.now(), endpoints))
 
     def read_update(self) -> None:
-        if self.clock.now() >= self.eager_until:
+        """Reads nothing in the first second."""
+        if self.clock.now() >= self.ignore_until_ms:
             super().read_update()
 
 
-class Loser(VirtualGateway):
-    """Forgets to answer now and then."""
+class ForgetsResponses(VirtualGateway):
+    """Answers nineteen of twenty requests."""
 
-    def respond(self, reply: SendResponse) -> None:
-        if reply.request_id % 20:
-            super().respond(reply)
+    def respond(self, response: SendResponse) -> None:
+        """Drops the response of every twentieth request."""
+        if response.request_id % 20:
+            super().respond(response)
         else:
-            self.request_ids.pop(self.client_attempts.pop(reply.request_id).attempt_id)
+            attempt = self.client_attempts.pop(response.request_id)
+            self.request_ids.pop(attempt.attempt_id)
 
 
-class Mixer(VirtualGateway):
-    """Serves a client with the answer made for another."""
+class MixesResponses(VirtualGateway):
+    """Serves a client with the response made for another."""
 
-    last = ""
+    last_made_for = ""
 
-    def attempt_ended(self, key: tuple[int, int], end: Outcome, units: float = 0.0, mark: str = "") -> None:
-        mark, self.last = (self.last or mark, mark) if end is Outcome.SUCCEEDED else (mark, self.last)
-        super().attempt_ended(key, end, units, mark)
+    def attempt_ended(
+        self, key: AttemptKey, outcome: Outcome, billed_units: float = 0.0, made_for: str = ""
+    ) -> None:
+        """Passes on the response before."""
+        if outcome is Outcome.SUCCEEDED:
+            previous = self.last_made_for or made_for
+            self.last_made_for = made_for
+            made_for = previous
+        super().attempt_ended(key, outcome, billed_units, made_for)
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -10,7 +10,7 @@
 
 from drumgw.testbed.scenario import read_scenario
 from tests.command_line_harness import EXAMPLES, GATEWAY_FILE, CommandLineCase
-from tests.scenarios import HEAD, PLAIN
+from tests.scenarios import DEFAULT_VALUES, SCENARIO_TEMPLATE
 
 
 class Commands(CommandLineCase):
@@ -68,7 +68,7 @@
         return result.output
 
     def test_an_impossible_scenario_is_refused_before_anything_starts(self) -> None:
-        text = HEAD.format(**PLAIN)
+        text = SCENARIO_TEMPLATE.format(**DEFAULT_VALUES)
         fault = '\n[[trouble]]\nkind = "{}"\nat_s = 1\n{}\n'
         for bad, line in (
             ("", "empty"),
@@ -80,14 +80,14 @@
             (text + fault.format("zone lost", 'zone = "q"\nfor_s = 1'), "no such zone 'q'"),
             (text + fault.format("crash", "worker = 6\nfor_s = 1"), "numbered 0 to 5"),
             (text + fault.format("marvel", ""), "trouble[1].kind: expected"),
-            (text + fault.format("kill", "part = 1").replace("at_s = 1", "at_s = 9"), "after the day's"),
+            (text + fault.format("kill", "part = 1").replace("at_s = 1", "at_s = 9"), "after the scenario's"),
             (text.replace("number = 20", "number = 900000\nuse = 2"), "more than 2000000"),
             (text.replace('plan = "flagship"', 'plan = "gold"'), "no such plan 'gold'"),
         ):
             self.assertIn(line, self.rejection(bad))
 
     def test_runs_are_reported_beside_each_other_and_drawn(self) -> None:
-        path = self.write_file(HEAD.format(**PLAIN))
+        path = self.write_file(SCENARIO_TEMPLATE.format(**DEFAULT_VALUES))
         for seed in ("1", "2"):
             out = str(self.folder / seed)
             result = self.drumgw("lab", "run", path, "--virtual", "--seed", seed, "--out", out)
@@ -106,19 +106,19 @@
 
     def test_a_broken_rule_or_a_cut_event_log_is_exit_code_1(self) -> None:
         """A run's event log has no end, or lacks an answer: no figure of it may be taken for a good run's."""
-        path = self.write_file(HEAD.format(**PLAIN))
+        path = self.write_file(SCENARIO_TEMPLATE.format(**DEFAULT_VALUES))
         out = self.folder / "out"
         event_log = out / "record.jsonl"
         self.drumgw("lab", "run", path, "--virtual", "--out", str(out))
         rows = event_log.read_text().splitlines(keepends=True)
         event_log.write_text("".join(row for row in rows if '"what":"ends"' not in row))
         output = self.drumgw("lab", "report", str(out)).output
-        self.assertIn("INVALID (seed 1): the record has no end", output)
+        self.assertIn("INVALID (seed 1): the event log has no end", output)
         answered = next(position for position, row in enumerate(rows) if '"what":"answered"' in row)
         event_log.write_text("".join(rows[:answered] + rows[answered + 1 :]))
         result = self.drumgw("lab", "report", str(out))
         self.assertEqual(result.exit_code, 1)
-        self.assertRegex(result.output, r"BROKEN \(seed 1\): lost at .*still open when the day ended")
+        self.assertRegex(result.output, r"BROKEN \(seed 1\): lost at .*still open when the run ended")
         event_log.write_text("{}\n")
         self.assertEqual(self.drumgw("lab", "report", str(out)).exit_code, 2)
 
--- a/tests/test_lab_on_sockets.py
+++ b/tests/test_lab_on_sockets.py
@@ -13,10 +13,19 @@
 from typing import Any
 
 from drumgw.testbed.event_log import read_event_log
+from drumgw.testbed.logged_events import (
+    AttemptSent,
+    ClientGaveUp,
+    ConnectFailed,
+    ConnectionClosed,
+    GatewayChanged,
+    GatewayState,
+    ResponseReceived,
+)
 from drumgw.testbed.oracle import find_violations
 from drumgw.testbed.socket_runner import SocketRunner
 from tests.command_line_harness import CommandLineCase
-from tests.scenarios import HEAD, PLAIN, day
+from tests.scenarios import DEFAULT_VALUES, SCENARIO_TEMPLATE, make_scenario
 
 
 class LabOnSockets(CommandLineCase):
@@ -26,7 +35,7 @@
         Every request ends, and each gateway process is ended. What depends on the machine's speed (lateness)
         is not asserted.
         """
-        scenario = day(
+        scenario = make_scenario(
             'kind = "restart"; at_s = 0.5; part = 0.5',
             'kind = "list moves"; at_s = 0.7',
             'kind = "kill"; at_s = 2.5; part = 1',
@@ -47,22 +56,23 @@
         violations = find_violations(event_log, scenario)
         kinds = {violation.rule for violation in violations}
         self.assertLessEqual(kinds, {"lost"}, [str(violation) for violation in violations])
-        rows = event_log.rows
-        answered = {row["txn"] for row in rows if row["what"] == "answered" and row["status"] == 200}
-        asked = {row["txn"] for row in rows if row["what"] == "asked"}
-        ended = {row["txn"] for row in rows if row["what"] in ("answered", "closed", "unreached", "weary")}
-        self.assertTrue(answered)
-        self.assertEqual(asked - ended, set())
-        states = [row["state"] for row in rows if row["what"] == "gate"]
-        self.assertEqual({"starts", "told to end", "ended", "killed"} - set(states), set())
-        self.assertEqual([row for row in rows if row["what"] == "gate" and row.get("code")], [])
+        responses = [event for event in event_log.events if isinstance(event, ResponseReceived)]
+        self.assertTrue(any(response.status == 200 for response in responses))
+        sent = {event.attempt_id for event in event_log.events if isinstance(event, AttemptSent)}
+        end_types = ResponseReceived | ConnectionClosed | ConnectFailed | ClientGaveUp
+        ended = {event.attempt_id for event in event_log.events if isinstance(event, end_types)}
+        self.assertEqual(sent - ended, set())
+        changes = [event for event in event_log.events if isinstance(event, GatewayChanged)]
+        expected = {GatewayState.STARTED, GatewayState.STOPPING, GatewayState.ENDED, GatewayState.KILLED}
+        self.assertEqual(expected - {change.state for change in changes}, set())
+        self.assertEqual([change for change in changes if change.exit_code], [])
 
     def test_a_stopped_run_leaves_no_process_behind(self) -> None:
         """Somebody stops a long run with Ctrl-C.
 
         It ends with 130, no gateway listens any more, and the event log has what was seen until then.
         """
-        path = self.write_file(HEAD.format(**{**PLAIN, "seconds": 600}))
+        path = self.write_file(SCENARIO_TEMPLATE.format(**{**DEFAULT_VALUES, "seconds": 600}))
         out = self.folder / "out"
         event_log = out / "record.jsonl"
         process = subprocess.Popen(
@@ -79,22 +89,22 @@
         self.assertIn("no gateway was left behind", process.stderr.read())
         process.stderr.close()
         self.assertEqual(process.wait(), 130)
-        for n in range(PLAIN["gatekeepers"]):
+        for n in range(DEFAULT_VALUES["gatekeepers"]):
             host, _, port = json.loads((out / f"n{n}.json").read_text())["listen"].partition(":")
             with socket.socket() as probe, self.assertRaises(ConnectionRefusedError):
                 probe.connect((host, int(port)))
-        self.assertTrue(read_event_log(str(event_log)).rows)
+        self.assertTrue(read_event_log(str(event_log)).events)
 
     def test_a_gateway_that_never_gets_ready_ends_the_run(self) -> None:
         """The gateway's program ends at once on this machine.
 
         That says nothing of how gateways serve: the exit code is 3, with a line on where to look.
         """
-        path = self.write_file(HEAD.format(**PLAIN))
+        path = self.write_file(SCENARIO_TEMPLATE.format(**DEFAULT_VALUES))
         out = self.folder / "out"
         script = (
-            "import sys; from drumgw.testbed import socket_runner;"
-            "socket_runner.RUN = (sys.executable, '-c', 'raise SystemExit(2)');"
+            "import sys; from drumgw.testbed import gateway_subprocess;"
+            "gateway_subprocess.GATEWAY_COMMAND = (sys.executable, '-c', 'raise SystemExit(2)');"
             "from drumgw.cli.__main__ import main; main()"
         )
         result = subprocess.run(
--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -19,9 +19,9 @@
 from drumgw.policy.engine import PolicyEngine
 from drumgw.policy.quota_account import IDLE_ACCOUNT_MS
 from drumgw.stable_hash import stable_hash
-from drumgw.testbed.metrics import sent_while_lost
+from drumgw.testbed.quota_usage import usage_in_outages
 from tests.customer_gateways import CUSTOMER, MAX_REQUEST_UNITS, CustomerGateways
-from tests.scenarios import Passer, day, play
+from tests.scenarios import Passer, make_scenario, play
 
 
 class TrustingCounterSync(CounterSync):
@@ -213,10 +213,11 @@
         """
         for kind in ("silent", "refuses"):
             fault = f'kind = "counter {kind}"; at_s = 1; for_s = 3'
-            scenario = day(fault, seconds=5, use=2.0, units_spread=0)
+            scenario = make_scenario(fault, seconds=5, use=2.0, units_spread=0)
             for seed in (1, 2):
                 log, violations = play(scenario, seed)
-                rows = sent_while_lost(log, scenario)
+                usages = usage_in_outages(log, scenario)
                 self.assertEqual(violations, [])
-                self.assertTrue(rows and all(row["sent"] <= row["bound"] for row in rows))
-                self.assertGreater(max(row["sent"] for row in rows), 0)
+                self.assertTrue(usages)
+                self.assertTrue(all(usage.sent_units <= usage.bound_units for usage in usages))
+                self.assertGreater(max(usage.sent_units for usage in usages), 0)
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -1,486 +1,286 @@
-"""The laboratory: stand-ins as described, each trouble, and a judge that catches broken gatekeepers."""
+"""The testbed as a whole: every kind of fault, the load, the same log from the same seed, the figures."""
 
 from __future__ import annotations
 
+import dataclasses
 import hashlib
 import os
 import subprocess
 import sys
 import unittest
-from typing import Any
 
-from drumgw.testbed.clients import ClientAttempt, ClientPopulation
+from drumgw.testbed.client_requests import ClientAttempt
+from drumgw.testbed.clients import ClientPopulation
 from drumgw.testbed.clocks import VirtualClock
-from drumgw.testbed.counter import EmulatedCounter
-from drumgw.testbed.endpoint import EmulatedEndpoint, ReceivedAttempt, Says
-from drumgw.testbed.endpoint_registry import KEPT, EmulatedDiscovery
-from drumgw.testbed.environment import FAULTS, Environment
-from drumgw.testbed.event_log import EventLog
-from drumgw.testbed.metrics import figures
-from drumgw.testbed.oracle import find_violations
-from drumgw.testbed.scenario import NEEDS, CounterSection, DiscoverySection, Scenario
+from drumgw.testbed.event_log import EventLog, RunHeader
+from drumgw.testbed.faults import FAULTS
+from drumgw.testbed.logged_events import (
+    AttemptSent,
+    EndpointAnnounced,
+    EndpointChanged,
+    EndpointFinished,
+    EndpointState,
+    EngineFailed,
+    FaultEnded,
+    FaultStarted,
+    GatewayChanged,
+    GatewayState,
+    LoggedEvent,
+    RequestCreated,
+    ResponseReceived,
+    RunEnded,
+)
+from drumgw.testbed.metrics import run_figures
+from drumgw.testbed.scenario import COUNTER_FAULTS, NEEDS, FaultKind
 from drumgw.testbed.virtual_runner import VirtualRunner
 from drumgw.testbed.workload import Workload
-from tests import scenarios
-from tests.scenarios import day, play
-
-# A short day of each trouble: what it needs beside its kind
-STRIKES: dict[str, str] = {
-    "slow": "part = 0.5; size = 6; for_s = 1",
-    "failing": 'part = 0.5; product = "preview"; for_s = 1',
-    "silent": "worker = 1; for_s = 1",
-    "resets": "part = 1; size = 0.5; for_s = 1",
-    "answers lost": "part = 1; size = 0.3; for_s = 1",
-    "answers late": "part = 0.5; size = 300; for_s = 1",
-    "answers spoilt": "part = 1; size = 0.3; for_s = 1",
-    "few connections": "part = 1; size = 1; for_s = 1",
-    "crash": "part = 0.4; for_s = 1",
-    "replace": "part = 0.5",
-    "drain": "worker = 2; for_s = 1",
-    "zone lost": 'zone = "b"; for_s = 1',
-    "zone cut": 'zone = "b"; for_s = 1',
-    "counter slow": "size = 200; for_s = 1",
-    "counter silent": "for_s = 1",
-    "counter refuses": "for_s = 1",
-    "counter empty": "",
-    "counter older": "size = 0.5",
-    "counter split": "for_s = 3",
-    "list late": "size = 900; for_s = 1",
-    "list lost": "for_s = 1",
-    "list moves": "",
-    "restart": "part = 0.4",
-    "kill": "part = 0.4",
-    "pause": "part = 0.4; for_s = 1",
-    "rush": "size = 5; for_s = 1",
-    "leave": "size = 0.5; for_s = 1",
+from tests.scenarios import make_scenario, play
+
+FAULT_KEYS: dict[FaultKind, str] = {
+    FaultKind.ENDPOINT_SLOW: "part = 0.5; size = 6; for_s = 1",
+    FaultKind.ENDPOINT_FAILING: 'part = 0.5; product = "preview"; for_s = 1',
+    FaultKind.ENDPOINT_SILENT: "worker = 1; for_s = 1",
+    FaultKind.CONNECTION_RESETS: "part = 1; size = 0.5; for_s = 1",
+    FaultKind.RESPONSES_LOST: "part = 1; size = 0.3; for_s = 1",
+    FaultKind.RESPONSES_DELAYED: "part = 0.5; size = 300; for_s = 1",
+    FaultKind.RESPONSES_CORRUPT: "part = 1; size = 0.3; for_s = 1",
+    FaultKind.CONNECTION_LIMIT: "part = 1; size = 1; for_s = 1",
+    FaultKind.ENDPOINT_CRASH: "part = 0.4; for_s = 1",
+    FaultKind.ENDPOINT_REPLACED: "part = 0.5",
+    FaultKind.ENDPOINT_DRAIN: "worker = 2; for_s = 1",
+    FaultKind.ZONE_DOWN: 'zone = "b"; for_s = 1',
+    FaultKind.ZONE_PARTITIONED: 'zone = "b"; for_s = 1',
+    FaultKind.COUNTER_SLOW: "size = 200; for_s = 1",
+    FaultKind.COUNTER_SILENT: "for_s = 1",
+    FaultKind.COUNTER_REJECTS: "for_s = 1",
+    FaultKind.COUNTER_EMPTY: "",
+    FaultKind.COUNTER_STALE: "size = 0.5",
+    FaultKind.COUNTER_SPLIT: "for_s = 3",
+    FaultKind.DISCOVERY_DELAYED: "size = 900; for_s = 1",
+    FaultKind.DISCOVERY_SILENT: "for_s = 1",
+    FaultKind.DISCOVERY_MOVED: "",
+    FaultKind.GATEWAY_RESTART: "part = 0.4",
+    FaultKind.GATEWAY_KILL: "part = 0.4",
+    FaultKind.GATEWAY_PAUSE: "part = 0.4; for_s = 1",
+    FaultKind.LOAD_SURGE: "size = 5; for_s = 1",
+    FaultKind.CLIENTS_LEAVE: "size = 0.5; for_s = 1",
 }
-QUIET = ("list late", "list lost", "list moves")  # seen only where the list changes, or on sockets
+"""For each kind, what it needs in a short scenario beside its kind and time."""
+WITHOUT_EFFECT_ALONE = (
+    FaultKind.DISCOVERY_DELAYED,
+    FaultKind.DISCOVERY_SILENT,
+    FaultKind.DISCOVERY_MOVED,
+)
+"""They show only where the endpoint list changes, or on sockets."""
 
 
-def strike(kind: str) -> str:
-    return "; ".join(filter(None, (f'kind = "{kind}"', "at_s = 1", STRIKES[kind])))
+def fault_keys(kind: FaultKind) -> str:
+    """A fault of this kind, one second after the start."""
+    return "; ".join(filter(None, (f'kind = "{kind}"', "at_s = 1", FAULT_KEYS[kind])))
 
 
-class Troubles(unittest.TestCase):
-    def test_every_trouble_is_played_and_no_rule_breaks(self) -> None:
-        self.assertEqual(set(STRIKES), set(FAULTS) & set(NEEDS))
-        calm = {s: self.outcome(play(day(seconds=s, use=use))[0]) for s, use in ((3, 0.4), (4, 2.0))}
+def visible_effects(event_log: EventLog) -> list[LoggedEvent]:
+    """What clients and endpoints did, without the times."""
+    kinds = AttemptSent | ResponseReceived | EndpointFinished | EndpointAnnounced
+    return [dataclasses.replace(event, time_ms=0.0) for event in event_log.events if isinstance(event, kinds)]
+
+
+class FaultTest(unittest.TestCase):
+    """Gateways on the virtual clock, under faults."""
+
+    def test_every_kind_of_fault_strikes_and_no_rule_is_broken(self) -> None:
+        """Each kind of fault strikes a short scenario, alone.
+
+        It begins and ends once, something of it can be seen, and the gateways keep all rules under it. A
+        fault of the counter shows only where customers reach their quotas, so the load is higher there.
+        """
+        self.assertEqual(set(FAULT_KEYS), set(FAULTS) & set(NEEDS))
+        without_fault = {
+            (seconds, use): visible_effects(play(make_scenario(seconds=seconds, use=use))[0])
+            for seconds, use in ((3, 0.4), (4, 2.0))
+        }
         for kind in FAULTS:
-            seconds, use = (4, 2.0) if kind.startswith("counter") else (3, 0.4)  # missed at the quotas
+            seconds, use = (4, 2.0) if kind in COUNTER_FAULTS else (3, 0.4)
             with self.subTest(kind):
-                of = day(strike(kind), seconds=seconds, use=use)
-                record, breaches = play(of)
-                self.assertEqual(breaches, [])
-                seen = [row["what"] for row in record.rows if row.get("kind") == kind]
-                self.assertEqual(seen, ["trouble"] + ["trouble over"] * ("for_s" in STRIKES[kind]))
-                self.assertEqual([row["error"] for row in record.rows if row["what"] == "fault"], [])
-                if kind not in QUIET:
-                    self.assertTrue(self.outcome(record) != calm[seconds], "it changes nothing")
-
-    def outcome(self, record: EventLog) -> list[Any]:
-        return [
-            {**row, "t": 0} for row in record.rows if row["what"] in ("asked", "answered", "ended", "told")
-        ]
-
-    def test_all_at_once(self) -> None:
-        """Troubles combined; the workers of the zone that is lost are also those being replaced."""
+                event_log, violations = play(make_scenario(fault_keys(kind), seconds=seconds, use=use))
+                self.assertEqual(violations, [])
+                seen = [
+                    type(event)
+                    for event in event_log.events
+                    if isinstance(event, FaultStarted | FaultEnded) and event.kind is kind
+                ]
+                has_end = "for_s" in FAULT_KEYS[kind]
+                self.assertEqual(seen, [FaultStarted, FaultEnded] if has_end else [FaultStarted])
+                failures = [event for event in event_log.events if isinstance(event, EngineFailed)]
+                self.assertEqual(failures, [])
+                if kind not in WITHOUT_EFFECT_ALONE:
+                    has_effect = visible_effects(event_log) != without_fault[seconds, use]
+                    self.assertTrue(has_effect, "it changes nothing")
+
+    def test_faults_at_the_same_time(self) -> None:
+        """Nine faults strike in the same second.
+
+        Among them a zone goes down whose endpoints are just being replaced. No rule is broken, and a good
+        part of the load is still served.
+        """
         kinds = (
-            "slow",
-            "resets",
-            "zone lost",
-            "replace",
-            "counter split",
-            "list late",
-            "kill",
-            "rush",
-            "leave",
+            FaultKind.ENDPOINT_SLOW,
+            FaultKind.CONNECTION_RESETS,
+            FaultKind.ZONE_DOWN,
+            FaultKind.ENDPOINT_REPLACED,
+            FaultKind.COUNTER_SPLIT,
+            FaultKind.DISCOVERY_DELAYED,
+            FaultKind.GATEWAY_KILL,
+            FaultKind.LOAD_SURGE,
+            FaultKind.CLIENTS_LEAVE,
         )
-        of = day(*map(strike, kinds), seconds=4)
+        scenario = make_scenario(*map(fault_keys, kinds), seconds=4)
         for seed in (1, 2, 3):
-            record, breaches = play(of, seed)
-            self.assertEqual(breaches, [])
-            self.assertGreater(figures(record, of)["whole"]["served"], 0.2)
+            event_log, violations = play(scenario, seed)
+            self.assertEqual(violations, [])
+            self.assertGreater(run_figures(event_log, scenario)["whole"]["served"], 0.2)
+
+    def test_a_fault_strikes_nobody_who_is_down_already(self) -> None:
+        """An endpoint that is down is crashed again, and gateways that were just killed are killed again.
 
-    def test_a_trouble_aimed_at_what_has_gone_strikes_nobody(self) -> None:
-        of = day(
+        Each goes down once: the second fault finds nobody.
+        """
+        scenario = make_scenario(
             'kind = "crash"; at_s = 1; worker = 3; for_s = 1.5',
             'kind = "crash"; at_s = 2; worker = 3; for_s = 0.2',
             'kind = "kill"; at_s = 2; part = 1',
             'kind = "kill"; at_s = 2.1; part = 1',
         )
-        record, breaches = play(of)
-        self.assertEqual(breaches, [])
-        downs = [row for row in record.rows if row["what"] == "worker" and row["state"] == "down"]
-        killed = [row for row in record.rows if row["what"] == "gate" and row["state"] == "killed"]
-        self.assertEqual((len(downs), len(killed)), (1, 3))
-
-
-class Judged(unittest.TestCase):
-    def rules(self, of: Scenario, **broken: Any) -> set[str]:
-        """What the broken one breaks; an honest one keeps the rules on the same day."""
-        self.assertEqual(play(of)[1], [])
-        _, breaches = play(of, **broken)
-        for b in breaches:
-            self.assertTrue(b.gates and b.t and str(b))
-        return {b.rule for b in breaches}
-
-    def test_a_double_sender(self) -> None:
-        of = day('kind = "resets"; at_s = 0.5; part = 1; size = 0.5; for_s = 2')
-        self.assertEqual(self.rules(of, engine=scenarios.Doubler), {"doubled"})
-
-    def test_one_that_declines_what_may_have_run(self) -> None:
-        of = day('kind = "failing"; at_s = 0.5; part = 0.7; for_s = 2')
-        self.assertEqual(self.rules(of, engine=scenarios.Decliner), {"doubled"})
-
-    def test_a_sender_to_drained_workers(self) -> None:
-        self.assertEqual(
-            self.rules(day('kind = "drain"; at_s = 1; part = 0.4'), gate=scenarios.Deaf), {"drains"}
-        )
-
-    def test_a_start_that_does_not_wait_for_its_agent(self) -> None:
-        """What the agent has counts from a process's first moment, read or not."""
-        of = day('kind = "drain"; at_s = 1; part = 0.4', 'kind = "kill"; at_s = 1.4; part = 1', seconds=5)
-        self.assertEqual(self.rules(of, gate=scenarios.Eager), {"drains"})
+        event_log, violations = play(scenario)
+        self.assertEqual(violations, [])
+        endpoint_states = [event.state for event in event_log.events if isinstance(event, EndpointChanged)]
+        gateway_states = [event.state for event in event_log.events if isinstance(event, GatewayChanged)]
+        self.assertEqual(endpoint_states.count(EndpointState.DOWN), 1)
+        self.assertEqual(gateway_states.count(GatewayState.KILLED), 3)
 
     def test_starts_while_discovery_is_silent_wait_for_it(self) -> None:
-        of = day(
+        """Discovery is silent for two seconds; in this time endpoints are replaced and gateways killed.
+
+        The gateways that start then know only the list of the run's beginning. They take no clients before
+        discovery speaks again, so that nothing goes to an endpoint that has left, and serve on afterwards.
+        """
+        scenario = make_scenario(
             'kind = "list lost"; at_s = 1; for_s = 2',
             'kind = "replace"; at_s = 1.2; part = 0.5',
             'kind = "kill"; at_s = 1.3; part = 0.7',
             seconds=6,
         )
         for seed in (1, 2, 3):
-            record, breaches = play(of, seed)
-            self.assertEqual(breaches, [])
-            self.assertGreater(figures(record, of)["whole"]["served"], 0.3)
-
-    def test_a_loser(self) -> None:
-        self.assertEqual(self.rules(day(), gate=scenarios.Loser), {"lost"})
-
-    def test_one_that_mixes_answers(self) -> None:
-        self.assertEqual(self.rules(day(), gate=scenarios.Mixer), {"lost"})
-
-    def test_an_overfiller_of_cold_workers(self) -> None:
-        of = day('kind = "replace"; at_s = 1; worker = 0', cores=1, cold_from=0.05, fall_multiple=1.5)
-        self.assertEqual(self.rules(of, engine=scenarios.Pusher), {"pushed"})
-
-    def test_a_passer_of_ceilings(self) -> None:
-        self.assertEqual(self.rules(day(use=4.0), engine=scenarios.Passer), {"ceilings"})
-
-    def case(self, *rows: Any) -> list[str]:
-        """Breaches of a hand-written record: (time, what, fields)."""
-        record = EventLog({"clock": "virtual"})
-        for t, what, fields in rows:
-            record.add(t, what, **fields)
-        return [f"{b.rule}: {b.what}" for b in find_violations(record, day())]
-
-    def asked(self, product: str = "sold-copy") -> tuple[float, str, dict[str, Any]]:
-        return (
-            100.0,
-            "asked",
-            {
-                "txn": "x",
-                "gate": 1,
-                "product": product,
-                "plan": "basic",
-                "customer": 5,
-                "units": 2,
-                "left": 500.0,
-                "order": 0,
-            },
-        )
+            event_log, violations = play(scenario, seed)
+            self.assertEqual(violations, [])
+            self.assertGreater(run_figures(event_log, scenario)["whole"]["served"], 0.3)
 
-    def came(self, t: float, ticket: int, worker: str = "w0") -> tuple[float, str, dict[str, Any]]:
-        return t, "came", {"txn": "x", "ticket": ticket, "worker": worker, "gate": 1, "first": t, "work": 5.0}
-
-    def test_a_lost_txn_is_told_from_one_whose_client_left(self) -> None:
-        gate = {"gate": 1, "state": "killed"}
-        self.assertEqual(self.case(self.asked()), ["lost: still open when the day ended"])
-        self.assertEqual(self.case(self.asked(), (300.0, "left", {"txn": "x"})), [])
-        self.assertEqual(self.case(self.asked(), (300.0, "unreached", {"txn": "x"})), [])
-        closed = (300.0, "closed", {"txn": "x"})
-        self.assertEqual(self.case(self.asked(), closed), ["lost: its connection was closed with no answer"])
-        self.assertEqual(self.case(self.asked(), (200.0, "gate", gate), closed), [])
-        self.assertEqual(self.case((95.0, "gate", gate), self.asked(), closed), [])  # it was dead by then
-        again = (80.0, "gate", {"gate": 1, "state": "starts"})  # and this is the next one
-        self.assertEqual(len(self.case((50.0, "gate", gate), again, self.asked(), closed)), 1)
-        late = (700.0, "answered", {"txn": "x", "status": 503, "mark": ""})
-        self.assertEqual(self.case(self.asked(), late), ["lost: answered 92 ms too late"])
-        self.assertEqual(
-            self.case(self.asked(), (400.0, *late[1:]), (401.0, *late[1:])), ["lost: answered twice"]
-        )
 
-    def test_a_referenced_txn_stays_in_its_zone_and_time(self) -> None:
-        zones = [
-            (
-                1.0,
-                "worker",
-                {
-                    "worker": w,
-                    "state": "starts",
-                    "zone": z,
-                    "cell": 0,
-                    "cold": False,
-                    "cores": 1,
-                    "speed": 1.0,
-                },
-            )
-            for w, z in (("w0", "a"), ("w1", "b"), ("w2", "a"))
-        ]
-        ended = (150.0, "ended", {"txn": "x", "ticket": 1, "how": "error", "ran": True})
-        settled = (190.0, "ended", {"txn": "x", "ticket": 2, "how": "settled", "ran": True})
-        good = (200.0, "answered", {"txn": "x", "status": 200, "mark": "x"})
-        story = [*zones, self.asked("booking"), self.came(110.0, 1), ended]
-        self.assertEqual(self.case(*story, self.came(160.0, 2, "w2"), settled, good), [])
-        self.assertEqual(
-            self.case(*story, self.came(160.0, 2, "w1"), settled, good),
-            ["doubled: a referenced txn was sent beyond its zone"],
-        )
-        never = (150.0, "ended", {"txn": "x", "ticket": 1, "how": "full", "ran": False})
-        self.assertEqual(self.case(*story[:-1], never, self.came(160.0, 2, "w1"), settled, good), [])
-        self.assertEqual(
-            self.case(*story[:-1], self.came(130.0, 2, "w2"), ended, settled, good),
-            ["doubled: a second copy while one was out"],
-        )
+class RecordingSender:
+    """Keeps the attempts that clients send."""
 
-    def test_what_nobody_asked_for_is_a_double(self) -> None:
-        self.assertEqual(self.case(self.came(5.0, 1)), ["doubled: a submission of no client's txn"])
+    def __init__(self) -> None:
+        self.sent: list[ClientAttempt] = []
 
+    def send(self, attempt: ClientAttempt) -> None:
+        """Keeps the attempt."""
+        self.sent.append(attempt)
 
-class StandIns(unittest.TestCase):
-    def setUp(self) -> None:
-        self.clock, self.record = VirtualClock(1000.0), EventLog({})
-        self.day = day()
-        self.world = Environment(self.day, 1, self.clock, self.record)
-        self.said: list[tuple[float, int, Says]] = []
+    def cancel(self, attempt: ClientAttempt) -> None:
+        """Does nothing."""
 
-    def ticket(
-        self, number: int, worker: EmulatedEndpoint, product: int = 0, work: float = 100.0
-    ) -> ReceivedAttempt:
-        arrival = next(
-            a for a in self.world.workload.arrivals() if a.request_class is self.day.product[product]
-        )
-        from drumgw.testbed.clients import ClientRequest
-
-        one = ClientAttempt(
-            f"t{number}",
-            ClientRequest(arrival._replace(work_ms=work), self.clock.now()),
-            0,
-            900.0,
-            self.clock.now(),
-        )
-        ticket = ReceivedAttempt(
-            number,
-            one.attempt_id,
-            one,
-            0,
-            lambda t, says: self.said.append((round(self.clock.now() - 1000.0), t.number, says)),
-        )
-        worker.receive(ticket)
-        return ticket
-
-    def worker(self, born: float | None = None, **kind: Any) -> EmulatedEndpoint:
-        worker = self.world.endpoints["w0"]
-        worker.section, worker.speed, worker.started_at_ms = worker.section.model_copy(update=kind), 1.0, born
-        return worker
-
-    def test_cores_queue_and_full(self) -> None:
-        w = self.worker(cores=2, queue=1)
-        for n in range(4):
-            self.ticket(n, w)
-        self.clock.run_until(1500.0)
-        self.assertEqual(
-            self.said, [(0, 3, "full"), (100, 0, "settled"), (100, 1, "settled"), (200, 2, "settled")]
-        )
 
-    def test_cold_start_warms_evenly_and_falls_over(self) -> None:
-        w = self.worker(born=1000.0, cores=1)
-        self.ticket(1, w, work=20.0)
-        self.clock.run_until(1200.0)
-        self.assertEqual(self.said, [(100, 1, "settled")])  # a fifth of its speed
-        self.assertAlmostEqual(w.warm_up_fraction(), 0.2 + 0.8 * 200 / 3000)
-        for n in range(2, 14):
-            self.ticket(n, w, work=100.0)
-        self.assertEqual((w.is_up, self.said[-1][2]), (False, "reset"))
-        self.assertEqual(
-            [r["state"] for r in self.record.rows if r["what"] == "worker"][-2:], ["falls", "down"]
-        )
-        self.clock.run_until(9000.0)
-        self.assertTrue(w.is_up and w.started_at_ms is not None and w.started_at_ms > 5000.0)
-
-    def test_drained_it_finishes_and_takes_nothing_new(self) -> None:
-        w = self.worker(cores=1)
-        self.ticket(1, w)
-        w.is_draining = True
-        self.ticket(2, w)
-        self.clock.run_until(1500.0)
-        self.assertEqual(self.said, [(0, 2, "full"), (100, 1, "settled")])
-
-    def test_repeats_of_a_referenced_txn_run_once_a_group_and_time(self) -> None:
-        w, other, far = self.worker(cores=9), self.world.endpoints["w2"], self.world.endpoints["w1"]
-        for n, at in enumerate((w, other, far)):
-            self.ticket(n, at, product=2)
-        self.clock.run_until(2500.0)
-        self.ticket(9, w, product=2)
-        ran = [r["worker"] for r in self.record.rows if r["what"] == "ran"]
-        self.assertEqual(ran, ["w0", "w1", "w0"])  # w2 is of w0's zone; after its time it is forgotten
-
-    def test_given_up_it_says_nothing_and_what_waits_never_runs(self) -> None:
-        w = self.worker(cores=1)
-        first, second = self.ticket(1, w), self.ticket(2, w)
-        w.abandon(first)
-        w.abandon(second)
-        self.clock.run_until(1500.0)
-        self.assertEqual((self.said, w.running, len(w.queue)), ([], {}, 0))
-
-    def count(self, **kind: Any) -> EmulatedCounter:
-        self.totals: list[Any] = []
-        return EmulatedCounter(CounterSection(**kind), self.clock)
-
-    def call(self, c: EmulatedCounter, name: str, amount: float, gate: int = 0, lives: float = 9e9) -> Any:
-        c.call(gate, name, amount, lives, lambda says, total: self.totals.append((says, total)))
-        self.clock.run_until(self.clock.now() + 50.0)
-        return self.totals[-1] if self.totals else None
-
-    def test_the_counter_adds_forgets_and_turns_away(self) -> None:
-        c = self.count()
-        self.assertEqual([self.call(c, "a", 2.5)[1], self.call(c, "a", -1.0)[1]], [2.5, 1.5])
-        self.clock.run_until(self.clock.now() + 60000.0)
-        self.assertEqual(self.call(c, "a", 1.0), ("added", 1.0))  # no name lives longer than a minute
-        c.rejects_calls = True
-        self.assertEqual(self.call(c, "a", 1.0), ("turned away", 0.0))
-        c.rejects_calls, c.is_silent = False, True
-        before = len(self.totals)
-        self.call(c, "a", 1.0)
-        self.assertEqual(len(self.totals), before)
-
-    def test_a_split_counter_heals_with_what_both_halves_added(self) -> None:
-        c = self.count()
-        self.call(c, "a", 5.0)
-        c.split()
-        self.assertEqual([self.call(c, "a", 1.0, 0)[1], self.call(c, "a", 10.0, 1)[1]], [6.0, 15.0])
-        c.heal()
-        self.assertEqual(self.call(c, "a", 0.0, 1)[1], 16.0)
-        c.scale_totals(0.25)
-        self.assertEqual(self.call(c, "a", 0.0)[1], 4.0)
-        c.clear()
-        self.assertEqual(self.call(c, "a", 0.0)[1], 0.0)
-
-    def test_a_counter_serves_in_turn_and_its_line_is_bounded(self) -> None:
-        c = self.count(calls_per_s=100.0, line=2)
-        for _ in range(5):
-            c.call(0, "a", 1.0, 1e4, lambda says, total: self.totals.append((round(self.clock.now()), says)))
-        self.clock.run_until(1100.0)
-        self.assertEqual(
-            self.totals, [(1000, "turned away")] * 2 + [(1010, "added"), (1020, "added"), (1030, "added")]
-        )
+class LoadTest(unittest.TestCase):
+    """Arrivals and clients."""
 
-    def test_the_list_comes_late_by_gatekeeper_and_whole_to_who_is_far_behind(self) -> None:
-        r = EmulatedDiscovery(
-            DiscoverySection(delay_ms=100.0, spread_ms=0.0), 2, self.clock, self.record, self.world.random
-        )
-        r.put("w0", "a", 0, None)
-        known = r.publish_initial_list()
-        self.assertIsNone(r.updates_since(0, known["generation"]))
-        r.set_lifecycle("w0", "draining")
-        self.assertIsNone(r.updates_since(0, known["generation"]))
-        self.clock.run_until(1100.0)
-        news = r.updates_since(0, known["generation"])
-        assert news
-        self.assertEqual(
-            [(row["instanceId"], row["lifecycle"]) for row in news["instances"]], [("w0", "draining")]
+    def test_arrivals_wait_for_no_response_and_follow_the_load(self) -> None:
+        scenario = make_scenario('kind = "rush"; at_s = 1; size = 4; for_s = 1')
+        times_ms = [arrival.at_ms for arrival in Workload(scenario, 3).arrivals()]
+        self.assertEqual(times_ms, sorted(times_ms))
+        per_second = [sum(n * 1000 <= at_ms < n * 1000 + 1000 for at_ms in times_ms) for n in range(3)]
+        self.assertGreater(per_second[1], 2 * max(per_second[0], per_second[2]))
+        slow_log, _ = play(make_scenario('kind = "slow"; at_s = 0; part = 1; size = 40; for_s = 3'))
+        calm_log, _ = play(make_scenario())
+        slow_requests, calm_requests = (
+            [(event.request, event.intended_ms) for event in log.events if isinstance(event, RequestCreated)]
+            for log in (slow_log, calm_log)
         )
-        for n in range(KEPT + 1):
-            r.put(f"x{n}", "a", 0, None)
-        r.set_lifecycle("w0", "removed")
-        self.clock.run_until(1300.0)
-        news = r.updates_since(0, known["generation"])
-        assert news
-        self.assertEqual((news["reset"], len(news["instances"])), (True, KEPT + 1))
-
-
-class Asked(unittest.TestCase):
-    def test_arrivals_wait_for_no_answer_and_follow_the_load(self) -> None:
-        of = day('kind = "rush"; at_s = 1; size = 4; for_s = 1')
-        times = [a.at_ms for a in Workload(of, 3).arrivals()]
-        self.assertEqual(times, sorted(times))
-        thirds = [sum(n * 1000 <= t < n * 1000 + 1000 for t in times) for n in range(3)]
-        self.assertGreater(thirds[1], 2 * max(thirds[0], thirds[2]))
-        slow, _ = play(day('kind = "slow"; at_s = 0; part = 1; size = 40; for_s = 3'))
-        calm, _ = play(day())
-        wanted = [
-            [(row["order"], row["intended"]) for row in r.rows if row["what"] == "wanted"]
-            for r in (slow, calm)
-        ]
-        self.assertEqual(*wanted)
-
-    def test_clients_try_again_only_where_that_is_harmless(self) -> None:
-        class Port:
-            def __init__(self) -> None:
-                self.sent: list[ClientAttempt] = []
-
-            def send(self, one: ClientAttempt) -> None:
-                self.sent.append(one)
-
-            def cancel(self, one: ClientAttempt) -> None: ...
-
-        for product, status, tries in (
+        self.assertEqual(slow_requests, calm_requests)
+
+    def test_clients_retry_only_where_that_is_harmless(self) -> None:
+        for class_name, status, attempts in (
             ("preview", 500, 2),
             ("preview", 503, 2),
             ("sold-copy", 500, 1),
             ("sold-copy", 503, 2),
             ("booking", 500, 1),
         ):
-            clock, of = VirtualClock(0.0), day()
-            clients, port = ClientPopulation(of, Workload(of, 1), clock, EventLog({})), Port()
-            clients.sender = port
-            arrival = next(a for a in clients.workload.arrivals() if a.request_class.name == product)
-            clients.arrive(arrival._replace(at_ms=0.0))
-            clients.response_received(port.sent[0], status, "", 200.0)
-            clock.run_until(400.0)
-            self.assertEqual(len(port.sent), tries, (product, status))
-            self.assertEqual(len({one.attempt_id for one in port.sent}), tries)  # each brings a new id
-
-    def test_a_lab_that_falls_behind_says_so(self) -> None:
-        """Guards figures: what the lab sent late must not pass for the gatekeepers' loss."""
-        of = day()
-        record = VirtualRunner(of, 1).run()
-        self.assertTrue(figures(record, of)["valid"])
-        record.rows[-1]["late"] = record.rows[-1]["sent"] // 10
-        found = figures(record, of)
-        self.assertEqual((found["valid"], "late" in found["invalid"]), (False, True))
-        del record.rows[-1]
-        self.assertIn("cut off", figures(record, of)["invalid"])
-
-    def test_the_same_seed_gives_the_same_record_in_any_process(self) -> None:
-        story = (
+            with self.subTest(class_name, status=status):
+                scenario = make_scenario()
+                clock = VirtualClock(0.0)
+                workload = Workload(scenario, 1)
+                clients = ClientPopulation(scenario, workload, clock, EventLog(RunHeader()))
+                sender = RecordingSender()
+                clients.sender = sender
+                arrival = next(a for a in workload.arrivals() if a.request_class.name == class_name)
+                clients.receive_arrival(arrival._replace(at_ms=0.0))
+                clients.response_received(sender.sent[0], status, "", 200.0)
+                clock.run_until(400.0)
+                self.assertEqual(len(sender.sent), attempts)
+                attempt_ids = {attempt.attempt_id for attempt in sender.sent}
+                self.assertEqual(len(attempt_ids), attempts, "each attempt has an id of its own")
+
+
+class RunTest(unittest.TestCase):
+    """Runs and their figures."""
+
+    def test_a_testbed_that_falls_behind_says_so(self) -> None:
+        """The machine is too slow, and a tenth of the requests are sent late.
+
+        What the testbed itself delayed must not pass for the gateways' loss: the run is invalid. So is one
+        whose log was cut off.
+        """
+        scenario = make_scenario()
+        event_log = VirtualRunner(scenario, 1).run()
+        self.assertTrue(run_figures(event_log, scenario)["valid"])
+        run_ended = event_log.events[-1]
+        assert isinstance(run_ended, RunEnded)
+        run_ended.sent_late_count = run_ended.sent_count // 10
+        figures = run_figures(event_log, scenario)
+        self.assertFalse(figures["valid"])
+        self.assertIn("late", figures["invalid"])
+        del event_log.events[-1]
+        self.assertIn("cut off", run_figures(event_log, scenario)["invalid"])
+
+    def test_the_same_seed_gives_the_same_log_in_any_process(self) -> None:
+        program = (
             "import hashlib; from tests.scenarios import *;"
-            "of = day('kind = \"kill\"; at_s = 1; part = 0.6');"
-            "print(hashlib.sha256(''.join(play(of, 5)[0].text()).encode()).hexdigest())"
+            "scenario = make_scenario('kind = \"kill\"; at_s = 1; part = 0.6');"
+            "print(hashlib.sha256(''.join(play(scenario, 5)[0].lines()).encode()).hexdigest())"
         )
-        found = {
+        digests = {
             subprocess.run(
-                [sys.executable, "-c", story],
+                [sys.executable, "-c", program],
                 check=True,
                 capture_output=True,
                 text=True,
-                env={**os.environ, "PYTHONHASHSEED": salt},
+                env={**os.environ, "PYTHONHASHSEED": hash_seed},
             ).stdout
-            for salt in ("1", "77")
+            for hash_seed in ("1", "77")
         }
-        self.assertEqual(len(found), 1)
-        other, _ = play(day('kind = "kill"; at_s = 1; part = 0.6'), 6)
-        self.assertNotIn(hashlib.sha256("".join(other.text()).encode()).hexdigest(), found.pop())
-
+        self.assertEqual(len(digests), 1)
+        other_log, _ = play(make_scenario('kind = "kill"; at_s = 1; part = 0.6'), 6)
+        self.assertNotIn(hashlib.sha256("".join(other_log.lines()).encode()).hexdigest(), digests.pop())
 
-class Figured(unittest.TestCase):
     def test_figures_add_up(self) -> None:
-        of = day()
-        record, _ = play(of)
-        found = figures(record, of)
+        scenario = make_scenario()
+        event_log, _ = play(scenario)
+        figures = run_figures(event_log, scenario)
+        whole = figures["whole"]
         for part in ("by product", "by plan", "by zone", "by time"):
-            self.assertEqual(sum(p["orders"] for p in found[part].values()), found["whole"]["orders"])
-        ends = ("in time", "late", "declined", "voided", "unreached", "lost", "left")
-        self.assertEqual(sum(found["whole"][end] for end in ends), found["whole"]["orders"])
-        self.assertEqual(sum(found["by worker"].values()), found["submissions"])
-        self.assertEqual(found["calls a try"], round(found["counter calls"] / found["tries"], 4))
+            self.assertEqual(sum(row["orders"] for row in figures[part].values()), whole["orders"])
+        results = ("in time", "late", "declined", "voided", "unreached", "lost", "left")
+        self.assertEqual(sum(whole[result] for result in results), whole["orders"])
+        self.assertEqual(sum(figures["by worker"].values()), figures["submissions"])
+        calls_per_attempt = figures["counter calls"] / figures["tries"]
+        self.assertEqual(figures["calls a try"], round(calls_per_attempt, 4))
--- /dev/null
+++ b/tests/test_testbed_oracle.py
@@ -0,0 +1,194 @@
+"""The oracle: gateways that are broken on purpose break just their rule, and honest ones none."""
+
+from __future__ import annotations
+
+import unittest
+from typing import Any
+
+from drumgw.testbed.event_log import EventLog, RunHeader
+from drumgw.testbed.logged_events import (
+    AttemptSent,
+    ClientLeft,
+    ClockKind,
+    ConnectFailed,
+    ConnectionClosed,
+    EndpointChanged,
+    EndpointFinished,
+    EndpointOutcome,
+    EndpointReceived,
+    EndpointState,
+    GatewayChanged,
+    GatewayState,
+    LoggedEvent,
+    ResponseReceived,
+)
+from drumgw.testbed.oracle import find_violations
+from drumgw.testbed.scenario import Scenario
+from tests import scenarios
+from tests.scenarios import make_scenario, play
+
+
+class BrokenGatewayTest(unittest.TestCase):
+    """A fleet of broken gateways against a fleet of honest ones, in the same scenario."""
+
+    def broken_rules(self, scenario: Scenario, **broken: Any) -> set[str]:
+        """What the broken gateways break; honest ones keep the rules in the same scenario."""
+        self.assertEqual(play(scenario)[1], [])
+        _, violations = play(scenario, **broken)
+        for violation in violations:
+            self.assertTrue(violation.gateways)
+            self.assertTrue(violation.time_ms)
+            self.assertTrue(str(violation))
+        return {violation.rule for violation in violations}
+
+    def test_retries_what_may_have_run(self) -> None:
+        """Half of the connections are reset after the request was written, and the gateway forwards again.
+
+        The request may run twice.
+        """
+        scenario = make_scenario('kind = "resets"; at_s = 0.5; part = 1; size = 0.5; for_s = 2')
+        self.assertEqual(self.broken_rules(scenario, engine=scenarios.Doubler), {"doubled"})
+
+    def test_rejects_what_may_have_run(self) -> None:
+        """Endpoints fail, and the gateway says that nothing was done, so that clients send again."""
+        scenario = make_scenario('kind = "failing"; at_s = 0.5; part = 0.7; for_s = 2')
+        self.assertEqual(self.broken_rules(scenario, engine=scenarios.Decliner), {"doubled"})
+
+    def test_sends_to_draining_endpoints(self) -> None:
+        """Endpoints drain, and the gateway takes them for ready ones."""
+        scenario = make_scenario('kind = "drain"; at_s = 1; part = 0.4')
+        self.assertEqual(self.broken_rules(scenario, gateway=scenarios.IgnoresDraining), {"drains"})
+
+    def test_starts_without_waiting_for_its_agent(self) -> None:
+        """Endpoints drain and all gateways are killed; the new ones go by the list of the run's beginning.
+
+        What the agent has counts from a process's first moment, whether the process read it or not.
+        """
+        scenario = make_scenario(
+            'kind = "drain"; at_s = 1; part = 0.4', 'kind = "kill"; at_s = 1.4; part = 1', seconds=5
+        )
+        self.assertEqual(self.broken_rules(scenario, gateway=scenarios.DoesNotWaitForDiscovery), {"drains"})
+
+    def test_forgets_responses(self) -> None:
+        """One request in twenty is never answered."""
+        self.assertEqual(self.broken_rules(make_scenario(), gateway=scenarios.ForgetsResponses), {"lost"})
+
+    def test_mixes_responses(self) -> None:
+        """Clients get the responses made for others."""
+        self.assertEqual(self.broken_rules(make_scenario(), gateway=scenarios.MixesResponses), {"lost"})
+
+    def test_overloads_a_warming_endpoint(self) -> None:
+        """An endpoint is replaced by a cold one, and the gateway sends everything there."""
+        scenario = make_scenario(
+            'kind = "replace"; at_s = 1; worker = 0', cores=1, cold_from=0.05, fall_multiple=1.5
+        )
+        self.assertEqual(self.broken_rules(scenario, engine=scenarios.Pusher), {"pushed"})
+
+    def test_passes_ceilings(self) -> None:
+        """Customers ask four times their quota, and the gateway admits everything."""
+        scenario = make_scenario(use=4.0)
+        self.assertEqual(self.broken_rules(scenario, engine=scenarios.Passer), {"ceilings"})
+
+
+def sent(class_name: str = "sold-copy") -> AttemptSent:
+    """A client's attempt at 100 ms that waits for 500 ms."""
+    return AttemptSent(
+        100.0,
+        attempt_id="x",
+        request=0,
+        gateway=1,
+        request_class=class_name,
+        plan="basic",
+        customer=5,
+        units=2,
+        time_left_ms=500.0,
+    )
+
+
+def received(time_ms: float, receipt: int, endpoint: str = "w0") -> EndpointReceived:
+    """That attempt, received by an endpoint."""
+    return EndpointReceived(time_ms, "x", receipt, endpoint, gateway=1, first_byte_ms=time_ms, work_ms=5.0)
+
+
+def started(endpoint: str, zone: str) -> EndpointChanged:
+    """An endpoint's warm start."""
+    return EndpointChanged(
+        1.0, endpoint, EndpointState.STARTED, zone=zone, cell=0, is_cold=False, cores=1, speed=1.0
+    )
+
+
+def finished(
+    time_ms: float, receipt: int, outcome: EndpointOutcome, has_run: bool = True
+) -> EndpointFinished:
+    """The end of that attempt in an endpoint."""
+    return EndpointFinished(time_ms, "x", receipt, outcome, has_run)
+
+
+class HandWrittenLogTest(unittest.TestCase):
+    """The oracle on logs of a few events."""
+
+    def violations(self, *events: LoggedEvent) -> list[str]:
+        """Rule and description of each violation."""
+        event_log = EventLog(RunHeader(clock=ClockKind.VIRTUAL))
+        for event in events:
+            event_log.add(event)
+        found = find_violations(event_log, make_scenario())
+        return [f"{violation.rule}: {violation.description}" for violation in found]
+
+    def test_an_unanswered_attempt_is_told_from_one_whose_client_left(self) -> None:
+        self.assertEqual(self.violations(sent()), ["lost: still open when the run ended"])
+        self.assertEqual(self.violations(sent(), ClientLeft(300.0, "x")), [])
+        self.assertEqual(self.violations(sent(), ConnectFailed(300.0, "x")), [])
+
+    def test_a_closed_connection_is_excused_by_a_kill_only(self) -> None:
+        """A client's connection closes without a response.
+
+        That is the testbed's doing where it killed the gateway meanwhile, or just before: a connection
+        outlives its process for a moment. A gateway that was started again since is not excused.
+        """
+        closed = ConnectionClosed(300.0, "x")
+        self.assertEqual(
+            self.violations(sent(), closed), ["lost: its connection was closed with no response"]
+        )
+        self.assertEqual(self.violations(sent(), GatewayChanged(200.0, 1, GatewayState.KILLED), closed), [])
+        self.assertEqual(self.violations(GatewayChanged(95.0, 1, GatewayState.KILLED), sent(), closed), [])
+        killed_before = GatewayChanged(50.0, 1, GatewayState.KILLED)
+        started_again = GatewayChanged(80.0, 1, GatewayState.STARTED)
+        self.assertEqual(len(self.violations(killed_before, started_again, sent(), closed)), 1)
+
+    def test_one_response_in_time(self) -> None:
+        late = ResponseReceived(700.0, "x", 503, made_for="")
+        self.assertEqual(self.violations(sent(), late), ["lost: answered 92 ms too late"])
+        first = ResponseReceived(400.0, "x", 503, made_for="")
+        second = ResponseReceived(401.0, "x", 503, made_for="")
+        self.assertEqual(self.violations(sent(), first, second), ["lost: answered twice"])
+
+    def test_a_request_with_a_key_stays_in_its_zone_and_is_not_hedged(self) -> None:
+        """A request with an idempotency key has failed, and is sent again.
+
+        Endpoints of one zone share the memory of keys. In that zone the repeat is allowed once the first
+        attempt has ended; in another only where the first attempt did not run.
+        """
+        places = [started("w0", "a"), started("w1", "b"), started("w2", "a")]
+        first = [*places, sent("booking"), received(110.0, 1)]
+        failed = finished(150.0, 1, EndpointOutcome.FAILED)
+        rejected = finished(150.0, 1, EndpointOutcome.REJECTED, has_run=False)
+        served = [
+            finished(190.0, 2, EndpointOutcome.SUCCEEDED),
+            ResponseReceived(200.0, "x", 200, made_for="x"),
+        ]
+        same_zone = received(160.0, 2, "w2")
+        other_zone = received(160.0, 2, "w1")
+        self.assertEqual(self.violations(*first, failed, same_zone, *served), [])
+        self.assertEqual(
+            self.violations(*first, failed, other_zone, *served),
+            ["doubled: a request with an idempotency key was sent beyond its zone"],
+        )
+        self.assertEqual(self.violations(*first, rejected, other_zone, *served), [])
+        self.assertEqual(
+            self.violations(*first, received(130.0, 2, "w2"), failed, *served),
+            ["doubled: a hedged request, not allowed"],
+        )
+
+    def test_what_no_client_sent_is_a_duplicate(self) -> None:
+        self.assertEqual(self.violations(received(5.0, 1)), ["doubled: forwarded though no client sent it"])
