--- a/tests/command_line_harness.py
+++ b/tests/command_line_harness.py
@@ -18,12 +18,15 @@
     """A test with a folder for the files that commands read and write."""
 
     def setUp(self) -> None:
+        """Makes the folder."""
         self.folder = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
 
     def write_file(self, text: str, name: str = "file.toml") -> str:
+        """Writes a file into the folder; returns its path."""
         path = self.folder / name
         path.write_text(text)
         return str(path)
 
     def drumgw(self, *arguments: str) -> Result:
+        """Runs a command; its output has standard error too."""
         return CliRunner().invoke(main, arguments)
--- a/tests/hosting_harness.py
+++ b/tests/hosting_harness.py
@@ -45,6 +45,7 @@
         self.totals: defaultdict[str, float] = defaultdict(float)
 
     def answer(self, head: bytes, body: bytes) -> bytes:
+        """Adds what the call reports, and answers with the total."""
         call = re.match(rb"POST /counters/([^?]+)\?by=([^&]+)", head)
         assert call
         key = call[1].decode()
@@ -56,6 +57,7 @@
     """Starts hosts and ends them with the test."""
 
     def setUp(self) -> None:
+        """Forgets the endpoints of other tests."""
         self.endpoints: dict[str, StandIn] = {}  # by tenant
 
     async def tenant(self, name: str, answer: Any = None, **more: Any) -> dict[str, Any]:
@@ -108,10 +110,12 @@
         return host_process
 
     async def close_host(self, host_process: HostProcess) -> None:
+        """Ends a host without the time in which clients still come."""
         with mock.patch("drumgw.hosting.host_process.SHUTDOWN_LINGER_MS", 0.0):
             await host_process.close()
 
     async def until_ready(self) -> None:
+        """Waits until all services and their replacements are ready."""
         services = self.host_process.services
         while services.replacements or not all(s.is_ready for s in services.services.values()):
             await asyncio.sleep(POLL_S)
@@ -122,10 +126,12 @@
             await asyncio.sleep(POLL_S)
 
     async def until_received(self, endpoint: StandIn) -> None:
+        """Waits until a server has received something."""
         while not endpoint.came:
             await asyncio.sleep(POLL_S)
 
     async def until_done(self, operation_id: str) -> None:
+        """Polls a long-running operation until it ends."""
         while (await self.call("GET", f"/v1/operations/{operation_id}")).body["state"] == "running":
             await asyncio.sleep(POLL_S)
 
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -14,6 +14,8 @@
 
 
 class Commands(CommandLineCase):
+    """Help, imports and `drumgw serve`."""
+
     def test_help_says_what_each_command_is_for(self) -> None:
         for command in ((), ("serve",), ("check",), ("lab",), ("lab", "run"), ("lab", "report")):
             result = self.drumgw(*command, "--help")
@@ -61,6 +63,8 @@
 
 
 class LabRuns(CommandLineCase):
+    """`drumgw lab` on a virtual clock."""
+
     def rejection(self, text: str) -> str:
         """Returns what `drumgw lab run` prints for an unusable scenario; nothing was started."""
         result = self.drumgw("lab", "run", self.write_file(text), "--out", str(self.folder / "out"))
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -14,6 +14,8 @@
 
 
 class TenantIsolation(HostCase):
+    """Faults, load and idle clients of one tenant reach no other."""
+
     async def test_twenty_tenants_with_one_customer_one_id_and_one_endpoint_name(self) -> None:
         """Twenty tenants have a customer, a request id and an endpoint of the same name.
 
@@ -83,6 +85,7 @@
             {f"t{n}": 6 for n in range(5, 12)},
         )
         self.assertEqual(self.endpoints["t4"].came, [])
+        self.assertEqual((await self.call("GET", "/v1/tenants/t4/use")).body["taken"], 0)
 
     async def test_idle_connections_of_one_tenant_do_not_push_out_another_s(self) -> None:
         """One tenant's clients connect by the dozen, ask once and stay; another tenant has one connection.
@@ -163,6 +166,8 @@
 
 
 class TenantChanges(HostCase):
+    """A tenant's spec and state change while requests are in flight."""
+
     async def test_a_tenant_is_removed_with_a_request_in_flight_and_created_anew(self) -> None:
         """A tenant is removed while an endpoint still works on a request, and its name is used again at once.
 
@@ -218,6 +223,24 @@
         self.assertEqual((await self.send("t1", Request_Id="6"))[0], 503)
         self.assertEqual(len({key.split("-")[1] for key in counter.totals}), 1)
 
+    async def test_an_id_in_flight_at_the_replaced_service_is_open_at_the_new_one(self) -> None:
+        """A spec is replaced while a request is in flight, and its client sends the same id again.
+
+        The replaced service has the request; the new one must not forward it a second time beside it.
+        """
+        held: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+        await self.start_host(await self.tenant("t1", answer=lambda head, body: held))
+        request = asyncio.create_task(self.send("t1", Request_Id="same", Request_Timeout="60000m"))
+        await self.until_received(self.endpoints["t1"])
+        replaced = await self.call("PUT", "/v1/tenants/t1/limits", {"submissions": 2}, If_Match='"1"')
+        self.assertEqual(replaced.status, 200)
+        await self.until_ready()
+        self.assertEqual((await self.send("t1", Request_Id="same"))[0], 409)
+        held.set_result(http(b"ok"))
+        self.assertEqual(await request, (200, b"ok"))
+        self.assertEqual(len(self.endpoints["t1"].came), 1)
+        self.assertEqual(await self.send("t1", Request_Id="same"), (200, b"ok"))
+
     async def test_routes_weight_and_discovery_change_without_a_new_service(self) -> None:
         host_process = await self.start_host(await self.tenant("t1"))
         gateway_service = host_process.services.services["t1"].gateway_service
--- a/tests/test_hosting_admin.py
+++ b/tests/test_hosting_admin.py
@@ -26,6 +26,8 @@
 
 
 class Checks(HostCase):
+    """What is sent to the API is checked, bounded and described."""
+
     async def test_every_mistake_is_reported_and_nothing_is_half_applied(self) -> None:
         host_process = await self.start_host(await self.tenant("t1"))
         good = await self.tenant("t2")
@@ -119,6 +121,8 @@
 
 
 class Callers(HostCase):
+    """Roles, several administrators at once, and the audit log."""
+
     async def test_each_role_sees_and_changes_what_is_its_own(self) -> None:
         await self.start_host(await self.tenant("t1"), await self.tenant("t2"))
         for token in (None, "", "guess", hash_token(OPERATOR_TOKEN)):
@@ -175,6 +179,8 @@
 
 
 class StoredState(HostCase):
+    """What a change leaves on the disk, whatever happens meanwhile."""
+
     async def test_what_the_api_changed_outlives_a_restart(self) -> None:
         folder = self.folder()
         first = await self.start_host(await self.tenant("t1"), state=folder)
@@ -243,6 +249,8 @@
 
 
 class CommandLine(HostCase):
+    """`drumgw tenants` against a host."""
+
     async def run_tenants(self, *arguments: str, body: Any = None) -> tuple[int, str]:
         """Runs `drumgw tenants`; returns its exit code and what it printed."""
         result = await asyncio.to_thread(
@@ -276,6 +284,8 @@
 
 
 class HostFiles(unittest.TestCase):
+    """`drumgw host --check`."""
+
     def test_a_host_file_is_checked_as_a_whole(self) -> None:
         path = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory())) / "host.toml"
         text = pathlib.Path("examples/host.toml").read_text()
--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -38,10 +38,13 @@
 
 
 def spec(*routes: tuple[str, str], **more: Any) -> dict[str, Any]:
+    """Returns a tenant's spec with these hosts and paths."""
     return {"route": [{"host": host, "path": path} for host, path in routes], "weight": 1.0, **more}
 
 
 class Routing(unittest.TestCase):
+    """Which tenant a host and a path belong to."""
+
     def test_the_exact_host_then_the_longer_prefix(self) -> None:
         routes = RoutingTable(
             [
@@ -75,6 +78,8 @@
 
 
 class SharedCapacity(unittest.TestCase):
+    """What each tenant may hold, and who waits while the event loop lags."""
+
     def test_each_tenant_keeps_its_share_and_nobody_borrows_all(self) -> None:
         """Two tenants ask for as much as they can get before the third asks for anything.
 
@@ -132,6 +137,8 @@
 
 
 class Registry(unittest.TestCase):
+    """Versions, states, idempotency keys and the stored form of the registry."""
+
     def assert_rejected(self, status: int, call: Callable[..., Any], *arguments: Any) -> ApiError:
         with self.assertRaises(ApiError) as context:
             call(*arguments)
@@ -284,6 +291,8 @@
 
 
 class Permissions(unittest.TestCase):
+    """Who calls, and what each role may do."""
+
     def test_a_token_is_known_by_its_hash(self) -> None:
         text, digest = create_token()
         operator = ApiToken("one", Role.OPERATOR, None, digest)
@@ -362,6 +371,8 @@
 
 
 class StateFiles(unittest.TestCase):
+    """Kills, damage and other versions of the state file."""
+
     def setUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
 
--- a/tests/test_lab_on_sockets.py
+++ b/tests/test_lab_on_sockets.py
@@ -29,6 +29,8 @@
 
 
 class LabOnSockets(CommandLineCase):
+    """Runs of the testbed with gateway processes of their own."""
+
     def test_a_scenario_with_faults_and_real_gateways(self) -> None:
         """Gateways are restarted and killed while endpoints, counter, discovery and a zone have faults.
 
--- a/tests/test_operator_files.py
+++ b/tests/test_operator_files.py
@@ -12,6 +12,8 @@
 
 
 class GatewayFiles(CommandLineCase):
+    """`drumgw check` on usable and unusable files."""
+
     def mistakes(self, text: str) -> list[str]:
         """Returns the lines that `drumgw check` prints for an unusable file, without the file's name."""
         result = self.drumgw("check", self.write_file(text))
