--- a/drumgw/policy/quota_account.py
+++ b/drumgw/policy/quota_account.py
@@ -125,12 +125,11 @@
             max_request_units: the largest request.
         """
         gateways = max(1, event.gateway_count)
+        hash_key = stable_hash(event.customer)
         cap = plan.max_concurrent_attempts
         is_cap_below_gateways = 0 < cap * MAX_GATEWAYS_PER_CAPPED_ATTEMPT < gateways
+        capped_quota = min(plan.quota_units, cap * max_request_units)
         allowance = max(max_request_units, plan.quota_units / gateways)
-        # What was spent before this gateway started, or before the account was dropped, is not known
-        refilled_ms = min(IDLE_ACCOUNT_MS, context.now_ms - context.started_at_ms)
-        hash_key = stable_hash(event.customer)
         return cls(
             plan=plan,
             customer=event.customer,
@@ -143,11 +142,9 @@
             last_window_usage_units=[0.0] * class_count,
             local_pace_units_per_ms=[0.0] * class_count,
             reserved_units=[0.0] * class_count,
-            ceiling_units=plan.ceiling_units_per_ms * refilled_ms / gateways,
+            ceiling_units=_refilled_ceiling_units(plan, gateways, context),
             is_cap_below_gateways=is_cap_below_gateways,
-            usable_quota_units=(
-                min(plan.quota_units, cap * max_request_units) if is_cap_below_gateways else plan.quota_units
-            ),
+            usable_quota_units=capped_quota if is_cap_below_gateways else plan.quota_units,
             max_allowance_units=allowance,
             allowance_units=allowance,
             epoch_phase_ms=hash_key % int(EPOCH_MS),
@@ -222,3 +219,13 @@
     def correct_usage(self, class_rank: int, estimated_units: float, billed_units: float) -> None:
         """Replaces the estimate that was charged by the true cost."""
         self.usage_units[class_rank] = max(0.0, self.usage_units[class_rank] + billed_units - estimated_units)
+
+
+def _refilled_ceiling_units(plan: PlanLimits, gateways: int, context: DecisionContext) -> float:
+    """A new account's part of the ceiling.
+
+    What was spent before this gateway started, or before an idle account was dropped, is not known: so it
+    holds only what has been refilled since, for as long as accounts are kept at most.
+    """
+    refilled_ms = min(IDLE_ACCOUNT_MS, context.now_ms - context.started_at_ms)
+    return plan.ceiling_units_per_ms * refilled_ms / gateways
