--- a/drumgw/config/sections.py
+++ b/drumgw/config/sections.py
@@ -46,7 +46,7 @@
 
 
 class RequestClassSection(Section):
-    """`[[product]]`: a kind of request, its worth, its latency objective and deadline, its idempotency."""
+    """`[[product]]`: a kind of request, its priority weight, latency objective, deadline and idempotency."""
 
     name: Name
     value: PositiveAmount = 1.0
