--- a/drumgw/policy/admission.py
+++ b/drumgw/policy/admission.py
@@ -94,14 +94,14 @@
         Guards the higher classes while answers are late: the lower ones yield first. For those an overdue
         attempt still counts as in flight then.
         """
-        draw = self.context.random
+        random = self.context.random
         class_rank = request.class_rank
         counts_overdue = self.overload.is_late and class_rank > 0
         in_flight = self.limit.in_flight - (0 if counts_overdue else self.limit.overdue)
-        is_full = in_flight + draw.random() > self.limit.max_in_flight_for(class_rank)
+        is_full = in_flight + random.random() > self.limit.max_in_flight_for(class_rank)
         if request.retry_after_ms:
             return
         classes_below = len(self.class_shares) - 1 - class_rank
-        if is_full or draw.random() < self.overload.shed_level - classes_below:
-            fraction = draw.uniform(MIN_SHED_RETRY_AFTER_FRACTION, 1.0)
+        if is_full or random.random() < self.overload.shed_level - classes_below:
+            fraction = random.uniform(MIN_SHED_RETRY_AFTER_FRACTION, 1.0)
             request.retry_after_ms = max(MIN_RETRY_AFTER_MS, self.max_retry_after_ms * fraction)
--- a/drumgw/policy/counter_sync.py
+++ b/drumgw/policy/counter_sync.py
@@ -14,6 +14,12 @@
 from drumgw.policy.back_end import BackEnd
 from drumgw.policy.context import RATE_MEMORY_MS, DecisionContext
 from drumgw.policy.counter_calls import CounterCall, CounterCalls
+from drumgw.policy.counter_encoding import (
+    HALF_STEP,
+    TOP_CLASS_STEP_UNITS,
+    decode_total,
+    encode_amount,
+)
 from drumgw.policy.counter_repair import MAX_REPAIR_UNITS, MIN_LOSS_UNITS, CounterRepair
 from drumgw.policy.quota_account import IDLE_ACCOUNT_MS, QuotaAccount
 from drumgw.policy.request_state import NO_EPOCH, CounterExchange, PendingRequest
@@ -22,15 +28,15 @@
 RESERVATION_MS = 1000.0
 """A reservation covers so much of the demand here, at most."""
 MAX_RESERVATION_QUOTA_FRACTION = 0.2
-TOP_CLASS_STEP_UNITS = 8.0
-"""Units of the highest class for each step in a total's decimals."""
-TOP_CLASS_SCALE = 100
-"""Steps that make a whole unit of a total: its two decimals."""
+MAX_REPORT_QUOTA_FRACTION = 0.5
+"""A report stands for no more than this part of the quota, however low the odds of a call."""
 LOSS_QUOTA_FRACTION = 0.1
 """A total that lacks more than this (and `MIN_LOSS_UNITS`) has lost something."""
 MAX_LEVEL_QUOTAS = 2.0
 """A total that shows more usage than so many quotas cannot be true."""
 MIN_TIME_LEFT_TO_WAIT_MS = 2100.0
+TIMEOUTS_TO_SPARE = 2
+"""Counter timeouts that a request must have left, to wait for a total."""
 STALL_MARGIN = 1.25
 
 
@@ -54,17 +60,21 @@
         self.has_counter = settings.has_counter
         self.timeout_ms = settings.counter_timeout_ms
         self.max_retry_after_ms = settings.max_retry_after_ms
-        self.min_time_left_to_wait_ms = max(MIN_TIME_LEFT_TO_WAIT_MS, 2 * self.timeout_ms)
+        self.min_time_left_to_wait_ms = max(MIN_TIME_LEFT_TO_WAIT_MS, TIMEOUTS_TO_SPARE * self.timeout_ms)
         """A request with less time left is decided without waiting for the total."""
 
     def record_stall(self, stall_ms: float) -> None:
         """Guards requests that wait for a total: one that would not outlive such a stall does not wait."""
-        needed_ms = STALL_MARGIN * stall_ms + 2 * self.timeout_ms
+        needed_ms = STALL_MARGIN * stall_ms + TIMEOUTS_TO_SPARE * self.timeout_ms
         self.min_time_left_to_wait_ms = max(self.min_time_left_to_wait_ms, needed_ms)
 
     def poll(self, request: PendingRequest, time_left_ms: float) -> bool:
         """Polls the total for a new request where that is of use, by odds where the counter is crowded.
 
+        Args:
+            request: judged by what is known here already; may be put off further where that is too little.
+            time_left_ms: until the client gives up.
+
         Returns:
             Whether the request waits for the total. If not, it is decided by what is known here.
         """
@@ -126,7 +136,9 @@
         account = exchange.account
         class_rank = exchange.class_rank
         draw = self.context.random.random
-        by_odds = min(exchange.units / self.calls.poll_probability, account.plan.quota_units / 2)
+        by_odds = min(
+            exchange.units / self.calls.poll_probability, MAX_REPORT_QUOTA_FRACTION * account.plan.quota_units
+        )
         unreported = max(exchange.units, by_odds) - exchange.units
         units = unreported + reservation_units - account.reserved_units[class_rank]
         lag = exchange.refill_lag_units
@@ -134,7 +146,7 @@
         steps = math.floor(top_class_units / TOP_CLASS_STEP_UNITS + draw())
         lag_units = math.floor(min(lag, MAX_REPAIR_UNITS) + draw())
         whole_units = math.floor(max(0.0, units) + draw()) + lag_units
-        if self.calls.send(exchange, whole_units + max(0, steps) / TOP_CLASS_SCALE, lag_units):
+        if self.calls.send(exchange, encode_amount(whole_units, steps), lag_units):
             account.reserved_units[class_rank] = reservation_units
 
     def return_reservations(self, account: QuotaAccount) -> None:
@@ -165,6 +177,14 @@
     def apply_total(self, call: CounterCall, total: float) -> float:
         """Sets an account's usage by a total, unless the total cannot be true.
 
+        Guards quotas and customers against a counter that lost units (a total lower than refilling explains)
+        or adds units up (more usage than any quota holds): the account then goes by what is known here, and
+        the total is put right. Usage is never less than this gateway's own, whatever the total says.
+
+        Args:
+            call: the call that was answered.
+            total: the total after it.
+
         Returns:
             The quota's level of usage that the total shows, or that is known where it cannot be true.
         """
@@ -172,15 +192,14 @@
         account = exchange.account
         quota = account.plan.quota_units
         refilled = account.refilled_units(exchange.epoch, self.context.now_ms)
-        counted, steps = divmod(round(total * TOP_CLASS_SCALE), TOP_CLASS_SCALE)
+        counted, exchange.top_class_fraction = decode_total(total)
         self._follow_others(call, counted)
         exchange.refill_lag_units = max(0.0, refilled - counted)
-        exchange.top_class_fraction = min(1.0, steps * TOP_CLASS_STEP_UNITS / max(1.0, counted))
         pending_units = [math.floor(each.amount) for each in self.calls.pending(exchange)]
         level = max(0.0, counted - refilled + sum(units for units in pending_units if units < 0))
         usage = max(account.local_usage_units, counted - refilled + sum(pending_units))
         own_units = max(0, call.own_units)
-        is_first = total - call.amount < 0.5 / TOP_CLASS_SCALE
+        is_first = total - call.amount < HALF_STEP
         has_lost = self._has_lost_units(account, counted - call.own_units - refilled)
         if has_lost:
             level = max(level, account.known_level_units + own_units)
--- a/drumgw/policy/latency.py
+++ b/drumgw/policy/latency.py
@@ -10,6 +10,8 @@
 from drumgw.policy.endpoint_state import EndpointState
 
 HIGH_QUANTILE = 0.9
+INITIAL_OBJECTIVE_FRACTION = 0.5
+"""First estimate of a class, as a part of its latency objective."""
 MIN_CLASS_STEP = 0.03
 MIN_ENDPOINT_STEP = 0.1
 MAX_ENDPOINT_STEP = 0.5
@@ -26,7 +28,7 @@
     """The high latency quantile of one request class, over all endpoints."""
 
     def __init__(self, latency_objective_ms: float) -> None:
-        self.high_ms = latency_objective_ms / 2
+        self.high_ms = INITIAL_OBJECTIVE_FRACTION * latency_objective_ms
         self.answers = 0
 
     def record(self, duration_ms: float) -> None:
