--- a/drumgw/simulator/wire.py
+++ b/drumgw/simulator/wire.py
@@ -77,31 +77,36 @@
     """The message for an action of one gateway instance."""
     match action:
         case ForwardRequest():
-            name = "Deliver"
-            fields: JsonObject = {
-                "rid": action.request_id,
-                "worker": action.endpoint_id,
-                "stopAtMs": action.deadline_ms,
-            }
+            return _message(
+                "Deliver",
+                instance,
+                rid=action.request_id,
+                worker=action.endpoint_id,
+                stopAtMs=action.deadline_ms,
+            )
         case RejectRequest():
-            name, fields = "Decline", {"rid": action.request_id, "pauseMs": action.retry_after_ms}
+            return _message("Decline", instance, rid=action.request_id, pauseMs=action.retry_after_ms)
         case FailRequest():
-            name, fields = "GiveUp", {"rid": action.request_id}
+            return _message("GiveUp", instance, rid=action.request_id)
         case CancelAttempt():
-            name, fields = "Cancel", {"rid": action.request_id, "attempt": action.attempt}
+            return _message("Cancel", instance, rid=action.request_id, attempt=action.attempt)
         case SetTimer():
-            name, fields = "After", {"spanMs": action.delay_ms, "label": action.timer_id}
+            return _message("After", instance, spanMs=action.delay_ms, label=action.timer_id)
         case AddToCounter():
-            name = "Count"
-            fields = {"amount": action.amount, "book": action.counter_key, "livesMs": action.ttl_ms}
+            return _message(
+                "Count",
+                instance,
+                amount=action.amount,
+                book=action.counter_key,
+                livesMs=action.ttl_ms,
+            )
         case LogMessage():
-            name, fields = "Emit", {"reasonText": action.text}
-    return {name: {"who": instance, **fields}}
+            return _message("Emit", instance, reasonText=action.text)
 
 
 def write_engine_failure(instance: int, text: str) -> JsonObject:
     """The message that reports an exception of a gateway instance's policy engine."""
-    return {"InternalError": {"who": instance, "reasonText": text}}
+    return _message("InternalError", instance, reasonText=text)
 
 
 def write_end_of_reply() -> JsonObject:
@@ -109,6 +114,10 @@
     return {"Next": {}}
 
 
+def _message(message_name: str, instance: int, **fields: float | str) -> JsonObject:
+    return {message_name: {"who": instance, **fields}}
+
+
 def _read_endpoint(names: NameIndex, row: JsonObject) -> EndpointInfo:
     return EndpointInfo(
         endpoint_id=row["worker"],
--- a/drumgw/testbed/clients.py
+++ b/drumgw/testbed/clients.py
@@ -9,8 +9,6 @@
 from drumgw.testbed.clocks import TestbedClock
 from drumgw.testbed.event_log import EventLog
 from drumgw.testbed.logged_events import (
-    REJECTION_STATUSES,
-    STATUS_SUCCEEDED,
     AttemptSent,
     ClientGaveUp,
     ClientLeft,
@@ -21,7 +19,8 @@
     SentLate,
 )
 from drumgw.testbed.scenario import IDEMPOTENT, Scenario
-from drumgw.testbed.workload import Arrival, Customer, Workload
+from drumgw.testbed.statuses import REJECTION_STATUSES, STATUS_SUCCEEDED
+from drumgw.testbed.workload import Arrival, Customer, RandomUse, Workload
 
 GIVE_UP_AFTER_MS = 500.0
 """A client listens so long beyond its deadline; a response in that time earns nothing."""
@@ -63,7 +62,7 @@
         self._workload = workload
         self._clock = clock
         self._event_log = event_log
-        self._random = workload.random_stream("clients")
+        self._random = workload.random_stream(RandomUse.CLIENTS)
         self._arrivals: Iterator[Arrival] = iter(())
         self._in_rotation = [True] * scenario.fleet.gatekeepers
 
--- a/drumgw/testbed/endpoint_registry.py
+++ b/drumgw/testbed/endpoint_registry.py
@@ -9,19 +9,37 @@
 import random
 from collections.abc import Callable, Iterable
 from functools import partial
-from typing import Any, NamedTuple
+from typing import NamedTuple, TypedDict
 
 from drumgw.testbed.clocks import TestbedClock
 from drumgw.testbed.event_log import EventLog
-from drumgw.testbed.logged_events import LIFECYCLE_REMOVED, LIFECYCLE_UP, EndpointAnnounced
+from drumgw.testbed.logged_events import EndpointAnnounced, Lifecycle
 from drumgw.testbed.scenario import DiscoverySection
 
 MAX_CHANGES = 200
 """Changes that are remembered; who is further behind gets the complete list."""
 RETRY_MS = 100.0
 """How often an agent asks again while discovery is silent."""
-Row = dict[str, Any]
-Update = dict[str, Any]
+
+
+class EndpointRow(TypedDict):
+    """One endpoint of the list, under the discovery protocol's names."""
+
+    instanceId: str
+    zone: str
+    machineType: str
+    cell: int
+    lifecycle: Lifecycle
+    weight: float
+    startedAtMs: float
+
+
+class ListUpdate(TypedDict):
+    """The complete list (`reset`), or what changed since an earlier generation."""
+
+    generation: int
+    reset: bool
+    instances: list[EndpointRow]
 
 
 class _Change(NamedTuple):
@@ -29,13 +47,13 @@
 
     generation: int
     name: str
-    row: Row
+    row: EndpointRow
 
 
 class _Word(NamedTuple):
     """What an agent has of one endpoint."""
 
-    lifecycle: str
+    lifecycle: Lifecycle
     started_at_ms: float
 
 
@@ -50,7 +68,7 @@
         event_log: EventLog,
         random_stream: random.Random,
     ) -> None:
-        self.rows: dict[str, Row] = {}
+        self.rows: dict[str, EndpointRow] = {}
         """The list, by endpoint name."""
         self.watchers: list[Callable[[], None] | None] = [None] * gateway_count
         """By gateway: called once when its agent has an update."""
@@ -61,7 +79,7 @@
         self._event_log = event_log
         self._random = random_stream
         self._generation = 1
-        self._removed_rows: dict[str, Row] = {}
+        self._removed_rows: dict[str, EndpointRow] = {}
         self._changes: list[_Change] = []
         self._agent_generations = [1] * gateway_count
         self._agent_words: list[dict[str, _Word]] = [{} for _ in range(gateway_count)]
@@ -72,7 +90,7 @@
         zone: str,
         cell: int,
         started_at_ms: float | None,
-        lifecycle: str = LIFECYCLE_UP,
+        lifecycle: Lifecycle = Lifecycle.UP,
     ) -> None:
         """Adds an endpoint to the list, or replaces its row."""
         self.rows[name] = {
@@ -86,22 +104,22 @@
         }
         self._publish(name)
 
-    def set_lifecycle(self, name: str, lifecycle: str) -> None:
+    def set_lifecycle(self, name: str, lifecycle: Lifecycle) -> None:
         """Changes an endpoint's lifecycle; one that is removed leaves the list."""
         if name not in self.rows:
             return
-        if lifecycle == LIFECYCLE_REMOVED:
+        if lifecycle == Lifecycle.REMOVED:
             self._removed_rows[name] = {**self.rows.pop(name), "lifecycle": lifecycle}
         else:
             self.rows[name] = {**self.rows[name], "lifecycle": lifecycle}
         self._publish(name)
 
-    def publish_initial_list(self) -> Update:
+    def publish_initial_list(self) -> ListUpdate:
         """The list as all agents have it when the run begins."""
         self._agent_generations = [self._generation] * len(self._agent_generations)
         return _complete_list(self._generation, self.rows.values())
 
-    def updates_since(self, gateway: int, generation: int | None) -> Update | None:
+    def updates_since(self, gateway: int, generation: int | None) -> ListUpdate | None:
         """What a watch from this generation is answered; None while its agent has nothing newer."""
         agent_generation = self._agent_generations[gateway]
         if generation is not None and agent_generation <= generation:
@@ -116,7 +134,7 @@
         }
         return {"generation": agent_generation, "reset": False, "instances": list(rows.values())}
 
-    def empty_update(self, gateway: int, generation: int | None) -> Update:
+    def empty_update(self, gateway: int, generation: int | None) -> ListUpdate:
         """What a watch from this generation is answered when nothing changed in its time."""
         return {
             "generation": generation or self._agent_generations[gateway],
@@ -154,7 +172,7 @@
         if watcher is not None:
             watcher()
 
-    def _agent_rows(self, gateway: int) -> list[Row]:
+    def _agent_rows(self, gateway: int) -> list[EndpointRow]:
         """The complete list as this gateway's agent has it: changes that it has not got are undone."""
         rows = dict(self.rows)
         undone: set[str] = set()
@@ -164,23 +182,23 @@
                 undone.add(change.name)
             elif change.name in undone:
                 undone.discard(change.name)
-                if change.row["lifecycle"] != LIFECYCLE_REMOVED:
+                if change.row["lifecycle"] != Lifecycle.REMOVED:
                     rows[change.name] = change.row
         return list(rows.values())
 
-    def _announce(self, gateway: int, rows: Iterable[Row], is_complete: bool) -> None:
+    def _announce(self, gateway: int, rows: Iterable[EndpointRow], is_complete: bool) -> None:
         """The agent has these rows: from now on they bind the gateway."""
         words = {row["instanceId"]: _Word(row["lifecycle"], row["startedAtMs"]) for row in rows}
         known = self._agent_words[gateway]
         if is_complete:
-            words |= {name: _Word(LIFECYCLE_REMOVED, 0.0) for name in known if name not in words}
+            words |= {name: _Word(Lifecycle.REMOVED, 0.0) for name in known if name not in words}
         for name, word in words.items():
             if known.get(name) != word:
                 known[name] = word
                 self._event_log.add(EndpointAnnounced(self._clock.now(), gateway, name, *word))
-            if word.lifecycle == LIFECYCLE_REMOVED:
+            if word.lifecycle == Lifecycle.REMOVED:
                 known.pop(name, None)
 
 
-def _complete_list(generation: int, rows: Iterable[Row]) -> Update:
+def _complete_list(generation: int, rows: Iterable[EndpointRow]) -> ListUpdate:
     return {"generation": generation, "reset": True, "instances": list(rows)}
--- a/drumgw/testbed/endpoint_rules.py
+++ b/drumgw/testbed/endpoint_rules.py
@@ -8,13 +8,13 @@
 
 from drumgw.config.sections import RulesSection
 from drumgw.testbed.logged_events import (
-    LIFECYCLE_UP,
     EndpointAnnounced,
     EndpointChanged,
     EndpointReceived,
     EndpointState,
     GatewayChanged,
     GatewayState,
+    Lifecycle,
 )
 from drumgw.testbed.observations import Observations, RuleName, Violation
 
@@ -34,12 +34,12 @@
             case EndpointAnnounced():
                 announced[event.gateway, event.endpoint] = event
             case GatewayChanged(state=GatewayState.STARTED):
-                # A new process knows nothing of what the last one was told.
+                # A new process knows nothing of what its predecessor had heard.
                 for key in [key for key in announced if key[0] == event.gateway]:
                     del announced[key]
             case EndpointReceived():
                 word = announced.get((event.gateway, event.endpoint))
-                if word is not None and word.lifecycle != LIFECYCLE_UP:
+                if word is not None and word.lifecycle != Lifecycle.UP:
                     after_ms = event.first_byte_ms - word.time_ms
                     if event.first_byte_ms > word.time_ms + grace_ms:
                         yield _draining_violation(event, word.lifecycle, after_ms)
@@ -65,20 +65,20 @@
     recent: deque[EndpointReceived] = field(default_factory=deque)
     """What it received within the overload window."""
     informed_gateways: set[int] = field(default_factory=set)
-    """Gateways that were told of this start."""
+    """Gateways whose agents had word of this start."""
 
 
 def warm_up_rule(observations: Observations) -> Iterator[Violation]:
     """An endpoint that warms up is not sent more than a multiple of what it can do.
 
-    An overload counts only where two thirds of the work came from gateways that were told of the start.
+    An overload counts only where two thirds of the work came from gateways whose agents had word of it.
     """
     warming: dict[str, _WarmUp] = {}
     for event in observations.events:
         match event:
             case EndpointChanged(state=EndpointState.STARTED, is_cold=True, cores=int(cores), speed=speed):
                 warming[event.endpoint] = _WarmUp(event.time_ms, cores * (speed or 0.0))
-            case EndpointAnnounced(lifecycle="up") if event.endpoint in warming:
+            case EndpointAnnounced(lifecycle=Lifecycle.UP) if event.endpoint in warming:
                 warm_up = warming[event.endpoint]
                 if event.started_at_ms >= warm_up.started_at_ms - START_TOLERANCE_MS:
                     warm_up.informed_gateways.add(event.gateway)
--- a/drumgw/testbed/faults.py
+++ b/drumgw/testbed/faults.py
@@ -15,15 +15,15 @@
 from drumgw.testbed.endpoint import EmulatedEndpoint
 from drumgw.testbed.environment import Environment
 from drumgw.testbed.logged_events import (
-    LIFECYCLE_DRAINING,
-    LIFECYCLE_REMOVED,
     EndpointChanged,
     EndpointState,
     FaultEnded,
     FaultStarted,
+    Lifecycle,
     RunStarted,
 )
 from drumgw.testbed.scenario import Fault, FaultKind
+from drumgw.testbed.workload import RandomUse
 
 REPLACED_STAYS_MS = 3000.0
 """Beyond the time in which all gateways hear of it, a replaced endpoint drains so long before it ends."""
@@ -53,7 +53,7 @@
     def __init__(self, environment: Environment, gateways: GatewayControls) -> None:
         self.environment = environment
         self.gateways = gateways
-        self._random: random.Random = environment.workload.random_stream("troubles")
+        self._random: random.Random = environment.workload.random_stream(RandomUse.FAULTS)
 
     def target_endpoints(self, fault: Fault) -> list[EmulatedEndpoint]:
         """The endpoints that it strikes, among those that have not been replaced."""
@@ -214,7 +214,7 @@
 
 def _unlist_if_down(environment: Environment, endpoint: EmulatedEndpoint) -> None:
     if not endpoint.is_up:
-        environment.discovery.set_lifecycle(endpoint.name, LIFECYCLE_REMOVED)
+        environment.discovery.set_lifecycle(endpoint.name, Lifecycle.REMOVED)
 
 
 def _list_as_up(environment: Environment, endpoint: EmulatedEndpoint) -> None:
@@ -237,13 +237,13 @@
 def _begin_drain(environment: Environment, endpoint: EmulatedEndpoint) -> None:
     endpoint.is_draining = True
     environment.event_log.add(EndpointChanged(environment.clock.now(), endpoint.name, EndpointState.DRAINING))
-    environment.discovery.set_lifecycle(endpoint.name, LIFECYCLE_DRAINING)
+    environment.discovery.set_lifecycle(endpoint.name, Lifecycle.DRAINING)
 
 
 def _end_drained(environment: Environment, endpoint: EmulatedEndpoint) -> None:
     if endpoint.is_draining:
         endpoint.go_down(None)
-        environment.discovery.set_lifecycle(endpoint.name, LIFECYCLE_REMOVED)
+        environment.discovery.set_lifecycle(endpoint.name, Lifecycle.REMOVED)
 
 
 def _drain_endpoints(context: FaultContext, fault: Fault) -> Undo:
--- a/drumgw/testbed/gateway_subprocess.py
+++ b/drumgw/testbed/gateway_subprocess.py
@@ -12,11 +12,11 @@
 import sys
 from dataclasses import dataclass
 from functools import partial
-from typing import Any
 
 from drumgw.testbed.background_tasks import BackgroundTasks
 from drumgw.testbed.clients import DRAIN_NOTICED_MS
 from drumgw.testbed.clocks import TestbedClock
+from drumgw.testbed.endpoint_registry import ListUpdate
 from drumgw.testbed.environment import Environment
 from drumgw.testbed.logged_events import GatewayChanged, GatewayState
 from drumgw.testbed.socket_network import HOST, SocketNetwork, free_port
@@ -44,7 +44,7 @@
     """For configurations and logs."""
     random: random.Random
     """Source of the gateways' seeds."""
-    initial_list: dict[str, Any]
+    initial_list: ListUpdate
     """The endpoint list that gateways know before they hear discovery."""
 
 
--- a/drumgw/testbed/logged_events.py
+++ b/drumgw/testbed/logged_events.py
@@ -31,6 +31,14 @@
     DOWN = "down"
 
 
+class Lifecycle(StrEnum):
+    """What the endpoint list says of an endpoint."""
+
+    UP = "up"
+    DRAINING = "draining"
+    REMOVED = "removed"
+
+
 class GatewayState(StrEnum):
     """What happened to a gateway's process."""
 
@@ -50,16 +58,8 @@
     SOCKETS = "sockets"
 
 
-LIFECYCLE_UP = "up"
-"""A discovery row's lifecycle, as announced to gateways: ready."""
-LIFECYCLE_DRAINING = "draining"
-LIFECYCLE_REMOVED = "removed"
 TIME_DIGITS = 3
 
-STATUS_SUCCEEDED = 200
-REJECTION_STATUSES = (429, 503)
-"""HTTP statuses that say that nothing ran and that sending again is harmless."""
-
 
 @dataclass(slots=True)
 class LoggedEvent:
@@ -242,7 +242,7 @@
 
 @dataclass(slots=True)
 class EndpointChanged(LoggedEvent):
-    """An endpoint started, drains, or went down. The fields from `zone` on are told of a start only."""
+    """An endpoint started, drains, or went down. The fields from `zone` on belong to a start."""
 
     endpoint: str
     state: EndpointState
@@ -259,7 +259,7 @@
 
     gateway: int
     endpoint: str
-    lifecycle: str
+    lifecycle: Lifecycle
     started_at_ms: float
 
 
--- a/drumgw/testbed/metrics.py
+++ b/drumgw/testbed/metrics.py
@@ -139,7 +139,9 @@
 
 def _load_figures(event_log: EventLog) -> Figures:
     """Forwarded attempts by endpoint and gateway, how they ended, calls to the counter."""
-    by_endpoint, by_gateway, by_outcome = Counter[str](), Counter[int](), Counter[str]()
+    by_endpoint = Counter[str]()
+    by_gateway = Counter[int]()
+    by_outcome = Counter[str]()
     attempts = 0
     counter_calls = 0
     engine_failures = 0
--- a/drumgw/testbed/quota_usage.py
+++ b/drumgw/testbed/quota_usage.py
@@ -67,7 +67,8 @@
     """
     plans = {section.name: section for section in scenario.plan}
     accounts: dict[int, _QuotaAccount] = {}
-    beyond_units, sent_units = Counter[str](), Counter[str]()
+    beyond_units = Counter[str]()
+    sent_units = Counter[str]()
     for forwarded in _first_forwards(event_log):
         sent = forwarded.sent
         plan = plans[sent.plan]
--- a/drumgw/testbed/request_outcomes.py
+++ b/drumgw/testbed/request_outcomes.py
@@ -13,8 +13,6 @@
 from drumgw.config.sections import RequestClassSection
 from drumgw.testbed.event_log import EventLog
 from drumgw.testbed.logged_events import (
-    REJECTION_STATUSES,
-    STATUS_SUCCEEDED,
     AttemptSent,
     ClientEvent,
     ClientLeft,
@@ -23,6 +21,7 @@
     ResponseReceived,
 )
 from drumgw.testbed.scenario import Scenario
+from drumgw.testbed.statuses import REJECTION_STATUSES, STATUS_SUCCEEDED
 
 
 class RequestResult(StrEnum):
--- a/drumgw/testbed/request_rules.py
+++ b/drumgw/testbed/request_rules.py
@@ -7,8 +7,6 @@
 
 from drumgw.config.sections import RequestClassSection
 from drumgw.testbed.logged_events import (
-    REJECTION_STATUSES,
-    STATUS_SUCCEEDED,
     ClientGaveUp,
     ClientLeft,
     ConnectFailed,
@@ -19,6 +17,7 @@
 )
 from drumgw.testbed.observations import AttemptHistory, Observations, RuleName, Violation
 from drumgw.testbed.scenario import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT
+from drumgw.testbed.statuses import REJECTION_STATUSES, STATUS_SUCCEEDED
 
 
 def response_rule(observations: Observations) -> Iterator[Violation]:
--- a/drumgw/testbed/socket_clients.py
+++ b/drumgw/testbed/socket_clients.py
@@ -10,9 +10,9 @@
 from drumgw.testbed.client_requests import ClientAttempt
 from drumgw.testbed.clients import ClientPopulation
 from drumgw.testbed.http_wire import ClientConnection, parse_headers
-from drumgw.testbed.logged_events import STATUS_SUCCEEDED
 from drumgw.testbed.scenario import IDEMPOTENT
 from drumgw.testbed.socket_network import HOST
+from drumgw.testbed.statuses import STATUS_SUCCEEDED
 
 MAX_BODY_CHARACTERS = 32
 
--- a/drumgw/testbed/socket_network.py
+++ b/drumgw/testbed/socket_network.py
@@ -65,7 +65,7 @@
         return servers
 
     def endpoint_address(self, gateway: int, name: str) -> str:
-        """Address of an endpoint for a gateway; a new endpoint listens before anyone is told of it."""
+        """Address of an endpoint for a gateway; a new endpoint listens before any gateway hears of it."""
         if (gateway, name) not in self._endpoint_ports:
             self._listen_at_once(self._environment.endpoints[name])
         return f"{HOST}:{self._endpoint_ports[gateway, name]}"
--- a/drumgw/testbed/socket_runner.py
+++ b/drumgw/testbed/socket_runner.py
@@ -19,6 +19,7 @@
 from drumgw.testbed.scenario import Scenario
 from drumgw.testbed.socket_clients import SocketAttemptSender
 from drumgw.testbed.socket_network import SocketNetwork
+from drumgw.testbed.workload import RandomUse
 
 OLD_ADDRESS_MS = 1500.0
 """An address that discovery has left closes after this."""
@@ -47,7 +48,7 @@
             network=self._network,
             tasks=self._tasks,
             folder=folder,
-            random=self._environment.workload.random_stream("gatekeepers"),
+            random=self._environment.workload.random_stream(RandomUse.GATEWAYS),
             initial_list=self._environment.discovery.publish_initial_list(),
         )
         self.gateways = [
--- a/drumgw/testbed/socket_servers.py
+++ b/drumgw/testbed/socket_servers.py
@@ -10,25 +10,28 @@
 import math
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
 from drumgw.testbed.clocks import TestbedClock
 from drumgw.testbed.counter import CounterStatus
 from drumgw.testbed.endpoint import EmulatedEndpoint, ReceivedAttempt, ReceivedState
+from drumgw.testbed.endpoint_registry import EndpointRow, ListUpdate
 from drumgw.testbed.environment import Environment
 from drumgw.testbed.http_wire import MessageProtocol, OrderedReplies, format_response, parse_headers
 from drumgw.testbed.logged_events import EndpointOutcome
+from drumgw.testbed.statuses import (
+    STATUS_BAD_REQUEST,
+    STATUS_FAILED,
+    STATUS_REJECTED,
+    STATUS_SUCCEEDED,
+    STATUS_UNKNOWN_REQUEST,
+)
 
 CORRUPT_RESPONSE = b"\x00\x01spoilt\xff\r\n\r\n"
 MAX_WATCH_MS = 60_000.0
 MAX_COUNTER_AMOUNT = 1e9
 MAX_COUNTER_NAME = 64
-STATUS_OK = 200
-STATUS_BAD_REQUEST = 400
-STATUS_UNKNOWN_REQUEST = 404
-STATUS_FAILED = 500
-STATUS_REJECTED = 503
 
 
 @dataclass
@@ -121,7 +124,7 @@
         """Its body names the attempt that it was made for."""
         assert attempt.client_attempt is not None
         return format_response(
-            STATUS_OK,
+            STATUS_SUCCEEDED,
             attempt.attempt_id.encode(),
             Billed_Units=str(attempt.client_attempt.request.arrival.true_units),
             Server_Load=f"TEXT mean_ms={self.endpoint.mean_service_ms:.1f}",
@@ -154,7 +157,7 @@
 
         def on_reply(status: CounterStatus, total: float) -> None:
             if status is CounterStatus.ADDED:
-                send_reply(format_response(STATUS_OK, f"{total:.7g}".encode()))
+                send_reply(format_response(STATUS_SUCCEEDED, f"{total:.7g}".encode()))
             else:
                 send_reply(format_response(STATUS_REJECTED))
 
@@ -210,15 +213,15 @@
             update = discovery.updates_since(self._gateway, generation)
             self._send(update or discovery.empty_update(self._gateway, generation))
 
-    def _send(self, update: dict[str, Any]) -> None:
+    def _send(self, update: ListUpdate) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         rows = add_addresses(update["instances"], self._gateway, self._context.endpoint_address)
-        self.write(format_response(STATUS_OK, json.dumps({**update, "instances": rows}).encode()))
+        self.write(format_response(STATUS_SUCCEEDED, json.dumps({**update, "instances": rows}).encode()))
 
 
 def add_addresses(
-    rows: list[dict[str, Any]], gateway: int, endpoint_address: Callable[[int, str], str]
-) -> list[dict[str, Any]]:
+    rows: list[EndpointRow], gateway: int, endpoint_address: Callable[[int, str], str]
+) -> list[dict[str, object]]:
     """Discovery's rows with the addresses that a gateway reaches the endpoints at."""
     return [{**row, "hostPort": endpoint_address(gateway, row["instanceId"])} for row in rows]
--- a/drumgw/testbed/virtual_gateway.py
+++ b/drumgw/testbed/virtual_gateway.py
@@ -8,7 +8,6 @@
 
 from collections.abc import Callable
 from functools import partial
-from typing import Any
 
 from drumgw.gateway.clock import STALL_THRESHOLD_MS
 from drumgw.gateway.commands import (
@@ -30,6 +29,7 @@
 from drumgw.testbed.clocks import TimerHandle
 from drumgw.testbed.counter import CounterStatus
 from drumgw.testbed.endpoint import EmulatedEndpoint
+from drumgw.testbed.endpoint_registry import EndpointRow, ListUpdate
 from drumgw.testbed.environment import Environment
 from drumgw.testbed.logged_events import EngineFailed, GatewayLogged
 from drumgw.testbed.virtual_endpoint_client import AttemptKey, VirtualEndpointClient
@@ -110,7 +110,7 @@
             endpoints = self.apply_update(update)
             self.execute(self.lifecycle.endpoints_updated(self.clock.now(), endpoints))
 
-    def apply_update(self, update: dict[str, Any]) -> EndpointsUpdated:
+    def apply_update(self, update: ListUpdate) -> EndpointsUpdated:
         """Takes over an update of the endpoint list, and returns the engine's event for it."""
         endpoints: list[EndpointInfo] = []
         for row in update["instances"]:
@@ -127,7 +127,7 @@
         self.list_generation = update["generation"]
         return EndpointsUpdated(update["reset"], tuple(endpoints))
 
-    def _read_row(self, row: dict[str, Any]) -> EndpointInfo:
+    def _read_row(self, row: EndpointRow) -> EndpointInfo:
         return EndpointInfo(
             endpoint_id=endpoint_id_of(row["instanceId"]),
             zone=self._names.zone_index(row["zone"]),
--- a/drumgw/testbed/workload.py
+++ b/drumgw/testbed/workload.py
@@ -9,6 +9,7 @@
 import heapq
 import random
 from collections.abc import Iterator
+from enum import StrEnum
 from typing import NamedTuple
 
 from drumgw.config.sections import PlanSection, RequestClassSection
@@ -17,6 +18,18 @@
 MIN_WORK_MS = 0.1
 
 
+class RandomUse(StrEnum):
+    """What random numbers are drawn for; the values are parts of the seeds and cannot change."""
+
+    CUSTOMER = "customer"
+    ARRIVALS = "arrivals"
+    CLIENTS = "clients"
+    ENDPOINT = "worker"
+    DISCOVERY = "registry"
+    FAULTS = "troubles"
+    GATEWAYS = "gatekeepers"
+
+
 class Customer(NamedTuple):
     """One customer, its plan and how its requests come in."""
 
@@ -63,9 +76,9 @@
         self._plans = {section.name: section for section in scenario.plan}
         self.customers = [customer for group in scenario.customers for customer in self._draw_group(group)]
 
-    def random_stream(self, *use: object) -> random.Random:
+    def random_stream(self, use: RandomUse, *names: object) -> random.Random:
         """A random source for one use: one more draw from it changes no other."""
-        return random.Random("/".join(map(str, (self._seed, *use))))
+        return random.Random("/".join(map(str, (self._seed, use, *names))))
 
     def arrivals(self) -> Iterator[Arrival]:
         """All arrivals in the order of their times; never all in memory at once."""
@@ -79,7 +92,7 @@
         plan = self._plans[group.plan]
         fleet_size = self._scenario.fleet.gatekeepers
         for index in range(group.number):
-            stream = self.random_stream("customer", group.plan, index)
+            stream = self.random_stream(RandomUse.CUSTOMER, group.plan, index)
             number = stream.randrange(2**33)
             first_gateway = stream.randrange(fleet_size)
             gateways = tuple((first_gateway + offset) % fleet_size for offset in range(group.gatekeepers))
@@ -114,7 +127,7 @@
 
     def _arrival_times(self, customer: Customer, peak_factor: float) -> Iterator[_ArrivalTime]:
         """A Poisson process at the peak rate, thinned to the rate of each moment."""
-        stream = self.random_stream("arrivals", customer.number)
+        stream = self.random_stream(RandomUse.ARRIVALS, customer.number)
         peak_rate = customer.requests_per_s * peak_factor
         if peak_rate <= 0:
             return
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -1,4 +1,4 @@
-"""The laboratory's test helper: short days, and gatekeepers that are broken on purpose."""
+"""Short scenarios for the testbed, and gateways that are broken on purpose."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
 from drumgw.policy.engine import PolicyEngine
 from drumgw.policy.request_flow import RequestFlow
 from drumgw.policy.request_state import PendingRequest, RequestInput, RequestState
+from drumgw.testbed.endpoint_registry import EndpointRow, ListUpdate
 from drumgw.testbed.event_log import EventLog
+from drumgw.testbed.logged_events import Lifecycle
 from drumgw.testbed.observations import Violation
 from drumgw.testbed.oracle import find_violations
 from drumgw.testbed.scenario import Scenario, read_scenario
@@ -145,14 +147,14 @@
         self.transitions = {**self.transitions, row: (RequestState.IN_FLIGHT, RequestFlow.forward)}
 
 
-class Doubler(PolicyEngine):
-    """Sends again whatever failed."""
+class RetryingEngine(PolicyEngine):
+    """Forwards again whatever failed."""
 
     request_flow_class = RetryAnything
 
 
 class YoungestFirst(EndpointSelector):
-    """Takes no heed of warm-up and load."""
+    """Ignores warm-up and load."""
 
     def select(self, request: PendingRequest) -> EndpointState | None:
         """The endpoint that started last."""
@@ -165,22 +167,22 @@
     return endpoint.started_at_ms or 0.0
 
 
-class Pusher(PolicyEngine):
+class YoungestFirstEngine(PolicyEngine):
     """Sends all to the endpoint that started last, however cold."""
 
     selector_class = YoungestFirst
 
 
 class NoQuotas(AdmissionControl):
-    """Takes no heed of quotas."""
+    """Ignores quotas."""
 
     def quota_wait_ms(self, request: PendingRequest) -> float:
         """Every request fits."""
         return 0.0
 
 
-class Passer(PolicyEngine):
-    """Lets all pass."""
+class NoQuotasEngine(PolicyEngine):
+    """Admits everything."""
 
     admission_class = NoQuotas
 
@@ -200,19 +202,26 @@
     flow.forget(request)
 
 
-class Decliner(PolicyEngine):
+class RejectingEngine(PolicyEngine):
     """Says that trying again is harmless, whatever may have run."""
 
     request_flow_class = RejectAlways
 
 
+def up_row(row: EndpointRow) -> EndpointRow:
+    """The row, with its endpoint up."""
+    row = row.copy()
+    row["lifecycle"] = Lifecycle.UP
+    return row
+
+
 class IgnoresDraining(VirtualGateway):
     """Takes draining endpoints for ready ones."""
 
-    def apply_update(self, update: dict[str, Any]) -> EndpointsUpdated:
+    def apply_update(self, update: ListUpdate) -> EndpointsUpdated:
         """Every row of the update says that its endpoint is up, and none is missing."""
-        rows = [{**row, "lifecycle": "up"} for row in update["instances"]]
-        return super().apply_update({**update, "instances": rows, "reset": False})
+        rows = [up_row(row) for row in update["instances"]]
+        return super().apply_update({"generation": update["generation"], "reset": False, "instances": rows})
 
 
 class DoesNotWaitForDiscovery(VirtualGateway):
@@ -222,7 +231,7 @@
         super().__init__(*arguments)
         self.ignore_until_ms = self.clock.now() + 1000.0
         rows = self.environment.discovery.rows.values()
-        first_rows = [{**row, "lifecycle": "up"} for row in rows if not row["startedAtMs"]]
+        first_rows = [up_row(row) for row in rows if not row["startedAtMs"]]
         endpoints = self.apply_update({"generation": 0, "reset": True, "instances": first_rows})
         self.execute(self.lifecycle.endpoints_updated(self.clock.now(), endpoints))
 
--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -21,7 +21,7 @@
 from drumgw.stable_hash import stable_hash
 from drumgw.testbed.quota_usage import usage_in_outages
 from tests.customer_gateways import CUSTOMER, MAX_REQUEST_UNITS, CustomerGateways
-from tests.scenarios import Passer, make_scenario, play
+from tests.scenarios import NoQuotasEngine, make_scenario, play
 
 
 class TrustingCounterSync(CounterSync):
@@ -78,7 +78,7 @@
         self.assertGreater(largest, 0.3)  # it is no bound that nothing comes near
 
     def test_an_engine_without_quota_accounts_passes_it(self) -> None:
-        self.assertGreater(self.largest_share(Passer), 1.0)
+        self.assertGreater(self.largest_share(NoQuotasEngine), 1.0)
 
 
 class ReplacedCounterTest(unittest.TestCase):
--- a/tests/test_testbed_oracle.py
+++ b/tests/test_testbed_oracle.py
@@ -47,12 +47,12 @@
         The request may run twice.
         """
         scenario = make_scenario('kind = "resets"; at_s = 0.5; part = 1; size = 0.5; for_s = 2')
-        self.assertEqual(self.broken_rules(scenario, engine=scenarios.Doubler), {"doubled"})
+        self.assertEqual(self.broken_rules(scenario, engine=scenarios.RetryingEngine), {"doubled"})
 
     def test_rejects_what_may_have_run(self) -> None:
         """Endpoints fail, and the gateway says that nothing was done, so that clients send again."""
         scenario = make_scenario('kind = "failing"; at_s = 0.5; part = 0.7; for_s = 2')
-        self.assertEqual(self.broken_rules(scenario, engine=scenarios.Decliner), {"doubled"})
+        self.assertEqual(self.broken_rules(scenario, engine=scenarios.RejectingEngine), {"doubled"})
 
     def test_sends_to_draining_endpoints(self) -> None:
         """Endpoints drain, and the gateway takes them for ready ones."""
@@ -82,12 +82,12 @@
         scenario = make_scenario(
             'kind = "replace"; at_s = 1; worker = 0', cores=1, cold_from=0.05, fall_multiple=1.5
         )
-        self.assertEqual(self.broken_rules(scenario, engine=scenarios.Pusher), {"pushed"})
+        self.assertEqual(self.broken_rules(scenario, engine=scenarios.YoungestFirstEngine), {"pushed"})
 
     def test_passes_ceilings(self) -> None:
         """Customers ask four times their quota, and the gateway admits everything."""
         scenario = make_scenario(use=4.0)
-        self.assertEqual(self.broken_rules(scenario, engine=scenarios.Passer), {"ceilings"})
+        self.assertEqual(self.broken_rules(scenario, engine=scenarios.NoQuotasEngine), {"ceilings"})
 
 
 def sent(class_name: str = "sold-copy") -> AttemptSent:
--- a/tests/test_testbed_parties.py
+++ b/tests/test_testbed_parties.py
@@ -16,9 +16,11 @@
     EndpointChanged,
     EndpointOutcome,
     EndpointState,
+    Lifecycle,
     RequestExecuted,
 )
 from drumgw.testbed.scenario import CounterSection, DiscoverySection
+from drumgw.testbed.workload import RandomUse
 from tests.scenarios import make_scenario
 
 START_MS = 1000.0
@@ -230,12 +232,12 @@
         Then more changes follow than discovery remembers: who knows only the first list gets all of it.
         """
         section = DiscoverySection(delay_ms=100.0, spread_ms=0.0)
-        random_stream = self.environment.workload.random_stream("test")
+        random_stream = self.environment.workload.random_stream(RandomUse.DISCOVERY)
         discovery = EmulatedDiscovery(section, 2, self.clock, self.event_log, random_stream)
         discovery.put("w0", "a", 0, None)
         known = discovery.publish_initial_list()["generation"]
         self.assertIsNone(discovery.updates_since(0, known))
-        discovery.set_lifecycle("w0", "draining")
+        discovery.set_lifecycle("w0", Lifecycle.DRAINING)
         self.assertIsNone(discovery.updates_since(0, known))
         self.clock.run_until(1100.0)
         changes = discovery.updates_since(0, known)
@@ -244,7 +246,7 @@
         self.assertEqual(rows, [("w0", "draining")])
         for number in range(MAX_CHANGES + 1):
             discovery.put(f"x{number}", "a", 0, None)
-        discovery.set_lifecycle("w0", "removed")
+        discovery.set_lifecycle("w0", Lifecycle.REMOVED)
         self.clock.run_until(1300.0)
         complete = discovery.updates_since(0, known)
         assert complete
