--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -127,7 +127,7 @@
 
     def test_two_rows_of_an_endpoint_in_one_list(self) -> None:
         """An endpoint is replaced, or drains, within one list: the later start counts, then the departure."""
-        self.receive(1, row("s-a"), row("s-b"), row("s-c"), row("s-d"), complete=True)
+        self.receive(1, *(row(f"s-{letter}") for letter in "abcde"), complete=True)
         self.receive(
             2,
             row("s-a", "removed"),
@@ -135,7 +135,9 @@
             row("s-b", started_at_ms=5.0),
             row("s-b", "removed"),
             row("s-c"),
-            row("s-c", "draining"),  # leaving goes before staying
+            row("s-c", "draining"),  # leaving goes before staying, in either order
+            row("s-e", "draining"),
+            row("s-e"),
             row("s-d", started_at_ms=5.0),
             {"instanceId": "s-d", "lifecycle": "draining"},
         )
