--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -254,6 +254,21 @@
         harness.note(f"late share {late_share:.2f}; a request waits for a total with {needed_ms:.0f} ms left")
         self.assert_trace(harness, "stall")
 
+    def test_attempts_in_flight_do_not_age_by_a_stall(self) -> None:
+        """This process does not run for 8 s, and its timer fires before the responses are read.
+
+        By the clock all attempts are overdue then, and their endpoints silent. But the responses are there,
+        unread: nothing may be cancelled, and no endpoint doubted.
+        """
+        harness = PolicyHarness(has_counter=False)
+        for customer in range(6):
+            harness.request(LOWER, 0.1, customer, time_left_ms=30000.0)
+        forwarded = list(harness.trace)
+        harness.now_ms += 8000
+        harness.advance()
+        self.assertEqual(harness.trace, forwarded)
+        self.assertEqual(harness.engine.back_end.limit.overdue, 0)
+
 
 class LoadTest(TraceCase):
     """The concurrency limit and load shedding."""
