--- a/drumgw/policy/counter_sync.py
+++ b/drumgw/policy/counter_sync.py
@@ -1,8 +1,8 @@
 """Keeps quota accounts in step with the totals of the shared counter.
 
 A customer's total counts all units that gateways have used or reserved since its epoch began; less what has
-been refilled since, it is the quota's level of usage. A gateway polls the total before it admits a request
-that no reservation covers, and reports the request together with a reservation for the next ones.
+been refilled since, it is the quota's level of usage. A gateway reports what it forwards together with a
+reservation for the next requests, and takes each total that comes back over into the account.
 """
 
 from __future__ import annotations
@@ -10,8 +10,6 @@
 import math
 
 from drumgw.model.events import CounterReplied, Outcome
-from drumgw.model.settings import GatewaySettings
-from drumgw.policy.back_end import BackEnd
 from drumgw.policy.context import RATE_MEMORY_MS, DecisionContext
 from drumgw.policy.counter_calls import CounterCall, CounterCalls
 from drumgw.policy.counter_encoding import (
@@ -21,9 +19,8 @@
     encode_amount,
 )
 from drumgw.policy.counter_repair import MAX_REPAIR_UNITS, MIN_LOSS_UNITS, CounterRepair
-from drumgw.policy.quota_account import IDLE_ACCOUNT_MS, QuotaAccount
-from drumgw.policy.request_state import NO_EPOCH, CounterExchange, PendingRequest
-from drumgw.policy.retry import MIN_RETRY_AFTER_MS
+from drumgw.policy.quota_account import QuotaAccount
+from drumgw.policy.request_state import CounterExchange
 
 RESERVATION_MS = 1000.0
 """A reservation covers so much of the demand here, at most."""
@@ -34,88 +31,21 @@
 """A total that lacks more than this (and `MIN_LOSS_UNITS`) has lost something."""
 MAX_LEVEL_QUOTAS = 2.0
 """A total that shows more usage than so many quotas cannot be true."""
-MIN_TIME_LEFT_TO_WAIT_MS = 2100.0
-TIMEOUTS_TO_SPARE = 2
-"""Counter timeouts that a request must have left, to wait for a total."""
-STALL_MARGIN = 1.25
 
 
 class CounterSync:
-    """Decides what is polled and reported, and takes totals over into accounts."""
+    """Decides what is reported and reserved, and what a total means."""
 
     def __init__(
         self,
         context: DecisionContext,
-        settings: GatewaySettings,
         class_shares: list[float],
         calls: CounterCalls,
-        back_end: BackEnd,
     ) -> None:
         self.context = context
         self.class_shares = class_shares
         self.calls = calls
         self.repair = CounterRepair(context, calls)
-        self.endpoints = back_end.endpoints
-        self.overload = back_end.overload
-        self.has_counter = settings.has_counter
-        self.timeout_ms = settings.counter_timeout_ms
-        self.max_retry_after_ms = settings.max_retry_after_ms
-        self.min_time_left_to_wait_ms = max(MIN_TIME_LEFT_TO_WAIT_MS, TIMEOUTS_TO_SPARE * self.timeout_ms)
-        """A request with less time left is decided without waiting for the total."""
-
-    def record_stall(self, stall_ms: float) -> None:
-        """Guards requests that wait for a total: one that would not outlive such a stall does not wait."""
-        needed_ms = STALL_MARGIN * stall_ms + TIMEOUTS_TO_SPARE * self.timeout_ms
-        self.min_time_left_to_wait_ms = max(self.min_time_left_to_wait_ms, needed_ms)
-
-    def poll(self, request: PendingRequest, time_left_ms: float) -> bool:
-        """Polls the total for a new request where that is of use, by odds where the counter is crowded.
-
-        Args:
-            request: judged by what is known here already; may be put off further where that is too little.
-            time_left_ms: until the client gives up.
-
-        Returns:
-            Whether the request waits for the total. If not, it is decided by what is known here.
-        """
-        if not self._is_poll_useful(request):
-            return False
-        may_wait = time_left_ms > self.min_time_left_to_wait_ms
-        exchange = request.exchange
-        if self.has_counter and self.calls.draw_poll():
-            exchange.epoch = exchange.account.epoch_at(self.context.now_ms)
-            if may_wait and self.calls.send(exchange, 0.0):
-                return True
-        self._charge_allowance(request)
-        return False
-
-    def _is_poll_useful(self, request: PendingRequest) -> bool:
-        account = request.account
-        plan = account.plan
-        if not (plan.rate_units_per_ms and self.endpoints.preferred):
-            return False
-        is_crowded = self.calls.poll_probability < 1
-        if plan.is_soft and is_crowded and self.overload.has_spare_capacity(plan.window_ms):
-            return False
-        if request.units <= account.reserved_units[request.class_rank]:
-            return False
-        total_age_ms = self.context.now_ms - account.counted_at_ms
-        return not (request.retry_after_ms and total_age_ms < plan.window_ms)
-
-    def _charge_allowance(self, request: PendingRequest) -> None:
-        """Where no total is at hand: an unknown customer has only this gateway's part of its quota."""
-        account = request.account
-        if not self.has_counter or account.plan.is_soft:
-            return
-        is_unknown = self.context.now_ms - account.counted_at_ms > IDLE_ACCOUNT_MS
-        is_unpolled = account.is_cap_below_gateways and request.exchange.epoch == NO_EPOCH
-        if not (is_unknown or is_unpolled):
-            return
-        is_covered = request.units <= account.allowance_units
-        if request.is_client_retry or account.is_cap_below_gateways or not is_covered:
-            request.retry_after_ms = max(MIN_RETRY_AFTER_MS, self.max_retry_after_ms)
-        else:
-            account.allowance_units -= request.units
 
     def reservation_units(self, account: QuotaAccount, class_rank: int) -> float:
         """What is reserved with a report: the more, the less often the counter is called."""
--- a/drumgw/policy/engine.py
+++ b/drumgw/policy/engine.py
@@ -30,6 +30,7 @@
 from drumgw.policy.class_shares import CLASS_SHARES, fractions_by_rank
 from drumgw.policy.context import DecisionContext
 from drumgw.policy.counter_calls import CounterCalls
+from drumgw.policy.counter_polling import CounterPoller
 from drumgw.policy.counter_sync import CounterSync
 from drumgw.policy.endpoint_selection import EndpointSelector
 from drumgw.policy.quota_account import IDLE_ACCOUNT_MS, PlanLimits, QuotaAccount
@@ -74,9 +75,8 @@
         self.back_end = BackEnd(context, settings)
         self.retries = RetryPolicy(context, settings, self.back_end.overload)
         self.counter_calls = CounterCalls(context, settings, self.back_end.overload.describe)
-        self.counter_sync = self.counter_sync_class(
-            context, settings, class_shares, self.counter_calls, self.back_end
-        )
+        self.counter_poller = CounterPoller(context, settings, self.counter_calls, self.back_end)
+        self.counter_sync = self.counter_sync_class(context, class_shares, self.counter_calls)
         self.admission = self.admission_class(
             context, settings, class_shares, self.counter_sync, self.back_end.overload
         )
@@ -87,6 +87,7 @@
             settings,
             self.pending,
             self.admission,
+            self.counter_poller,
             self.counter_sync,
             self.selector,
             self.attempts,
@@ -123,7 +124,7 @@
     def _record_stall(self, now_ms: float) -> None:
         stall_ms = now_ms - self.context.now_ms
         self.context.stall_ended_at_ms = now_ms
-        self.counter_sync.record_stall(stall_ms)
+        self.counter_poller.record_stall(stall_ms)
         self.attempts.leave_out_stall(stall_ms)
 
     def _endpoints_updated(self, event: EndpointsUpdated) -> None:
--- a/drumgw/policy/quota_account.py
+++ b/drumgw/policy/quota_account.py
@@ -55,6 +55,16 @@
             ceiling_burst_units=plan.ceiling_burst_units,
         )
 
+    def is_cap_below(self, gateways: int) -> bool:
+        """Whether the concurrency cap is too small for each gateway to keep a part of it."""
+        return 0 < self.max_concurrent_attempts * MAX_GATEWAYS_PER_CAPPED_ATTEMPT < gateways
+
+    def usable_quota_units(self, gateways: int, max_request_units: float) -> float:
+        """The quota, or less where only small bursts keep a small concurrency cap."""
+        if not self.is_cap_below(gateways):
+            return self.quota_units
+        return min(self.quota_units, self.max_concurrent_attempts * max_request_units)
+
 
 @dataclass(slots=True, eq=False)
 class QuotaAccount:
@@ -126,9 +136,6 @@
         """
         gateways = max(1, event.gateway_count)
         hash_key = stable_hash(event.customer)
-        cap = plan.max_concurrent_attempts
-        is_cap_below_gateways = 0 < cap * MAX_GATEWAYS_PER_CAPPED_ATTEMPT < gateways
-        capped_quota = min(plan.quota_units, cap * max_request_units)
         allowance = max(max_request_units, plan.quota_units / gateways)
         return cls(
             plan=plan,
@@ -143,8 +150,8 @@
             local_pace_units_per_ms=[0.0] * class_count,
             reserved_units=[0.0] * class_count,
             ceiling_units=_refilled_ceiling_units(plan, gateways, context),
-            is_cap_below_gateways=is_cap_below_gateways,
-            usable_quota_units=capped_quota if is_cap_below_gateways else plan.quota_units,
+            is_cap_below_gateways=plan.is_cap_below(gateways),
+            usable_quota_units=plan.usable_quota_units(gateways, max_request_units),
             max_allowance_units=allowance,
             allowance_units=allowance,
             epoch_phase_ms=hash_key % int(EPOCH_MS),
--- a/drumgw/policy/request_flow.py
+++ b/drumgw/policy/request_flow.py
@@ -9,6 +9,7 @@
 from drumgw.policy.attempt_tracking import AttemptTracker
 from drumgw.policy.class_shares import priority_ranks
 from drumgw.policy.context import DecisionContext
+from drumgw.policy.counter_polling import CounterPoller
 from drumgw.policy.counter_sync import CounterSync
 from drumgw.policy.endpoint_selection import EndpointSelector
 from drumgw.policy.quota_account import QuotaAccount
@@ -37,6 +38,7 @@
         settings: GatewaySettings,
         pending: dict[int, PendingRequest],
         admission: AdmissionControl,
+        counter_poller: CounterPoller,
         counter_sync: CounterSync,
         selector: EndpointSelector,
         attempts: AttemptTracker,
@@ -45,6 +47,7 @@
         self.context = context
         self.pending = pending
         self.admission = admission
+        self.counter_poller = counter_poller
         self.counter_sync = counter_sync
         self.selector = selector
         self.attempts = attempts
@@ -72,7 +75,7 @@
         request.exchange.request = request
         self.pending[event.request_id] = request
         request.retry_after_ms = self.admission.quota_wait_ms(request)
-        if not self.counter_sync.poll(request, event.time_left_ms):
+        if not self.counter_poller.poll(request, event.time_left_ms):
             self.decide(request)
 
     def resume(self, request: PendingRequest) -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -250,7 +250,7 @@
             harness.end_attempt(request, duration_ms=8000.0)
         harness.advance(200)
         late_share = harness.engine.back_end.overload.late_share
-        needed_ms = harness.engine.counter_sync.min_time_left_to_wait_ms
+        needed_ms = harness.engine.counter_poller.min_time_left_to_wait_ms
         harness.note(f"late share {late_share:.2f}; a request waits for a total with {needed_ms:.0f} ms left")
         self.assert_trace(harness, "stall")
 
