--- a/drumgw/testbed/endpoint_rules.py
+++ b/drumgw/testbed/endpoint_rules.py
@@ -39,19 +39,20 @@
                     del announced[key]
             case EndpointReceived():
                 word = announced.get((event.gateway, event.endpoint))
-                if word is not None and word.lifecycle != Lifecycle.UP:
-                    after_ms = event.first_byte_ms - word.time_ms
-                    if event.first_byte_ms > word.time_ms + grace_ms:
-                        yield _draining_violation(event, word.lifecycle, after_ms)
+                if word is None or word.lifecycle is Lifecycle.UP:
+                    continue
+                if event.first_byte_ms > word.time_ms + grace_ms:
+                    yield _draining_violation(event, word)
 
 
-def _draining_violation(received: EndpointReceived, lifecycle: str, after_ms: float) -> Violation:
+def _draining_violation(received: EndpointReceived, word: EndpointAnnounced) -> Violation:
+    after_ms = received.first_byte_ms - word.time_ms
     return Violation(
         RuleName.DRAINING,
         received.time_ms,
         received.attempt_id,
         (received.gateway,),
-        f"sent to {received.endpoint}, {lifecycle}, {after_ms:.0f} ms after that was announced",
+        f"sent to {received.endpoint}, {word.lifecycle}, {after_ms:.0f} ms after that was announced",
     )
 
 
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -133,6 +133,12 @@
         self.assertEqual((played.exit_code, played.errors), (0, ""))
         self.assertEqual(played.fields_of("Cancel"), [])
 
+    def test_retired_instance_takes_no_more_messages(self) -> None:
+        """A message for an instance that was retired is an error, as for one that never began."""
+        disconnect = {"Left": {"who": 1, "rid": 3}}
+        played = play(*BEGIN_MESSAGES, {"Retire": {"who": 1}}, disconnect)
+        self.assertEqual((played.exit_code, played.errors), (2, "line 6: Left: instance 1 never began"))
+
     def test_list_number_reused_within_a_round(self) -> None:
         """The simulator sends two endpoint lists under one number, each followed by its update.
 
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -161,8 +161,8 @@
     def test_starts_while_discovery_is_silent_wait_for_it(self) -> None:
         """Discovery is silent for two seconds; in this time endpoints are replaced and gateways killed.
 
-        The gateways that start then know only the list of the run's beginning. They take no clients before
-        discovery speaks again, so that nothing goes to an endpoint that has left, and serve on afterwards.
+        The gateways that start then have not heard their agents. Nothing goes to an endpoint that has left,
+        and the fleet serves on afterwards.
         """
         scenario = make_scenario(
             'kind = "list lost"; at_s = 1; for_s = 2',
--- a/tests/test_testbed_oracle.py
+++ b/tests/test_testbed_oracle.py
@@ -12,6 +12,7 @@
     ClockKind,
     ConnectFailed,
     ConnectionClosed,
+    EndpointAnnounced,
     EndpointChanged,
     EndpointFinished,
     EndpointOutcome,
@@ -19,6 +20,7 @@
     EndpointState,
     GatewayChanged,
     GatewayState,
+    Lifecycle,
     LoggedEvent,
     ResponseReceived,
 )
@@ -190,5 +192,23 @@
             ["doubled: a hedged request, not allowed"],
         )
 
+    def test_a_new_process_is_not_bound_by_what_its_predecessor_heard(self) -> None:
+        """An endpoint drains, and an attempt reaches it long after the grace time.
+
+        The gateway had word of it, unless its process was started after that word.
+        """
+        word = EndpointAnnounced(20.0, 1, "w0", Lifecycle.DRAINING, started_at_ms=0.0)
+        served = [
+            sent(),
+            received(400.0, 1),
+            finished(410.0, 1, EndpointOutcome.SUCCEEDED),
+            ResponseReceived(420.0, "x", 200, made_for="x"),
+        ]
+        self.assertEqual(
+            self.violations(word, *served), ["drains: sent to w0, draining, 380 ms after that was announced"]
+        )
+        restarted = GatewayChanged(60.0, 1, GatewayState.STARTED)
+        self.assertEqual(self.violations(word, restarted, *served), [])
+
     def test_what_no_client_sent_is_a_duplicate(self) -> None:
         self.assertEqual(self.violations(received(5.0, 1)), ["doubled: forwarded though no client sent it"])
