--- a/drumgw/gateway/discovery.py
+++ b/drumgw/gateway/discovery.py
@@ -3,9 +3,9 @@
 Discovery is an agent of this gateway's own or, where the settings say so, a service that many gateways share.
 
 * An agent is watched: a call waits there for an update, and the next one follows at once. An agent that has
-  been away may answer none of the calls that were out meanwhile. So while it is silent a second call, the
-  scout, is made again and again, beside the watch. However long the outage was, its updates are known
-  within two poll intervals.
+  been away may answer none of the calls that were out meanwhile. So while it is silent, backup polls are made
+  beside the watch, one after the other. However long the outage was, its updates are known within two poll
+  intervals.
 * A shared service is called by one call at a time. Each call keeps it busy, whether or not its answer is
   still waited for, so no call is given up before its turn, and after failures the gateway backs off.
 
@@ -49,7 +49,7 @@
 
 # The connections
 MAX_CONNECTIONS = 2
-"""The watch's and the scout's."""
+"""The watch's, and one for backup polls."""
 KEEP_ALIVE_MS = 5000.0
 CONNECT_TIMEOUT_MS = 1000.0
 MAX_LIST_BYTES = 4 * 1024 * 1024
@@ -130,7 +130,7 @@
         self._watch_wait_ms = config.watch_timeout_ms or self.poll_interval_ms
         now = self.clock.now()
         self.last_answer_ms = now
-        self.next_scout_ms = now
+        self.next_backup_poll_ms = now
         self._last_read_ms = now
         self._jitter = random.Random(config.seed)
         self.set_address(config.discovery)
@@ -145,7 +145,7 @@
         host, port = address
         self._address = f"{host}:{port}"
         self._peer = self._pool.peer(self._address)
-        self.next_scout_ms = self.clock.now() + self.poll_interval_ms
+        self.next_backup_poll_ms = self.clock.now() + self.poll_interval_ms
         self._abandon_polls(answered=None)
 
     async def start(self, max_wait_s: float | None) -> None:
@@ -157,11 +157,11 @@
             max_wait_s: None to wait for as long as it takes.
         """
         self.last_answer_ms = self.clock.now()
-        self.next_scout_ms = self.last_answer_ms + self.poll_interval_ms
+        self.next_backup_poll_ms = self.last_answer_ms + self.poll_interval_ms
         if self._config.shared_discovery:
             polling = [self.watch_shared_service()]
         else:
-            polling = [self._watch_agent(), self._scout()]
+            polling = [self._watch_agent(), self._poll_while_silent()]
         self.tasks = [asyncio.create_task(work) for work in (*polling, self._use_known_list_later())]
         try:
             async with asyncio.timeout(max_wait_s):
@@ -191,14 +191,14 @@
         while True:
             await self.poll(PollTimes(self._watch_wait_ms, WATCH_TIMEOUT_MS, min_interval_ms))
 
-    async def _scout(self) -> None:
-        """Polls beside the watch while the agent is silent.
+    async def _poll_while_silent(self) -> None:
+        """Makes backup polls, beside the watch, while the agent is silent.
 
         Guards drains: an agent that comes back may never answer a call that was out, but it does a new one.
         """
         interval_ms = self.poll_interval_ms
         while True:
-            wait_ms = self.next_scout_ms - self.clock.now()
+            wait_ms = self.next_backup_poll_ms - self.clock.now()
             if wait_ms > 0:
                 await asyncio.sleep(wait_ms / 1000)
             else:
@@ -316,7 +316,7 @@
             return
         silent_ms = now - self.last_answer_ms
         self.last_answer_ms = now
-        self.next_scout_ms = now + self._watch_wait_ms + self.poll_interval_ms
+        self.next_backup_poll_ms = now + self._watch_wait_ms + self.poll_interval_ms
         self._abandon_polls(answered=poll.task)
         origin = (
             f"endpoint list {self.membership.generation}, polled {now - poll.sent_at_ms:.0f} ms ago, "
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -420,7 +420,7 @@
             await until(lambda: gateway.discovery.membership.rows["s-0"].info.status.value == wanted)  # noqa: B023
             self.assertEqual(len(asked) - before, 1, outage_ms)  # the first call after the return
             self.assertLessEqual(
-                gateway.discovery.next_scout_ms - gateway.discovery.last_answer_ms, 1000.0 / 2
+                gateway.discovery.next_backup_poll_ms - gateway.discovery.last_answer_ms, 1000.0 / 2
             )
 
     async def test_the_pace_follows_the_grace_of_the_settings(self) -> None:
@@ -432,7 +432,7 @@
             self.assertIn(f"timeout_ms={pace_ms:.0f}", asked[1])
             now = gateway.clock.now()
             self.assertLessEqual(
-                gateway.discovery.next_scout_ms - gateway.discovery.last_answer_ms, 2 * pace_ms
+                gateway.discovery.next_backup_poll_ms - gateway.discovery.last_answer_ms, 2 * pace_ms
             )
             self.assertLessEqual(gateway.discovery.last_answer_ms, now)
             await self.end()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -136,7 +136,7 @@
         """The agent is silent for a while, and a drain happens meanwhile.
 
         The watch that was out as it fell silent is never answered, and would be waited for far longer than a
-        drain may take to be known. The scout's new call is answered.
+        drain may take to be known. A backup poll is answered.
         """
         await self.start_agent(instance("s-0", "127.0.0.1:1"))
         with (
@@ -147,7 +147,7 @@
             await self.gateway_opened()
             await self.until_called("since=7&")  # never answered: the update does not wake it
             self.content = {"generation": 8, "reset": False, "instances": [instance("s-0", "", "draining")]}
-            async with asyncio.timeout(20):  # so that a broken scout fails and does not hang
+            async with asyncio.timeout(20):  # so that missing backup polls fail and do not hang
                 await self.until_called("since=8&")
         self.assertEqual(self.statuses(), {"s-0": "draining"})
 
