--- a/drumgw/config/gateway_file.py
+++ b/drumgw/config/gateway_file.py
@@ -65,7 +65,7 @@
 
 
 class GatewayFile(Section):
-    """The whole file. Its fields are the file's keys."""
+    """The file. Its fields are the file's keys."""
 
     version: Literal[1]
     gateway: GatewaySection
--- a/drumgw/config/host_file.py
+++ b/drumgw/config/host_file.py
@@ -132,7 +132,7 @@
 
 
 class HostFile(Section):
-    """The whole file. Its fields are the file's keys."""
+    """The file. Its fields are the file's keys."""
 
     version: Literal[1]
     host: HostSection
--- a/drumgw/hosting/admin_api.py
+++ b/drumgw/hosting/admin_api.py
@@ -111,7 +111,7 @@
         return caller
 
     async def _audited(self, call: ApiCall, handler: Handler) -> web.Response:
-        """Logs a line for each change that was asked for, without its body and without the token."""
+        """Logs a line for each requested change, without its body and without the token."""
         status = STATUS_OF_FAULT
         subject = call.request.match_info.get("tenant", "")
         try:
--- a/drumgw/hosting/admin_handlers.py
+++ b/drumgw/hosting/admin_handlers.py
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class ApiCall:
-    """A call that is permitted: what was asked, and by whom."""
+    """A permitted call: its operation, its request and its caller."""
 
     operation: ApiOperation
     request: web.Request
--- a/drumgw/hosting/errors.py
+++ b/drumgw/hosting/errors.py
@@ -73,7 +73,7 @@
 
 
 class ReadOnlyError(ApiError):
-    """A change was asked for on a host without a state folder."""
+    """A change was requested on a host without a state folder."""
 
     status = 405
     title = "Read only"
--- a/drumgw/hosting/fair_turns.py
+++ b/drumgw/hosting/fair_turns.py
@@ -1,8 +1,8 @@
 """Which tenants are served while the event loop lags. No I/O, no clock.
 
-The shares of resource_limits.py bound what a tenant holds, not how often it asks: a tenant whose requests are
-short could keep the loop busy alone. While the loop is late, a tenant that was admitted for clearly more than
-its part of the latest requests, by weight, is rejected.
+The shares of resource_limits.py bound what a tenant holds, not how many requests it sends: a tenant whose
+requests are short could keep the loop busy alone. While the loop is late, a tenant that was admitted for
+clearly more than its part of the latest requests, by weight, is rejected.
 """
 
 from __future__ import annotations
@@ -45,8 +45,8 @@
 
         Args:
             now_ms: the time.
-            tenant: the key of who asks.
-            weights: of all tenants. A tenant that asked nothing lately leaves its part to the others.
+            tenant: the key of the tenant that the request is for.
+            weights: of all tenants. A tenant without requests lately leaves its part to the others.
         """
         self._forget(now_ms)
         if self.lag_ms > MAX_LAG_MS and self._takes_too_much(tenant, weights):
--- a/drumgw/hosting/http_server.py
+++ b/drumgw/hosting/http_server.py
@@ -1,7 +1,7 @@
 """The clients' side of a host: finds the tenant of each request, then forwards it through that service.
 
-Connections are the gateway's own (drumgw/gateway/http_server.py). They belong to no tenant for good: a client
-may reach several on one connection, so each counts for the tenant that was asked on it last.
+Connections are handled as in one gateway (drumgw/gateway/http_server.py). None belongs to a tenant for good:
+a client may reach several on one connection, so each counts for the tenant of its last request.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     Attributes:
         listen: host and port.
         max_client_connections: connections at most.
-        max_requesting_clients: of them, those that have asked something.
+        max_requesting_clients: of them, those that have sent a request.
     """
 
     listen: tuple[str, int]
@@ -50,7 +50,7 @@
     """The listener of a host.
 
     Attributes:
-        connection_counts: open connections by the key of the tenant that was asked on them last.
+        connection_counts: open connections by the key of the tenant of their last request.
     """
 
     def __init__(self, config: ListenerConfig, services: TenantServices) -> None:
@@ -72,7 +72,7 @@
         """Returns the idle connection to close where one must go.
 
         Guards tenants whose clients keep few connections against one whose clients keep hundreds: a tenant
-        that keeps more than its part by weight loses one first.
+        with more connections than its part by weight loses one first.
         """
         now_ms = self.dispatcher.clock.now()
         weights = self._services.admission.weights
--- a/drumgw/hosting/resource_limits.py
+++ b/drumgw/hosting/resource_limits.py
@@ -1,8 +1,8 @@
 """How much of a host's capacity each tenant may hold at a time. No I/O, no clock.
 
 A part of the capacity is guaranteed: each tenant has its share of that by weight, one unit at least, and
-nobody else gets it. The rest is borrowable by whoever asks first, up to a limit for one tenant. So a tenant
-whose endpoints stall fills its own share and what it may borrow, and the others keep theirs.
+nobody else gets it. The rest can be borrowed, first come, first served, up to a limit for one tenant. So a
+tenant whose endpoints stall fills its own share and what it may borrow, and the others have theirs.
 """
 
 from __future__ import annotations
--- a/drumgw/hosting/tenant_registry.py
+++ b/drumgw/hosting/tenant_registry.py
@@ -51,7 +51,7 @@
         serial: unique for ever: a name made anew is another tenant.
         version: of the last change.
         spec: what an operator or the tenant said of it (drumgw/config/host_file.py), as JSON.
-        state: where it is in its life.
+        state: whether it is served, suspended, draining or drained.
         operation_id: the operation that waits for its requests in flight.
     """
 
--- a/drumgw/hosting/tenant_states.py
+++ b/drumgw/hosting/tenant_states.py
@@ -10,7 +10,7 @@
 
 
 class TenantState(Enum):
-    """Where a tenant is in its life."""
+    """Whether a tenant is served, and if not, why."""
 
     ACTIVE = "active"  # served
     SUSPENDED = "suspended"  # its requests are rejected
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -88,9 +88,9 @@
         self.assertEqual((await self.call("GET", "/v1/tenants/t4/use")).body["taken"], 0)
 
     async def test_idle_connections_of_one_tenant_do_not_push_out_another_s(self) -> None:
-        """One tenant's clients connect by the dozen, ask once and stay; another tenant has one connection.
+        """One tenant's clients open dozens of connections, send one request and stay; another tenant has one.
 
-        The listener has no room for all. It closes connections of the tenant that keeps more than its part,
+        The listener cannot hold all. It closes connections of the tenant that has more than its part,
         and the other's stays open and is served.
         """
         host_process = await self.start_host(await self.tenant("t1"), await self.tenant("t2"))
--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -81,7 +81,7 @@
     """What each tenant may hold, and who waits while the event loop lags."""
 
     def test_each_tenant_keeps_its_share_and_nobody_borrows_all(self) -> None:
-        """Two tenants ask for as much as they can get before the third asks for anything.
+        """Two tenants take as much as they can get before the third takes anything.
 
         Each gets its share and half of what is borrowable; the third still gets its whole share.
         """
@@ -119,7 +119,7 @@
                 self.assertEqual(shares.borrowed, borrowed)
 
     def test_while_the_loop_lags_a_rushing_tenant_waits_and_a_calm_one_is_served(self) -> None:
-        """One tenant rushes while another asks now and then, and the event loop falls behind.
+        """One tenant rushes while another has a request now and then, and the event loop falls behind.
 
         Without lag both are served. With it the rushing one is rejected until its rush is forgotten, the
         calm one never; a tenant that is alone is not rejected.
