--- a/drumgw/testbed/environment.py
+++ b/drumgw/testbed/environment.py
@@ -9,8 +9,8 @@
 from drumgw.testbed.clocks import TestbedClock
 from drumgw.testbed.counter import EmulatedCounter
 from drumgw.testbed.deduplication import DeduplicationStore
+from drumgw.testbed.discovery import EmulatedDiscovery
 from drumgw.testbed.endpoint import EmulatedEndpoint, EndpointIdentity
-from drumgw.testbed.endpoint_registry import EmulatedDiscovery
 from drumgw.testbed.event_log import EventLog
 from drumgw.testbed.logged_events import CounterSummary, RunEnded
 from drumgw.testbed.scenario import Scenario
--- a/drumgw/testbed/gateway_subprocess.py
+++ b/drumgw/testbed/gateway_subprocess.py
@@ -16,7 +16,7 @@
 from drumgw.testbed.background_tasks import BackgroundTasks
 from drumgw.testbed.clients import DRAIN_NOTICED_MS
 from drumgw.testbed.clocks import TestbedClock
-from drumgw.testbed.endpoint_registry import ListUpdate
+from drumgw.testbed.discovery import ListUpdate
 from drumgw.testbed.environment import Environment
 from drumgw.testbed.logged_events import GatewayChanged, GatewayState
 from drumgw.testbed.socket_network import HOST, SocketNetwork, free_port
--- a/drumgw/testbed/socket_servers.py
+++ b/drumgw/testbed/socket_servers.py
@@ -15,8 +15,8 @@
 
 from drumgw.testbed.clocks import TestbedClock
 from drumgw.testbed.counter import CounterStatus
+from drumgw.testbed.discovery import EndpointRow, ListUpdate
 from drumgw.testbed.endpoint import EmulatedEndpoint, ReceivedAttempt, ReceivedState
-from drumgw.testbed.endpoint_registry import EndpointRow, ListUpdate
 from drumgw.testbed.environment import Environment
 from drumgw.testbed.http_wire import MessageProtocol, OrderedReplies, format_response, parse_headers
 from drumgw.testbed.logged_events import EndpointOutcome
--- a/drumgw/testbed/virtual_gateway.py
+++ b/drumgw/testbed/virtual_gateway.py
@@ -28,8 +28,8 @@
 from drumgw.testbed.client_requests import ClientAttempt
 from drumgw.testbed.clocks import TimerHandle
 from drumgw.testbed.counter import CounterStatus
+from drumgw.testbed.discovery import EndpointRow, ListUpdate
 from drumgw.testbed.endpoint import EmulatedEndpoint
-from drumgw.testbed.endpoint_registry import EndpointRow, ListUpdate
 from drumgw.testbed.environment import Environment
 from drumgw.testbed.logged_events import EngineFailed, GatewayLogged
 from drumgw.testbed.virtual_endpoint_client import AttemptKey, VirtualEndpointClient
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -14,7 +14,7 @@
 from drumgw.policy.engine import PolicyEngine
 from drumgw.policy.request_flow import RequestFlow
 from drumgw.policy.request_state import PendingRequest, RequestInput, RequestState
-from drumgw.testbed.endpoint_registry import EndpointRow, ListUpdate
+from drumgw.testbed.discovery import EndpointRow, ListUpdate
 from drumgw.testbed.event_log import EventLog
 from drumgw.testbed.logged_events import Lifecycle
 from drumgw.testbed.observations import Violation
--- a/tests/test_testbed_parties.py
+++ b/tests/test_testbed_parties.py
@@ -8,8 +8,8 @@
 from drumgw.testbed.client_requests import ClientAttempt, ClientRequest
 from drumgw.testbed.clocks import VirtualClock
 from drumgw.testbed.counter import CounterStatus, EmulatedCounter
+from drumgw.testbed.discovery import MAX_CHANGES, EmulatedDiscovery
 from drumgw.testbed.endpoint import EmulatedEndpoint, ReceivedAttempt
-from drumgw.testbed.endpoint_registry import MAX_CHANGES, EmulatedDiscovery
 from drumgw.testbed.environment import Environment
 from drumgw.testbed.event_log import EventLog, RunHeader
 from drumgw.testbed.logged_events import (
