--- a/drumgw/testbed/clients.py
+++ b/drumgw/testbed/clients.py
@@ -28,6 +28,10 @@
 """Until the load balancer sends nothing more to a gateway that shuts down."""
 MAX_LATENESS_MS = 20.0
 """A request sent later than intended by more than this: the testbed could not keep up."""
+LEAVE_BETWEEN = (0.05, 0.6)
+"""A client that leaves early does so after a share of its time between these."""
+BACKOFF_BETWEEN = (0.5, 1.5)
+"""A backoff is spread by a factor between these."""
 MIN_TIME_LEFT_MS = 5.0
 """With less time left, nothing is sent any more."""
 
@@ -152,7 +156,7 @@
         give_up_ms = now + time_left_ms + GIVE_UP_AFTER_MS
         attempt.timers.append(self._clock.call_at(give_up_ms, lambda: self._give_up(attempt)))
         if self.leave_share and self._random.random() < self.leave_share:
-            leave_ms = now + time_left_ms * self._random.uniform(0.05, 0.6)
+            leave_ms = now + time_left_ms * self._random.uniform(*LEAVE_BETWEEN)
             attempt.timers.append(self._clock.call_at(leave_ms, lambda: self._leave(attempt)))
         assert self.sender is not None
         self.sender.send(attempt)
@@ -223,7 +227,7 @@
         if request.attempt_count > section.retries:
             return
         observes = retry_after_ms > 0 and self._random.random() < section.observe
-        wait_ms = retry_after_ms if observes else section.backoff_ms * self._random.uniform(0.5, 1.5)
+        wait_ms = retry_after_ms if observes else section.backoff_ms * self._random.uniform(*BACKOFF_BETWEEN)
         retry_ms = self._clock.now() + wait_ms
         if retry_ms < request.deadline_ms:
             self._clock.call_at(retry_ms, lambda: self._send_attempt(request))
--- a/drumgw/testbed/workload.py
+++ b/drumgw/testbed/workload.py
@@ -16,6 +16,9 @@
 from drumgw.testbed.scenario import CustomersSection, FaultKind, Scenario, WorkSection
 
 MIN_WORK_MS = 0.1
+GATEWAY_WEIGHT_BETWEEN = (0.3, 1.0)
+"""A customer's requests are dealt among its gateways by weights between these."""
+MAX_CUSTOMER_NUMBER = 2**33
 
 
 class RandomUse(StrEnum):
@@ -93,7 +96,7 @@
         fleet_size = self._scenario.fleet.gatekeepers
         for index in range(group.number):
             stream = self.random_stream(RandomUse.CUSTOMER, group.plan, index)
-            number = stream.randrange(2**33)
+            number = stream.randrange(MAX_CUSTOMER_NUMBER)
             first_gateway = stream.randrange(fleet_size)
             gateways = tuple((first_gateway + offset) % fleet_size for offset in range(group.gatekeepers))
             is_heavy = stream.random() < group.heavy
@@ -102,7 +105,7 @@
                 number=number,
                 plan=plan,
                 gateways=gateways,
-                weights=tuple(stream.uniform(0.3, 1.0) for _ in gateways),
+                weights=tuple(stream.uniform(*GATEWAY_WEIGHT_BETWEEN) for _ in gateways),
                 requests_per_s=plan.units_per_s * quota_share / self._scenario.mean_units(),
             )
 
