--- a/drumgw/gateway/endpoint_clients.py
+++ b/drumgw/gateway/endpoint_clients.py
@@ -1,14 +1,20 @@
-"""The workers' side: an actor for each worker, with a bounded mailbox of the submissions it carries."""
+"""The endpoints' side: a client for each listed endpoint, and the attempts that are in flight to it.
+
+Each attempt that was not aborted is reported once, as it ends. Whether it may have run follows from how far
+its request got: before its last byte was written, nothing ran.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass, field
 from functools import partial
-from typing import Any
+from typing import NamedTuple
 
 import aiohttp
 
+from drumgw.gateway import http_headers
 from drumgw.gateway.commands import AbortAttempt, StartAttempt
 from drumgw.gateway.connection_pool import ConnectionPool
 from drumgw.gateway.dispatcher import Dispatcher
@@ -16,166 +22,256 @@
 from drumgw.gateway.peer_errors import CONNECTION_ERRORS, WriteDeadlineError
 from drumgw.gateway.process_config import GatewayConfig
 from drumgw.gateway.request_parsing import ClientRequest, read_number
+from drumgw.gateway.response_framing import RawResponse
 from drumgw.model.events import Outcome
 from drumgw.model.settings_reader import LOAD_REPORT_FIELDS
 
-TURNED_AWAY = (503, 504)
-Key = tuple[int, int]
+STATUS_OK = 200
+REJECTION_STATUSES = (503, 504)
+"""With `Not-Started: 1` these say that the endpoint had no capacity, and that nothing ran."""
+LOAD_REPORT_PREFIX = "TEXT"
+
+
+class AttemptKey(NamedTuple):
+    """Names an attempt in flight."""
 
+    request_id: int
+    attempt: int
 
+
+@dataclass(slots=True)
 class AttemptResult:
-    __slots__ = ("end", "units", "load", "answer")
+    """How an attempt ended.
 
-    def __init__(
-        self, end: Outcome, units: float = 0.0, load: dict[str, float] | None = None, answer: Any = None
-    ) -> None:
-        self.end, self.units, self.load, self.answer = end, units, load or {}, answer
+    Attributes:
+        outcome: What the policy engine is told.
+        billed_units: True cost; 0 where the endpoint did not tell.
+        load_report: What the endpoint reports of its load.
+        response: Content type and body for the client, of an attempt that succeeded.
+    """
+
+    outcome: Outcome
+    billed_units: float = 0.0
+    load_report: dict[str, float] = field(default_factory=dict)
+    response: tuple[str | None, bytes] | None = None
 
 
 class EndpointClient:
-    """A worker's actor. Its mailbox holds what was sent to it and has not ended."""
+    """What is known of one endpoint, and what is in flight to it.
+
+    Attributes:
+        address: host:port.
+        connection_owner: The endpoint and its start: whose connections those at its address are.
+        accepts_attempts: Whether it may be sent anything new.
+        peer: What the pool knows it by; made at need, as one gateway sends to few of a thousand endpoints.
+        in_flight: Its attempts; an entry goes as its attempt ends or is aborted.
+    """
 
     def __init__(self) -> None:
-        self.place, self.open = ("", ""), True  # its address, and whose connections stand there
-        self.made: aiohttp.ClientRequest | None = None
-        self.mailbox: dict[Key, tuple[asyncio.Task[None], Exchange]] = {}  # emptied by ends and stops
+        self.address = ""
+        self.connection_owner = ""
+        self.accepts_attempts = True
+        self.peer: aiohttp.ClientRequest | None = None
+        self.in_flight: dict[AttemptKey, tuple[asyncio.Task[None], Exchange]] = {}
 
 
 class EndpointClients:
+    """The clients of all listed endpoints.
+
+    Attributes:
+        clients: By the endpoint's number; the endpoint list fills and empties it.
+        in_flight: The client that carries each attempt; an entry goes as its attempt ends or is aborted.
+        pool: The connections to all endpoints.
+    """
+
     def __init__(self, config: GatewayConfig, dispatcher: Dispatcher) -> None:
-        self.dispatcher, self.loop, self.most = dispatcher, dispatcher.loop, config.max_endpoint_connections
         self.pool = ConnectionPool(
             config.max_endpoint_connections,
             config.endpoint_idle_ms,
             config.connect_timeout_ms,
             dispatcher.clock,
         )
-        self.reports = bool(config.settings.load_report_fields)
-        self.clients: dict[int, EndpointClient] = {}  # workers on the list; emptied by it
-        self.where: dict[Key, EndpointClient] = {}  # submissions out; emptied by ends and stops
+        self.clients: dict[int, EndpointClient] = {}
+        self.in_flight: dict[AttemptKey, EndpointClient] = {}
+        self._dispatcher = dispatcher
+        self._max_in_flight = config.max_endpoint_connections
+        self._reads_load_reports = bool(config.settings.load_report_fields)
 
     async def close(self) -> None:
+        """Closes all connections."""
         await self.pool.close()
 
-    def check_before_sending(self, look: Callable[[], None]) -> None:
-        """Guards drains where the loop stood or is crowded: the list is read before a first byte goes."""
-        self.pool.before_write = look
-
-    # From the list
-
-    def set_address(self, number: int, address: str, born: float | None) -> None:
-        """Guards a new worker, or a new start, at a gone one's address: its connections are its own."""
-        worker, place = (
-            self.clients.setdefault(number, EndpointClient()),
-            (address, f"{number}-{born or 0:.0f}"),
-        )
-        if worker.place != place:
-            self.leave(worker)
-        worker.place, worker.open = place, True
-
-    def leave(self, worker: EndpointClient) -> None:
-        card, worker.made = worker.made, None
-        if card is not None:
-            self.pool.close_idle(card.connection_key)
-
-    def card(self, worker: EndpointClient) -> aiohttp.ClientRequest:
-        """Made at need: of a thousand workers a gateway sends to a few."""
-        if worker.made is None:
-            worker.made = self.pool.peer(*worker.place)
-        return worker.made
-
-    def drain(self, number: int, gone: bool) -> None:
-        """Guards the drain: what waits for a connection and was not written yet is not sent any more."""
-        worker = self.clients.pop(number, None) if gone else self.clients.get(number)
-        if worker is None:
+    def check_before_sending(self, check: Callable[[], None]) -> None:
+        """Calls `check` before each attempt's first byte.
+
+        Guards drains where the event loop was stalled or is behind: the endpoint list is read first.
+        """
+        self.pool.before_write = check
+
+    # From the endpoint list
+
+    def set_address(self, endpoint_id: int, address: str, started_at_ms: float | None) -> None:
+        """Lists an endpoint that may be sent requests.
+
+        Guards a new endpoint, or a new start, at the address of one that has gone: it gets connections of its
+        own, and none that the other left behind.
+        """
+        client = self.clients.setdefault(endpoint_id, EndpointClient())
+        connection_owner = f"{endpoint_id}-{started_at_ms or 0:.0f}"
+        if (client.address, client.connection_owner) != (address, connection_owner):
+            self._close_idle(client)
+        client.address = address
+        client.connection_owner = connection_owner
+        client.accepts_attempts = True
+
+    def drain(self, endpoint_id: int, gone: bool) -> None:
+        """Sends an endpoint nothing new.
+
+        Guards the drain: an attempt that waits for a connection, and was not written yet, would be sent after
+        the drain's grace.
+        """
+        client = self.clients.pop(endpoint_id, None) if gone else self.clients.get(endpoint_id)
+        if client is None:
             return
-        worker.open = False
-        self.leave(worker)
-        for txn, n in list(worker.mailbox):
-            self.withdraw_unsent(txn, n)
-
-    # From the desk
-
-    def start_attempt(self, order: StartAttempt, request: ClientRequest) -> None:
-        key, worker = (order.request_id, order.attempt), self.clients.get(order.endpoint_id)
-        if worker is None or not worker.open or len(self.where) >= self.most:
-            self.tell(order.request_id, order.attempt, AttemptResult(Outcome.NOT_SENT))
+        client.accepts_attempts = False
+        self._close_idle(client)
+        for key in list(client.in_flight):
+            self.withdraw_unsent(key.request_id, key.attempt)
+
+    def _close_idle(self, client: EndpointClient) -> None:
+        peer = client.peer
+        client.peer = None
+        if peer is not None:
+            self.pool.close_idle(peer.connection_key)
+
+    # From the dispatcher
+
+    def start_attempt(self, command: StartAttempt, request: ClientRequest) -> None:
+        """Sends a request to an endpoint; not sent where that drains or too much is in flight."""
+        key = AttemptKey(command.request_id, command.attempt)
+        client = self.clients.get(command.endpoint_id)
+        is_full = len(self.in_flight) >= self._max_in_flight
+        if client is None or not client.accepts_attempts or is_full:
+            self._report(key, AttemptResult(Outcome.NOT_SENT))
             return
-        trip = Exchange(order.write_by_ms, partial(self.recheck, request))
-        worker.mailbox[key] = self.loop.create_task(self.run(order, request, worker, trip)), trip
-        self.where[key] = worker
-
-    def recheck(self, request: ClientRequest) -> None:
-        """Guards against an attempt that begins after its client's close, which may lie unread."""
-        if request.client_left():
-            self.dispatcher.client_disconnected(request.request_id)
-
-    def abort_attempt(self, order: AbortAttempt) -> None:
-        """Closes its connection before anything else of its txn is written."""
-        worker = self.where.pop((order.request_id, order.attempt), None)
-        if worker is not None:
-            task, trip = worker.mailbox.pop((order.request_id, order.attempt))
-            trip.close()
+        exchange = Exchange(command.write_by_ms, partial(self._check_client, request))
+        task = self._dispatcher.loop.create_task(self._run(key, command, request, client, exchange))
+        client.in_flight[key] = task, exchange
+        self.in_flight[key] = client
+
+    def abort_attempt(self, command: AbortAttempt) -> None:
+        """Closes the attempt's connection, before anything else of its request is written."""
+        key = AttemptKey(command.request_id, command.attempt)
+        client = self.in_flight.pop(key, None)
+        if client is not None:
+            task, exchange = client.in_flight.pop(key)
+            exchange.close()
             task.cancel()
 
-    def withdraw_unsent(self, txn: int, submission: int) -> None:
-        """What waits for a connection, and was not written yet, is not sent any more: no worker's fault."""
-        worker = self.where.get((txn, submission))
-        if worker is not None and not worker.mailbox[txn, submission][1].written:
-            self.abort_attempt(AbortAttempt(txn, submission))
-            self.tell(txn, submission, AttemptResult(Outcome.NOT_SENT))
+    def withdraw_unsent(self, request_id: int, attempt: int) -> None:
+        """Ends an attempt as not sent if its last byte was not written: that is no fault of the endpoint."""
+        key = AttemptKey(request_id, attempt)
+        client = self.in_flight.get(key)
+        if client is None:
+            return
+        _, exchange = client.in_flight[key]
+        if not exchange.written:
+            self.abort_attempt(AbortAttempt(request_id, attempt))
+            self._report(key, AttemptResult(Outcome.NOT_SENT))
 
-    def tell(self, txn: int, submission: int, o: AttemptResult) -> None:
-        self.dispatcher.post(
-            self.dispatcher.lifecycle.attempt_ended, txn, submission, o.end, o.units, o.load, o.answer
+    def _check_client(self, request: ClientRequest) -> None:
+        """Guards endpoints against an attempt for a client whose close lies unread."""
+        if request.client_left():
+            self._dispatcher.client_disconnected(request.request_id)
+
+    def _report(self, key: AttemptKey, result: AttemptResult) -> None:
+        self._dispatcher.post(
+            self._dispatcher.lifecycle.attempt_ended,
+            key.request_id,
+            key.attempt,
+            result.outcome,
+            result.billed_units,
+            result.load_report,
+            result.response,
         )
 
-    async def run(
-        self, order: StartAttempt, request: ClientRequest, worker: EndpointClient, trip: Exchange
+    async def _run(
+        self,
+        key: AttemptKey,
+        command: StartAttempt,
+        request: ClientRequest,
+        client: EndpointClient,
+        exchange: Exchange,
     ) -> None:
-        outcome = await self.carry(order, request, worker, trip)
-        key = order.request_id, order.attempt
-        if self.where.pop(key, None) is not None:
-            del worker.mailbox[key]
-            self.tell(order.request_id, order.attempt, outcome)
-
-    async def carry(
-        self, order: StartAttempt, request: ClientRequest, worker: EndpointClient, trip: Exchange
+        result = await self._attempt(command, request, client, exchange)
+        if self.in_flight.pop(key, None) is not None:
+            del client.in_flight[key]
+            self._report(key, result)
+
+    async def _attempt(
+        self, command: StartAttempt, request: ClientRequest, client: EndpointClient, exchange: Exchange
     ) -> AttemptResult:
-        left = max(1, round(order.deadline_ms - self.dispatcher.clock.now()))
-        message_bytes = b"%bRequest-Timeout: %dm\r\n\r\n%b" % (request.head, left, request.body)
-        stood = self.dispatcher.clock.stalled_ms
+        clock = self._dispatcher.clock
+        time_left_ms = max(1, round(command.deadline_ms - clock.now()))
+        message = b"%bRequest-Timeout: %dm\r\n\r\n%b" % (request.head, time_left_ms, request.body)
+        stalled_before_ms = clock.stalled_ms
+        if client.peer is None:
+            client.peer = self.pool.peer(client.address, client.connection_owner)
         try:
-            message, body = await self.pool.send(self.card(worker), message_bytes, trip)
-        except CONNECTION_ERRORS as error:  # before its last byte was written it cannot have run
-            self.dispatcher.clock.now()
-            ours = isinstance(error, TimeoutError) and stood < self.dispatcher.clock.stalled_ms
-            ours = ours or isinstance(error, WriteDeadlineError)
-            return AttemptResult(
-                Outcome.BROKEN_RESPONSE if trip.written else Outcome.NOT_SENT if ours else Outcome.UNREACHABLE
-            )
+            response = await self.pool.send(client.peer, message, exchange)
+        except CONNECTION_ERRORS as error:
+            clock.now()  # finds a stall that has just ended
+            has_stalled = stalled_before_ms < clock.stalled_ms
+            return AttemptResult(outcome_of_error(error, exchange.written, has_stalled))
         except Exception as error:
-            self.dispatcher.log_fault(error, "a worker's line")
-            return AttemptResult(Outcome.BROKEN_RESPONSE if trip.written else Outcome.UNREACHABLE)
-        headers = message.headers
-        load = read_load(headers.get("Server-Load")) if self.reports else None
-        if message.code == 200:
-            units = read_units(headers.get("Billed-Units"))
-            return AttemptResult(Outcome.SUCCEEDED, units, load, (headers.get("Content-Type"), body))
-        turned_away = message.code in TURNED_AWAY and headers.get("Not-Started") == "1"
-        return AttemptResult(Outcome.REJECTED if turned_away else Outcome.FAILED, load=load)
-
-
-def read_units(text: str | None) -> float:
-    """0, not told, where it can't be read: the answer is good all the same."""
+            self._dispatcher.log_fault(error, "a connection to an endpoint")
+            return AttemptResult(Outcome.BROKEN_RESPONSE if exchange.written else Outcome.UNREACHABLE)
+        return read_response(response, self._reads_load_reports)
+
+
+def outcome_of_error(error: BaseException, written: bool, has_stalled: bool) -> Outcome:
+    """How an attempt ended that brought no response.
+
+    Guards endpoints against being judged by this process: a connect timeout that ran out while it stalled,
+    and a write deadline, are no fault of theirs.
+
+    Args:
+        error: What was raised.
+        written: Whether the request's last byte was written; before that it cannot have run.
+        has_stalled: Whether this process was stalled meanwhile.
+    """
+    if written:
+        return Outcome.BROKEN_RESPONSE
+    if isinstance(error, WriteDeadlineError) or (isinstance(error, TimeoutError) and has_stalled):
+        return Outcome.NOT_SENT
+    return Outcome.UNREACHABLE
+
+
+def read_response(response: RawResponse, reads_load_report: bool) -> AttemptResult:
+    """Maps an endpoint's status and headers: the one place where their names stand for outcomes."""
+    headers = response.message.headers
+    load_report = read_load_report(headers.get(http_headers.SERVER_LOAD)) if reads_load_report else {}
+    status = response.message.code
+    if status == STATUS_OK:
+        billed_units = read_billed_units(headers.get(http_headers.BILLED_UNITS))
+        content = (headers.get(http_headers.CONTENT_TYPE), response.body)
+        return AttemptResult(Outcome.SUCCEEDED, billed_units, load_report, content)
+    if status in REJECTION_STATUSES and headers.get(http_headers.NOT_STARTED) == "1":
+        return AttemptResult(Outcome.REJECTED, load_report=load_report)
+    return AttemptResult(Outcome.FAILED, load_report=load_report)
+
+
+def read_billed_units(text: str | None) -> float:
+    """0, for not told, where it cannot be read: the response is good all the same."""
     return max(0.0, read_number(text) or 0.0)
 
 
-def read_load(text: str | None) -> dict[str, float]:
-    """TEXT inflight=7, queue=2: what cannot be read is left out."""
-    load: dict[str, float] = {}
-    for part in (text or "").removeprefix("TEXT").split(","):
+def read_load_report(text: str | None) -> dict[str, float]:
+    """Reads `TEXT inflight=7, queue=2`; what cannot be read is left out."""
+    load_report: dict[str, float] = {}
+    for part in (text or "").removeprefix(LOAD_REPORT_PREFIX).split(","):
         name, _, value = part.partition("=")
-        if (number := read_number(value)) is not None:
-            load[LOAD_REPORT_FIELDS.get(name.strip(), name.strip())] = number
-    return load
+        number = read_number(value)
+        if number is not None:
+            load_report[LOAD_REPORT_FIELDS.get(name.strip(), name.strip())] = number
+    return load_report
--- a/drumgw/gateway/request_parsing.py
+++ b/drumgw/gateway/request_parsing.py
@@ -1,4 +1,4 @@
-"""Reads a client's request: only the fields that decisions need; the rest stays the bytes that came."""
+"""Reads a client's request: only the fields that decisions need. The rest stays the bytes that came."""
 
 from __future__ import annotations
 
@@ -7,69 +7,72 @@
 from dataclasses import dataclass
 from math import isfinite
 
+from drumgw.gateway import http_headers
 from drumgw.model.events import RequestReceived
 from drumgw.model.settings import GatewaySettings, Idempotency
 from drumgw.model.settings_reader import NameIndex
 
-UNITS_MS = {"m": 1.0, "u": 0.001}
-TIME = re.compile(r"([0-9]{1,9}(?:\.[0-9]{1,9})?)([mu])")  # float() takes nan, inf, 1_0, far too much
-COUNT = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
-ACCOUNT, MOST_CUSTOMERS = re.compile(r"[0-9a-fA-F]{16}"), 2**33
-REQUEST_ID = re.compile(r"[!-~]{1,64}")
 METHODS = ("GET", "POST")
+MS_PER_UNIT = {"m": 1.0, "u": 0.001}
+"""Units of Request-Timeout: milliseconds and microseconds."""
+
+# Patterns, as float() also takes nan, inf, 1_0 and numbers of any size
+DURATION_PATTERN = re.compile(r"([0-9]{1,9}(?:\.[0-9]{1,9})?)([mu])")
+NUMBER_PATTERN = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
+CUSTOMER_PATTERN = re.compile(r"[0-9a-fA-F]{16}")
+REQUEST_ID_PATTERN = re.compile(r"[!-~]{1,64}")
+CUSTOMER_LIMIT = 2**33
+"""Customers' numbers are below this."""
 
 
 class BadRequestError(Exception):
-    """A request that the module never hears of: a status of 4xx and a line for the client."""
+    """A request that the policy engine never sees.
+
+    Attributes:
+        status: The 4xx status of its response; the error's text is the response's one line.
+    """
 
     def __init__(self, status: int, line: str) -> None:
         super().__init__(line)
         self.status = status
 
 
-def still_there() -> bool:
+def _has_not_left() -> bool:
     return False
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """What goes on to a worker as it came, and what was taken out of it."""
+    """A client's request: what is forwarded as it came, and what was read from it.
+
+    Attributes:
+        head: Request line and headers, without Request-Timeout, which each attempt adds.
+        body: As it came.
+        received: What the policy engine is told; the request lifecycle sets its number.
+        request_id: That number.
+        client_left: Whether the client has gone; asked before each attempt's first byte.
+    """
 
-    head: bytes  # request line and headers, without Request-Timeout, which each submission adds
+    head: bytes
     body: bytes
-    received: RequestReceived  # its number is given by the core
+    received: RequestReceived
     request_id: int = 0
-    client_left: Callable[[], bool] = still_there  # asked before each attempt's first byte
-
-
-# What concerns this connection only (RFC 9110, 7.6.1), and what each attempt says anew
-OWN = frozenset(
-    (
-        b"connection",
-        b"keep-alive",
-        b"proxy-connection",
-        b"proxy-authenticate",
-        b"proxy-authorization",
-        b"te",
-        b"trailer",
-        b"transfer-encoding",
-        b"upgrade",
-        b"expect",
-        b"content-length",
-        b"request-timeout",
-    )
-)
+    client_left: Callable[[], bool] = _has_not_left
 
 
 def write_head(method: str, target: str, headers: Iterable[tuple[bytes, bytes]], body: bytes) -> bytes:
-    """The target and the headers as the bytes that came. Guards keyed requests: without the client's
-    Idempotency-Key a worker can't tell its repeats, and any other header may mean as much to it."""
-    lines = [f"{method} {target} HTTP/1.1".encode("utf-8", "surrogateescape")]
-    own, said = OWN, list(headers)
-    for name, value in said:
+    """The request line and the headers to forward, as the bytes that came.
+
+    Guards requests with an idempotency key: without the client's Idempotency-Key an endpoint cannot tell its
+    retries, and any other header may mean as much to it. So all are forwarded but those of the connection.
+    """
+    all_headers = list(headers)
+    not_forwarded = http_headers.NOT_FORWARDED
+    for name, value in all_headers:
         if name.lower() == b"connection":
-            own |= {word.strip().lower() for word in value.split(b",")}
-    lines += [b"%b: %b" % (name, value) for name, value in said if name.lower() not in own]
+            not_forwarded |= {option.strip().lower() for option in value.split(b",")}
+    lines = [f"{method} {target} HTTP/1.1".encode("utf-8", "surrogateescape")]
+    lines += [b"%b: %b" % (name, value) for name, value in all_headers if name.lower() not in not_forwarded]
     if body or method == "POST":
         lines.append(b"Content-Length: %d" % len(body))
     return b"\r\n".join(lines) + b"\r\n"
@@ -78,44 +81,59 @@
 def parse_request(
     names: NameIndex, settings: GatewaySettings, method: str, target: str, headers: Mapping[str, str]
 ) -> RequestReceived:
-    """The fields of a request; raises Unfit where one is missing or means nothing here.
+    """Reads and checks the fields of a request.
 
-    Guards the books and the workers: what is beyond the settings' ranges, or not a number, in whoever's name,
-    would be counted, and a worker that can't use it would be taken for a sick one.
+    Guards quota accounts and endpoints: a cost beyond the settings' ranges, or that is not a number, would be
+    counted for a customer, and an endpoint that cannot use the request would be taken for an outlier.
+
+    Raises:
+        BadRequestError: A field is missing, or means nothing here.
     """
     if method not in METHODS:
         raise BadRequestError(405, "no such method")
     path, _, query = target.partition("?")
-    product = names.request_classes.get(path.split("/", 2)[1] if path.startswith("/") else "")
-    if product is None:
-        raise BadRequestError(404, "no such product")
-    if (method == "GET") != (settings.request_classes[product].idempotency is Idempotency.IDEMPOTENT):
-        raise BadRequestError(405, "not this product's method")
-    if not REQUEST_ID.fullmatch(headers.get("Request-Id", "")):
+    request_class = _read_request_class(names, path)
+    is_idempotent = settings.request_classes[request_class].idempotency is Idempotency.IDEMPOTENT
+    if (method == "GET") != is_idempotent:
+        raise BadRequestError(405, "not this request class's method")
+    if not REQUEST_ID_PATTERN.fullmatch(headers.get(http_headers.REQUEST_ID, "")):
         raise BadRequestError(400, "Request-Id is missing or unusable")
-    plan = names.plans.get(headers.get("Plan", ""))
+    plan = names.plans.get(headers.get(http_headers.PLAN, ""))
     if plan is None:
         raise BadRequestError(400, "Plan is missing or unknown")
     try:
-        left, info = _left(headers["Request-Timeout"]), _pairs(headers["Quota-Info"])
-        units, gates, first = (_count(info[name]) for name in ("units", "spread", "first"))
-        customer = _account(query)
-    except (KeyError, ValueError) as bad:
-        raise BadRequestError(400, f"missing or unusable: {bad}") from bad
-    if not (
-        left > 0
+        time_left_ms = _read_duration_ms(headers[http_headers.REQUEST_TIMEOUT])
+        quota_info = _read_pairs(headers[http_headers.QUOTA_INFO])
+        units = _read_quota_number(quota_info[http_headers.QUOTA_UNITS])
+        gateway_count = _read_quota_number(quota_info[http_headers.QUOTA_GATEWAY_COUNT])
+        first_gateway = _read_quota_number(quota_info[http_headers.QUOTA_FIRST_GATEWAY])
+        customer = _read_customer(query)
+    except (KeyError, ValueError) as error:
+        raise BadRequestError(400, f"missing or unusable: {error}") from error
+    is_in_range = (
+        time_left_ms > 0
         and 0 < units <= settings.max_request_units
-        and 1 <= gates <= settings.gateways
-        and first < settings.gateways
-        and gates % 1 == first % 1 == 0
-    ):
+        and 1 <= gateway_count <= settings.gateways
+        and first_gateway < settings.gateways
+        and gateway_count % 1 == first_gateway % 1 == 0
+    )
+    if not is_in_range:
         raise BadRequestError(400, "Request-Timeout or Quota-Info is out of its range")
-    again = headers.get("Client-Retry") == "1"
-    return RequestReceived(0, left, plan, customer, product, units, again, int(gates), int(first))
+    return RequestReceived(
+        request_id=0,
+        time_left_ms=time_left_ms,
+        plan=plan,
+        customer=customer,
+        request_class=request_class,
+        units=units,
+        is_client_retry=headers.get(http_headers.CLIENT_RETRY) == "1",
+        gateway_count=int(gateway_count),
+        first_gateway=int(first_gateway),
+    )
 
 
 def read_number(text: str | bytes | None) -> float | None:
-    """A number that a peer sent; none where it is not one that can be counted with."""
+    """A number that a peer sent; None where it is no finite number."""
     try:
         number = float(text or "")
     except ValueError:
@@ -123,28 +141,39 @@
     return number if isfinite(number) else None
 
 
-def _left(text: str) -> float:
-    if (found := TIME.fullmatch(text)) is None:
-        raise ValueError("Request-Timeout")
-    return float(found[1]) * UNITS_MS[found[2]]
+def _read_request_class(names: NameIndex, path: str) -> int:
+    """The first segment of the path names the class."""
+    name = path.split("/", 2)[1] if path.startswith("/") else ""
+    request_class = names.request_classes.get(name)
+    if request_class is None:
+        raise BadRequestError(404, "no such request class")
+    return request_class
+
+
+def _read_duration_ms(text: str) -> float:
+    match = DURATION_PATTERN.fullmatch(text)
+    if match is None:
+        raise ValueError(http_headers.REQUEST_TIMEOUT)
+    return float(match[1]) * MS_PER_UNIT[match[2]]
 
 
-def _count(text: str) -> float:
-    if COUNT.fullmatch(text) is None:
-        raise ValueError("Quota-Info")
+def _read_quota_number(text: str) -> float:
+    if NUMBER_PATTERN.fullmatch(text) is None:
+        raise ValueError(http_headers.QUOTA_INFO)
     return float(text)
 
 
-def _pairs(text: str) -> dict[str, str]:
+def _read_pairs(text: str) -> dict[str, str]:
     pairs = (part.partition("=") for part in text.split(","))
     return {name.strip(): value for name, _, value in pairs}
 
 
-def _account(query: str) -> int:
-    for part in query.split("&"):
-        if part.startswith("account="):
-            text = part[8:]
-            if not ACCOUNT.fullmatch(text) or int(text, 16) >= MOST_CUSTOMERS:
-                raise ValueError("account")
-            return int(text, 16)
+def _read_customer(query: str) -> int:
+    for parameter in query.split("&"):
+        if not parameter.startswith(http_headers.CUSTOMER_PARAMETER):
+            continue
+        text = parameter.removeprefix(http_headers.CUSTOMER_PARAMETER)
+        if not CUSTOMER_PATTERN.fullmatch(text) or int(text, 16) >= CUSTOMER_LIMIT:
+            raise ValueError("account")
+        return int(text, 16)
     raise KeyError("account")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -188,9 +188,7 @@
         """A worker that fails what it gets; the other gets the repeat, whoever is asked first."""
         bad = await self.stand_in(http(status=500))
         await self.begin_keyed(bad.address, other, **more)
-        number = next(
-            n for n, w in self.gateway.endpoint_clients.clients.items() if w.place[0] == bad.address
-        )
+        number = next(n for n, w in self.gateway.endpoint_clients.clients.items() if w.address == bad.address)
         policy = self.gateway.dispatcher.lifecycle.policy
         policy.back_end.endpoints.preferred.sort(key=lambda w: w.endpoint_id != number)  # type: ignore[attr-defined]
         selector = policy.selector  # type: ignore[attr-defined]
@@ -859,7 +857,7 @@
         await until(
             lambda: not (
                 gateway.dispatcher.lifecycle.in_flight
-                or gateway.endpoint_clients.where
+                or gateway.endpoint_clients.in_flight
                 or gateway.http_server.open_request_ids
             )
         )
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -249,7 +249,9 @@
         await self.update_agent(8, *({**row, "lifecycle": "draining"} for row in many))
         await self.until_called("since=8&")
         self.assertEqual((await self.ask(Quota_Info=EVERY_GATEWAY))[:2], (200, b"other"))
-        self.assertEqual(sum(client.open for client in self.gateway.endpoint_clients.clients.values()), 1)
+        self.assertEqual(
+            sum(client.accepts_attempts for client in self.gateway.endpoint_clients.clients.values()), 1
+        )
 
     async def test_an_agent_that_answers_at_once_is_not_polled_without_end(self) -> None:
         """An agent that never waits for updates would keep the gateway busy with polls."""
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -630,7 +630,9 @@
         while len(asked) < 2:
             await asyncio.sleep(0.001)
         self.assertEqual(states(), {"s-0": EndpointStatus.DRAINING, "s-2": EndpointStatus.READY})
-        self.assertEqual([w.open for w in gateway.endpoint_clients.clients.values()], [False, True])
+        self.assertEqual(
+            [w.accepts_attempts for w in gateway.endpoint_clients.clients.values()], [False, True]
+        )
         self.assertLessEqual(int(asked[0].split(b"timeout_ms=")[1]), 1000)  # a lost watch is asked again soon
         news.put_nowait({"generation": 3, "reset": True, "instances": rows[5:]})
         while len(asked) < 3:
@@ -681,10 +683,12 @@
         with mock.patch.object(gateway.endpoint_clients.pool.connector, "connect", lambda *args: up):
             _, writer = await self.connect()
             writer.write(request())
-            while not gateway.endpoint_clients.where:
+            while not gateway.endpoint_clients.in_flight:
                 await asyncio.sleep(0.001)
             gateway.endpoint_clients.drain(number, gone=False)
-        self.assertEqual((gateway.endpoint_clients.where, gateway.dispatcher.lifecycle.in_flight), ({}, {}))
+        self.assertEqual(
+            (gateway.endpoint_clients.in_flight, gateway.dispatcher.lifecycle.in_flight), ({}, {})
+        )
 
     async def test_a_connect_time_that_ran_out_in_our_own_stall_is_no_fault_of_the_worker(self) -> None:
         gateway = await self.begin("127.0.0.1:1")
