--- a/drumgw/policy/attempt_tracking.py
+++ b/drumgw/policy/attempt_tracking.py
@@ -1,4 +1,4 @@
-"""Follows attempts from their start to their end, and tells the parts that learn from them."""
+"""Follows attempts from start to end, and passes their results to the parts that learn from them."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 
 
 class AttemptTracker:
-    """Counts attempts in flight, judges how they end, and finds those that are overdue."""
+    """Records how attempts start and end, and finds those that are overdue.
+
+    The records of attempts in flight are kept with their endpoints.
+    """
 
     def __init__(
         self,
@@ -47,7 +50,7 @@
         self.latencies = [ClassLatency(each.latency_objective_ms) for each in settings.request_classes]
 
     def start(self, request: PendingRequest, endpoint: EndpointState) -> None:
-        """Counts a new attempt of a request at an endpoint."""
+        """Records a new attempt of a request at an endpoint."""
         now_ms = self.context.now_ms
         self.limit.record_start()
         request.account.attempts_in_flight += 1
@@ -63,7 +66,7 @@
         self.endpoints.with_attempts[endpoint.endpoint_id] = endpoint
 
     def end(self, event: AttemptEnded) -> None:
-        """Takes in how an attempt ended; ends of attempts that are not known are ignored."""
+        """Records how an attempt ended; ends of unknown attempts are ignored."""
         endpoint = self.endpoints.by_id.get(event.endpoint_id)
         if endpoint is None:
             return
@@ -105,10 +108,11 @@
                     self._record_overdue(endpoint, request_id, attempt)
 
     def _record_overdue(self, endpoint: EndpointState, request_id: int, attempt: AttemptInFlight) -> None:
-        """Guards against answers that never come: the endpoint is doubted, and the attempt called off.
+        """Guards against an endpoint that accepts requests and never answers them.
 
-        Such an endpoint accepts requests and fails none. Where answers are late in general it is not at
-        fault, and calling attempts off would only add load.
+        It reports no failure, and looks idle; its requests would wait until their deadline. So an overdue
+        attempt counts as a failure, and is cancelled where its request can be sent elsewhere. While answers
+        are late in general the endpoint is not at fault, and further attempts would only add load.
         """
         attempt.overdue_at_ms = NEVER_MS
         self.limit.record_overdue()
@@ -118,10 +122,10 @@
             return
         self.outliers.record_overdue(endpoint, attempt)
         request = self.pending.get(request_id)
-        if request is not None and self._may_call_off(attempt):
+        if request is not None and self._may_cancel(attempt):
             self.context.actions.append(CancelAttempt(request_id, len(request.tried_endpoints) - 1))
 
-    def _may_call_off(self, attempt: AttemptInFlight) -> bool:
+    def _may_cancel(self, attempt: AttemptInFlight) -> bool:
         """Whether an attempt's request can be sent elsewhere instead."""
         request_class = self.request_classes[attempt.class_index]
         return (
--- a/drumgw/policy/concurrency_limit.py
+++ b/drumgw/policy/concurrency_limit.py
@@ -1,7 +1,8 @@
 """How many attempts this gateway has in flight, and how many it may have.
 
-The limit follows Little's law: what completes in the time of an unloaded answer and a short wait. It guards
-against a spiral of late answers: more in flight than that only waits longer at the endpoints.
+The limit follows Little's law: the pace of completions, times the latency of an unloaded answer and a short
+wait. It guards against a back end that only gets slower: attempts beyond the limit wait at the endpoints,
+their answers come late, clients try again, and more attempts wait.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
         self.endpoints = endpoints
         self.in_flight = 0
         self.overdue = 0
-        """Attempts in flight that are overdue: at best lost, so they take no capacity."""
+        """Attempts in flight that are overdue: most of these are lost, and take no capacity."""
         self.max_in_flight = MAX_GROWN_LIMIT
         self.grown_limit = INITIAL_GROWN_LIMIT
         """Grows with each answer in time; all that a gateway with few endpoints can go by."""
@@ -61,7 +62,7 @@
         self.completions_per_ms += 1 / COMPLETION_MEMORY_MS
 
     def record_unloaded_latency(self, duration_ms: float) -> None:
-        """Follows the latency of a back end that has spare capacity."""
+        """Updates the mean latency of a back end that has spare capacity."""
         self.unloaded_latency_ms += UNLOADED_LATENCY_STEP * (duration_ms - self.unloaded_latency_ms)
 
     def grow(self) -> None:
@@ -69,11 +70,11 @@
         self.grown_limit = min(MAX_GROWN_LIMIT, self.grown_limit + GROWTH_PER_ANSWER)
 
     def update(self, is_late: bool, lateness: float, elapsed_ms: float) -> None:
-        """Works the limit out anew.
+        """Recomputes the limit.
 
         Args:
             is_late: whether too many answers are late.
-            lateness: the share of late answers, as a multiple of the most that is borne.
+            lateness: the share of late answers, as a multiple of the most that is tolerated.
             elapsed_ms: time since the last update.
         """
         spare_wait = min(1.0, SPARE_WAIT_WEIGHT * self.allowed_wait_ms / self.unloaded_latency_ms)
--- a/drumgw/policy/counter_calls.py
+++ b/drumgw/policy/counter_calls.py
@@ -21,7 +21,7 @@
 COUNTER_TTL_MS = 60000.0
 """Longer than an epoch, so that the last epoch's total can still be read in the next."""
 INITIAL_POLLING_GATEWAYS = 100.0
-"""At the start each gateway of a larger fleet polls by the odds that make it so many in all."""
+"""The gateways of a larger fleet start with a probability at which so many of them poll."""
 MIN_POLL_PROBABILITY = 0.1
 POLL_PROBABILITY_INCREASE = 0.04
 POLL_PROBABILITY_BACKOFF = 0.8
@@ -84,7 +84,7 @@
         """By counter key, oldest first."""
 
     def draw_poll(self) -> bool:
-        """Draws whether to call now, by the present odds."""
+        """Draws whether to call now, with `poll_probability`."""
         return self.context.random.random() < self.poll_probability
 
     def send(
@@ -132,7 +132,7 @@
         return call
 
     def record_reply(self, event: CounterReplied) -> None:
-        """Follows how well the counter answers.
+        """Updates the poll probability and the counter's availability.
 
         Guards a counter with more calls than it can take, which shows as slow replies: each gateway polls
         less by what it sees itself. A reply after a stall of this process says nothing.
--- a/drumgw/policy/counter_polling.py
+++ b/drumgw/policy/counter_polling.py
@@ -37,12 +37,16 @@
         """A request with less time left is decided without waiting for the total."""
 
     def record_stall(self, stall_ms: float) -> None:
-        """Guards requests that wait for a total: one that would not outlive such a stall does not wait."""
+        """Guards requests that wait for a total while this process stalls.
+
+        Such a request would miss its deadline without a decision; so from now on one with too little time
+        left for a stall like this does not wait.
+        """
         needed_ms = STALL_MARGIN * stall_ms + TIMEOUTS_TO_SPARE * self.timeout_ms
         self.min_time_left_to_wait_ms = max(self.min_time_left_to_wait_ms, needed_ms)
 
     def poll(self, request: PendingRequest, time_left_ms: float) -> bool:
-        """Polls the total for a new request where that is of use, by odds where the counter is crowded.
+        """Polls the total for a new request where that is of use, at random where the counter is crowded.
 
         Args:
             request: judged by what is known here already; may be put off further where that is too little.
@@ -76,7 +80,7 @@
         return not (request.retry_after_ms and total_age_ms < plan.window_ms)
 
     def _charge_allowance(self, request: PendingRequest) -> None:
-        """Where no total is at hand: an unknown customer has only this gateway's part of its quota."""
+        """Guards the quota of a customer without a total: each gateway admits its part of it only."""
         account = request.account
         if not self.has_counter or account.plan.is_soft:
             return
--- a/drumgw/policy/counter_repair.py
+++ b/drumgw/policy/counter_repair.py
@@ -17,7 +17,7 @@
 REPAIR_INTERVAL_MS = 1000.0
 """Between two repairs of one customer's total."""
 MAX_REPAIR_UNITS = 10**8
-"""By one call, whatever noise a total holds."""
+"""With one call, however wrong a total is."""
 
 
 class CounterRepair:
@@ -30,8 +30,8 @@
     def restore(self, exchange: CounterExchange, is_first: bool) -> None:
         """Starts to put a total right that lost what it held, or holds more than a quota can.
 
-        By odds and once in a while, so that not all gateways do it. Who finds a new epoch's key empty is the
-        first there, so it alone reads what the last epoch's key held.
+        At random and once in a while, so that not all gateways do it. Who finds a new epoch's key empty is
+        the first there, so it alone reads what the last epoch's key held.
 
         Args:
             exchange: whose total it is.
--- a/drumgw/policy/counter_sync.py
+++ b/drumgw/policy/counter_sync.py
@@ -26,7 +26,7 @@
 """A reservation covers so much of the demand here, at most."""
 MAX_RESERVATION_QUOTA_FRACTION = 0.2
 MAX_REPORT_QUOTA_FRACTION = 0.5
-"""A report stands for no more than this part of the quota, however low the odds of a call."""
+"""A report stands for no more than this part of the quota, however low the poll probability."""
 LOSS_QUOTA_FRACTION = 0.1
 """A total that lacks more than this (and `MIN_LOSS_UNITS`) has lost something."""
 MAX_LEVEL_QUOTAS = 2.0
@@ -56,8 +56,8 @@
     def report(self, exchange: CounterExchange, reservation_units: float) -> None:
         """Reports an admitted request and a reservation.
 
-        A report stands for the requests that are not reported, by the present odds. It also adds the units
-        that the total lags behind the refill, as a quota that is full does not refill further.
+        A report stands for the requests that are not reported, by the poll probability. It also adds the
+        units that the total lags behind the refill, as a quota that is full does not refill further.
 
         Args:
             exchange: the request's, with its units already charged to the account.
@@ -66,10 +66,10 @@
         account = exchange.account
         class_rank = exchange.class_rank
         draw = self.context.random.random
-        by_odds = min(
+        weighted = min(
             exchange.units / self.calls.poll_probability, MAX_REPORT_QUOTA_FRACTION * account.plan.quota_units
         )
-        unreported = max(exchange.units, by_odds) - exchange.units
+        unreported = max(exchange.units, weighted) - exchange.units
         units = unreported + reservation_units - account.reserved_units[class_rank]
         lag = exchange.refill_lag_units
         top_class_units = units * (class_rank == 0) + lag * exchange.top_class_fraction
--- a/drumgw/policy/endpoint_selection.py
+++ b/drumgw/policy/endpoint_selection.py
@@ -40,7 +40,7 @@
         """The endpoint for a request's next attempt; None where there is none.
 
         The first in the customer's ranking that has less than its fair share, else the least loaded one.
-        Endpoints that are slower than the others have smaller shares, and are passed over by odds.
+        Endpoints that are slower than the others have smaller shares, and are passed over at random.
         """
         candidates = self._candidates(request)
         if not candidates:
@@ -69,7 +69,7 @@
         if request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             # A failure would be final: requests that may be retried find out who is healthy
             class_index = request.class_index
-            trusted = [each for each in candidates if not self.outliers.is_doubted(each, class_index)]
+            trusted = [each for each in candidates if not self.outliers.is_suspected(each, class_index)]
             candidates = trusted or candidates
         return candidates or self._last_resort(request)
 
--- a/drumgw/policy/engine.py
+++ b/drumgw/policy/engine.py
@@ -122,6 +122,7 @@
         return context.actions
 
     def _record_stall(self, now_ms: float) -> None:
+        """Guards against a time in which this process did not run: no endpoint is charged with it."""
         stall_ms = now_ms - self.context.now_ms
         self.context.stall_ended_at_ms = now_ms
         self.counter_poller.record_stall(stall_ms)
--- a/drumgw/policy/latency.py
+++ b/drumgw/policy/latency.py
@@ -32,14 +32,14 @@
         self.answers = 0
 
     def record(self, duration_ms: float) -> None:
-        """Takes in an answer; the first ones move the estimate most."""
+        """Records an answer; the first ones move the estimate most."""
         self.answers += 1
         step = max(MIN_CLASS_STEP, 1 / (1 + self.answers))
         self.high_ms *= quantile_factor(step, duration_ms > self.high_ms)
 
 
 def update_slowness(context: DecisionContext, endpoint: EndpointState, is_slow: bool) -> None:
-    """Takes in whether an endpoint was slower than its own estimate; rare answers move it most."""
+    """Records whether an endpoint was slower than its own estimate; rare answers move it most."""
     silence_ms = context.now_ms - endpoint.last_answer_at_ms
     step = min(MAX_ENDPOINT_STEP, max(MIN_ENDPOINT_STEP, silence_ms / RATE_MEMORY_MS))
     slowness = endpoint.slowness * quantile_factor(step, is_slow)
--- a/drumgw/policy/outlier_detection.py
+++ b/drumgw/policy/outlier_detection.py
@@ -37,7 +37,7 @@
 
 
 class OutlierDetector:
-    """Follows how attempts end, for each endpoint and class."""
+    """Follows how attempts end, for each endpoint and class, and ejects outliers."""
 
     def __init__(self, context: DecisionContext, endpoints: EndpointSet) -> None:
         self.context = context
@@ -53,7 +53,7 @@
             return False
         return not (health.state is HealthState.HALF_OPEN and endpoint.attempts)
 
-    def is_doubted(self, endpoint: EndpointState, class_index: int) -> bool:
+    def is_suspected(self, endpoint: EndpointState, class_index: int) -> bool:
         """Whether an endpoint failed another class lately, and no trial has cleared it yet.
 
         For as long again as the ejection lasted, in which that other class may be tried first.
@@ -66,7 +66,7 @@
         )
 
     def record(self, endpoint: EndpointState, attempt: AttemptInFlight, outcome: Outcome) -> None:
-        """Takes in how an attempt ended."""
+        """Records how an attempt ended."""
         is_broken = outcome is Outcome.BROKEN_RESPONSE
         self.broken_share += BROKEN_SHARE_STEP * (is_broken - self.broken_share)
         health = endpoint.class_health[attempt.class_index]
@@ -84,7 +84,7 @@
             self._record_failure(endpoint, health)
 
     def record_overdue(self, endpoint: EndpointState, attempt: AttemptInFlight) -> None:
-        """Takes in an overdue attempt, unless the class succeeded there since it was sent."""
+        """Records an overdue attempt, unless the class succeeded there since it was sent."""
         health = endpoint.class_health[attempt.class_index]
         if health.last_success_at_ms < attempt.sent_at_ms:
             self._record_failure(endpoint, health, AMBIGUOUS_FAILURE_WEIGHT)
@@ -97,7 +97,11 @@
         advance(HEALTH_TRANSITIONS, self, health, HealthInput.SUCCEEDED)
 
     def _record_failure(self, endpoint: EndpointState, health: ClassHealth, weight: float = 1.0) -> None:
-        """Ejects an outlier. Where connections break to all endpoints alike, ejecting one is of no use."""
+        """Ejects an endpoint that fails more than the network explains.
+
+        Where connections break to all endpoints alike, each would look like an outlier, and ejecting them one
+        by one would take out the fleet: only failures beyond the share of broken responses count.
+        """
         health.failure_share += weight * FAILURE_STEP * (1 - health.failure_share)
         is_outlier = health.failure_share > MAX_FAILURE_SHARE + self.broken_share
         if not is_outlier and health.state is not HealthState.HALF_OPEN:
--- a/drumgw/policy/overload.py
+++ b/drumgw/policy/overload.py
@@ -1,4 +1,4 @@
-"""Whether the back end is overloaded, as the latency of its answers and the use of the limit tell."""
+"""Whether the back end is overloaded: by the latency of its answers, and by how full the limit is."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from drumgw.policy.state_machine import Transitions, advance
 
 LATE_OBJECTIVE_FRACTION = 0.6
-"""An answer that took more of the latency objective than this is late: the client's way comes on top."""
+"""An answer that took more of the latency objective is late: the way to the client comes on top of it."""
 LATE_SHARE_STEP = 0.1
 MAX_LATE_SHARE = 0.3
 """With more late answers than this the back end is slow as a whole."""
@@ -38,9 +38,10 @@
 
 
 class OverloadDetector:
-    """Follows how many answers are late, and raises the shedding level while too many are.
+    """Guards a back end that has become slow or small, which shows as late answers.
 
-    It acts by itself on a back end that has become slow or small: lower classes are shed first.
+    While too many answers are late the shedding level rises: lower classes are rejected first, and the
+    highest one keeps its latency. The load state decides whether soft plans may pass their quota.
     """
 
     def __init__(self, context: DecisionContext, limit: ConcurrencyLimit, class_count: int) -> None:
@@ -51,7 +52,7 @@
         self.late_share = 0.0
         self.utilization = 0.0
         self.shed_level = 0.0
-        """How many classes are shed, from the lowest; its fraction is the odds for the next one."""
+        """How many classes are shed, from the lowest; its fraction is the probability for the next one."""
         self.last_rejection_at_ms = LONG_AGO_MS
 
     @property
@@ -60,9 +61,10 @@
         return self.late_share > MAX_LATE_SHARE
 
     def record_answer(self, is_late: bool, is_retry: bool) -> None:
-        """Follows the share of late answers.
+        """Updates the share of late answers.
 
-        A retry that succeeded in time takes a mark back: its first attempt was lost, not late.
+        A retry that succeeded in time lowers it further: the first attempt was counted as late when it became
+        overdue, but was lost.
         """
         taken_back = LATE_SHARE_STEP if is_retry and not is_late else 0.0
         step = LATE_SHARE_STEP * (float(is_late) - self.late_share)
@@ -73,7 +75,7 @@
         self.late_share += LATE_SHARE_STEP * (1 - self.late_share)
 
     def record_rejection(self) -> None:
-        """Notes that an endpoint had no capacity."""
+        """Records that an endpoint had no capacity."""
         self.last_rejection_at_ms = self.context.now_ms
 
     def has_spare_capacity(self, window_ms: float) -> bool:
@@ -82,7 +84,7 @@
         return is_spare and self.context.now_ms - self.last_rejection_at_ms > window_ms
 
     def update(self, elapsed_ms: float) -> None:
-        """Works the concurrency limit, the shedding level and the load state out anew.
+        """Recomputes the concurrency limit, the shedding level and the load state.
 
         Args:
             elapsed_ms: time since the last update.
--- a/drumgw/policy/request_flow.py
+++ b/drumgw/policy/request_flow.py
@@ -59,7 +59,7 @@
         self.transitions = REQUEST_TRANSITIONS
 
     def receive(self, event: RequestReceived, account: QuotaAccount) -> None:
-        """Takes in a new request, whose account has been refilled up to now."""
+        """Handles a new request, whose account has been refilled up to now."""
         class_rank = self.class_ranks[event.request_class]
         request = PendingRequest(
             request_id=event.request_id,
@@ -85,9 +85,9 @@
             self.decide(request)
 
     def decide(self, request: PendingRequest) -> None:
-        """Admits a request or refuses it."""
+        """Admits a request or rejects it."""
         self.admission.shed_load(request)
-        self.advance(request, RequestInput.REFUSED if request.retry_after_ms else RequestInput.ADMITTED)
+        self.advance(request, RequestInput.REJECTED if request.retry_after_ms else RequestInput.ADMITTED)
 
     def attempt_ended(self, event: AttemptEnded) -> None:
         """Retries a request, or ends it, after an attempt."""
@@ -108,7 +108,7 @@
         self.advance(request, RequestInput.CLIENT_GONE if event.is_final else RequestInput.ATTEMPT_FAILED)
 
     def client_disconnected(self, request_id: int) -> None:
-        """Ends a request whose client has gone, and calls its attempt off."""
+        """Ends a request whose client has gone, and cancels its attempt."""
         request = self.pending.get(request_id)
         if request is None:
             return
@@ -145,7 +145,7 @@
         return None
 
     def _charge(self, request: PendingRequest) -> None:
-        """Charges the first attempt to the account, and reports it where the counter was to be asked."""
+        """Charges the first attempt to the account, and reports it where the counter was to be polled."""
         account = request.account
         reservation_units = self.counter_sync.reservation_units(account, request.class_rank)
         account.charge(request.units, request.class_rank, request.is_over_quota)
@@ -170,7 +170,7 @@
 
 REQUEST_TRANSITIONS: Transitions[RequestState, RequestInput, RequestFlow, PendingRequest] = {
     (RequestState.NEW, RequestInput.ADMITTED): (RequestState.IN_FLIGHT, RequestFlow.forward),
-    (RequestState.NEW, RequestInput.REFUSED): (RequestState.DONE, RequestFlow.finish),
+    (RequestState.NEW, RequestInput.REJECTED): (RequestState.DONE, RequestFlow.finish),
     (RequestState.NEW, RequestInput.CLIENT_GONE): (RequestState.DONE, RequestFlow.forget),
     (RequestState.IN_FLIGHT, RequestInput.NO_ENDPOINT): (RequestState.DONE, RequestFlow.finish),
     (RequestState.IN_FLIGHT, RequestInput.ATTEMPT_FAILED): (RequestState.IN_FLIGHT, RequestFlow.retry),
--- a/drumgw/policy/request_state.py
+++ b/drumgw/policy/request_state.py
@@ -25,7 +25,7 @@
     """What moves a request from one state to the next."""
 
     ADMITTED = "admitted"
-    REFUSED = "refused"
+    REJECTED = "rejected"
     NO_ENDPOINT = "no endpoint"
     """No endpoint may be sent a further attempt."""
     ATTEMPT_FAILED = "attempt failed"
@@ -46,7 +46,7 @@
     units: float
     request: PendingRequest | None = None
     epoch: int = NO_EPOCH
-    """The epoch whose key is polled and reported to; `NO_EPOCH` where the counter is not asked."""
+    """The epoch whose key is polled and reported to; `NO_EPOCH` where the counter is not called."""
     refill_lag_units: float = 0.0
     """How far the counter's total lags behind what has been refilled."""
     top_class_fraction: float = 0.0
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -234,7 +234,7 @@
         got = self.attempts_at(harness, bad, TOP, first=2)
         harness.note(f"a trial succeeded: {got}")
         harness.trace = [line for line in harness.trace if "--" in line or "ejected" in line]
-        self.assert_trace(harness, "not-idempotent-avoids-doubted")
+        self.assert_trace(harness, "not-idempotent-avoids-suspected")
 
     def test_own_stall_is_not_charged_to_endpoints(self) -> None:
         """This process does not run for 8 s; the responses came in time, and are read late.
@@ -258,7 +258,7 @@
         """This process does not run for 8 s, and its timer fires before the responses are read.
 
         By the clock all attempts are overdue then, and their endpoints silent. But the responses are there,
-        unread: nothing may be cancelled, and no endpoint doubted.
+        unread: nothing may be cancelled, and no endpoint suspected.
         """
         harness = PolicyHarness(has_counter=False)
         for customer in range(6):
