--- a/drumgw/gateway/http_server.py
+++ b/drumgw/gateway/http_server.py
@@ -1,385 +1,142 @@
-"""The clients' side: aiohttp's low-level server. Each connection's handler is the actor of that client."""
+"""The clients' listener: reads requests, has them forwarded, and shuts down in order.
+
+Built on aiohttp's low-level server, which runs the requests of one connection one after another.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import select
-from enum import Enum
-from itertools import islice
+from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 from aiohttp.web_exceptions import HTTPRequestEntityTooLarge
-from aiohttp.web_protocol import RequestHandler, RequestPayloadError
+from aiohttp.web_protocol import RequestPayloadError
 from aiohttp.web_request import BaseRequest
-from aiohttp.web_response import StreamResponse
 from aiohttp.web_server import Server
 
-from drumgw.gateway.clock import STALL_THRESHOLD_MS
+from drumgw.gateway import http_headers
+from drumgw.gateway.client_connections import ClientConnection, ConnectionState
+from drumgw.gateway.clock import MS_PER_S
+from drumgw.gateway.commands import SendResponse
+from drumgw.gateway.connection_limits import CLOSING_POLL_INTERVAL_S, ConnectionLimits
 from drumgw.gateway.dispatcher import Dispatcher
-from drumgw.gateway.process_config import CLIENT_IDLE_TIMEOUT_MS, MAX_BODY_BYTES, ConfigError, GatewayConfig
+from drumgw.gateway.process_config import MAX_BODY_BYTES, ConfigError, GatewayConfig
 from drumgw.gateway.request_parsing import BadRequestError, ClientRequest, parse_request, write_head
+from drumgw.gateway.responses import CompleteResponse
 
-READY, LIVE = "/health/ready", "/health/live"
-SWEEP_S = CLIENT_IDLE_TIMEOUT_MS / 8000.0
-# A client that has its last answer ends its side within a round trip; who does not read yet has it all
-PART_MS, PART_STEP_S = CLIENT_IDLE_TIMEOUT_MS / 8.0, 0.01
-
-
-class ConnectionState(Enum):
-    """Where a client's connection is."""
-
-    NEW = "no whole request yet"
-    PART = "a further request has begun"
-    OPEN = "a request is open"
-    IDLE = "between requests"
-    LAST = "nothing more is read; it closes once its client has ended its side"
-
-
-class CompleteResponse(StreamResponse):
-    """An answer written in one piece, with the headers that are needed and no others."""
-
-    def __init__(self, status: int, body: bytes = b"", header: str = "") -> None:
-        super().__init__(status=status)
-        self.whole, self.header = body, header
-
-    async def prepare(self, request: BaseRequest) -> None:
-        if (transport := request.transport) is None:
-            raise ConnectionResetError("the client has gone")
-        self._keep_alive = self._keep_alive is None and request.keep_alive
-        end = "\r\n" if self._keep_alive else "Connection: close\r\n\r\n"
-        head = f"HTTP/1.1 {self.status} {self.reason}\r\nContent-Length: {len(self.whole)}\r\n"
-        data = f"{head}{self.header}{end}".encode("utf-8", "surrogateescape") + self.whole
-        if self._keep_alive:
-            transport.write(data)
-        else:
-            client: ClientConnection = request.protocol  # type: ignore[assignment]
-            client.send_last_response(data)
-
-    async def write_eof(self, data: bytes = b"") -> None:
-        """Nothing is left to write."""
-
-
-class ClientConnection(RequestHandler):
-    """A client's connection, with the time of its last change of stage."""
-
-    __slots__ = ("http_server", "state", "state_since_ms", "tenant_key", "line", "spared")
-
-    def __init__(self, front: HttpServer, server: Server, **kwargs: Any) -> None:
-        super().__init__(server, **kwargs)
-        self.http_server, self.state, self.state_since_ms = (
-            front,
-            ConnectionState.NEW,
-            front.dispatcher.clock.now(),
-        )
-        self.tenant_key = ""  # whom it asked last, where a front serves several
-        self.line: asyncio.Transport | None = None  # aiohttp's own forgets it before it is closed
-        self.spared = False
-
-    def enter(self, stage: ConnectionState) -> None:
-        stages = self.http_server.connections
-        if self in stages[self.state]:  # not closed meanwhile
-            del stages[self.state][self]
-            stages[stage][self] = None
-            self.state, self.state_since_ms, self.spared = (
-                stage,
-                self.http_server.dispatcher.clock.now(),
-                False,
-            )
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        super().connection_made(transport)
-        self.line = transport  # type: ignore[assignment]
-        self.http_server.connection_opened(self)
-
-    def connection_lost(self, exc: BaseException | None) -> None:
-        self.http_server.connections[self.state].pop(self, None)
-        self.http_server.connection_closed(self)
-        super().connection_lost(exc)
-
-    def data_received(self, data: bytes) -> None:
-        if self.state is ConnectionState.IDLE:
-            self.enter(ConnectionState.PART)
-        super().data_received(data)
-
-    def abort(self) -> None:
-        """Nothing is owed on it, and a client that does not read must not keep it."""
-        self.http_server.connections[self.state].pop(self, None)
-        self.force_close()
-        if self.line is not None:
-            self.line.abort()
-
-    def send_last_response(self, answer: bytes = b"") -> None:
-        """Its last answer, if any is owed. Nothing of it is read any more, sending ends; it closes when
-        the client has ended too (Front.see_off). Guards answers: a close over unread bytes is a reset, which
-        takes with it what the client has not got yet. And requests: one read here would be dropped, one that
-        is not read is the client's to send again."""
-        line = self.line
-        if line is None or line.is_closing():
-            return
-        self._pause_transport_reading()
-        self._force_close = True  # aiohttp's loop ends, and leaves the socket to us
-        self.enter(ConnectionState.LAST)
-        if answer:
-            line.write(answer)
-        if line.can_write_eof() and not line.is_closing():
-            line.write_eof()
-        if self._waiter is not None:
-            self._waiter.cancel()
-        self.http_server.watch_last()
-
-    def _resume_transport_reading(self) -> None:
-        if self.state is not ConnectionState.LAST:
-            super()._resume_transport_reading()
-
-    def seen(self, what: int) -> bool:
-        """What its socket has, as the system knows it: the loop may not have got round to it."""
-        line = self.line
-        if line is None or line.is_closing():
-            return False
-        poll = select.poll()
-        poll.register(line.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
-        return any(event & what for _, event in poll.poll(0))
-
-    def spare_once(self) -> bool:
-        """Once: what lies unread may be a request or the rest of one, and is read in the loop's next turn."""
-        if self.spared or not self.seen(select.POLLIN):
-            return False
-        self.spared = True
-        return True
-
-    def unsent(self) -> bool:
-        line = self.line
-        return line is not None and not line.is_closing() and bool(line.get_write_buffer_size())
-
-    def has_gone(self) -> bool:
-        return self.seen(select.POLLRDHUP | select.POLLHUP | select.POLLERR)
-
-    def has_left(self) -> bool:
-        """Whether its client has closed, as the system knows it. Guards workers against attempts for nobody:
-        the loop may be behind by more than 0.1 s, and while many requests of it wait here (aiohttp then
-        reads no further) it would not find the close at all."""
-        if self.line is not None and not self.line.is_closing() and not self.has_gone():
-            return False
-        self.abort()  # its handlers are cancelled in the loop's next turn, paused or not
-        return True
-
-    def owes(self) -> bool:
-        """A whole request of it was read and has no whole answer yet, or may lie unread."""
-        if self.state is ConnectionState.OPEN or self._messages:
-            return True
-        if self._waiter is not None and not self._waiter.done():
-            return self.spare_once()
-        request = self._current_request  # half a body, or a moment of aiohttp's between two steps
-        return request is None or request._payload.is_eof() or self.spare_once()
-
-    def handle_error(
-        self,
-        request: BaseRequest,
-        status: int = 500,
-        exc: BaseException | None = None,
-        message: str | None = None,
-    ) -> CompleteResponse:
-        """What the parser can't read; no line in the log, there may be many."""
-        answer = CompleteResponse(status)
-        answer.force_close()
-        return answer
-
-    def log_exception(self, *args: Any, exc_info: Any = None, **kwargs: Any) -> None:
-        error = exc_info if isinstance(exc_info, Exception) else RuntimeError(*args)
-        self.http_server.dispatcher.log_fault(error, "a client")
+READINESS_PATH = "/health/ready"
+LIVENESS_PATH = "/health/live"
+LISTEN_BACKLOG = 1024
+QUIET_POLLS = 2
+"""How often in succession nothing may be owed before the drain ends: a connection that was accepted in one
+turn of the event loop is known in the next."""
 
 
 class ConnectionServer(Server):
-    """aiohttp's server with connections of ours."""
+    """aiohttp's server, with connections of our class."""
 
-    http_server: HttpServer
+    connection_factory: Callable[..., ClientConnection]
 
     def __call__(self) -> ClientConnection:
-        return ClientConnection(self.http_server, self, loop=self._loop, **self._kwargs)
+        """Makes the handler of a new connection; asyncio calls it."""
+        return self.connection_factory(self, loop=self._loop, **self._kwargs)
 
 
 class HttpServer:
-    def __init__(self, config: GatewayConfig, dispatcher: Dispatcher) -> None:
-        self.config, self.dispatcher = config, dispatcher
-        self.ready = self.closing = False
+    """The listener.
+
+    Args:
+        config: Where to listen, and the names and limits that requests are read by.
+        dispatcher: Where requests go; its clock and log.
+        limits: The bounds on connections; by default those of the configuration.
+
+    Attributes:
+        ready: Whether the gateway says that it is ready.
+        is_shutting_down: Whether each connection is closed behind its response.
+        server: aiohttp's server, which holds the connections.
+        open_request_ids: Ids of the requests in flight; an entry goes as its request ends.
+        socket: The listening socket.
+    """
+
+    def __init__(
+        self, config: GatewayConfig, dispatcher: Dispatcher, limits: ConnectionLimits | None = None
+    ) -> None:
+        self.config = config
+        self.dispatcher = dispatcher
+        self.limits = limits or ConnectionLimits(config, dispatcher.clock)
+        self.ready = False
+        self.is_shutting_down = False
+        self.open_request_ids: set[str] = set()
+        self.socket: asyncio.Server | None = None
         self.server = ConnectionServer(
             self.handle,
             handler_cancellation=True,
-            request_factory=self.factory,
+            request_factory=self._make_request,
             access_log=None,
             auto_decompress=False,  # the body passes as the bytes that came
             lingering_time=0.0,
             tcp_keepalive=False,
         )
-        self.server.http_server = self
-        # Connections by stage, who is in it for longest first; emptied as they close
-        self.connections: dict[ConnectionState, dict[ClientConnection, None]] = {
-            stage: {} for stage in ConnectionState
-        }
-        self.open_request_ids: set[str] = set()  # of the txns open here; emptied by their ends
-        self.socket: asyncio.Server | None = None
-        self.watching = False  # for those whose last answer is written
-
-    def factory(self, message: Any, payload: Any, protocol: Any, writer: Any, task: Any) -> BaseRequest:
-        return BaseRequest(
-            message, payload, protocol, writer, task, self.dispatcher.loop, client_max_size=MAX_BODY_BYTES
-        )
+        self.server.connection_factory = partial(ClientConnection, self.limits, dispatcher.log_fault)
 
     async def bind(self) -> None:
-        """Takes its place, and nobody yet: who comes is refused, as before the process began."""
+        """Takes the address, and accepts nobody yet: connections are refused, as before the process began.
+
+        Raises:
+            ConfigError: The address cannot be listened at.
+        """
         host, port = self.config.listen
         try:
             self.socket = await self.dispatcher.loop.create_server(
-                self.server, host, port, backlog=1024, start_serving=False
+                self.server, host, port, backlog=LISTEN_BACKLOG, start_serving=False
             )
         except OSError as error:
             raise ConfigError(f"cannot listen at {host}:{port}: {error}") from error
 
     async def open(self) -> tuple[str, int]:
+        """Accepts connections, and says that it is ready.
+
+        Returns:
+            Host and port.
+        """
         assert self.socket is not None
         await self.socket.start_serving()
         self.ready = True
-        self.sweep()
-        bound = self.socket.sockets[0].getsockname()
-        return bound[0], bound[1]
-
-    # Connections
-
-    def connection_opened(self, client: ClientConnection) -> None:
-        """Guards usual clients against those that connect by the hundred and say nothing."""
-        if self.crowd() >= self.config.max_client_connections:
-            self.least(client).abort()
-        self.connections[ConnectionState.NEW][client] = None
-
-    def connection_closed(self, client: ClientConnection) -> None:
-        """Its connection has ended."""
-
-    def crowd(self) -> int:
-        return sum(map(len, self.connections.values()))
-
-    def asked(self) -> int:
-        return (
-            self.crowd()
-            - len(self.connections[ConnectionState.NEW])
-            - len(self.connections[ConnectionState.LAST])
-        )
-
-    def least(self, newcomer: ClientConnection) -> ClientConnection:
-        """Who is missed least: one silent since its turn to be read, else the first of the larger crowd.
-
-        Guards newcomers where many ask once and stay, and those idle where hundreds come and say nothing.
-        """
-        new, idle, part = (
-            self.connections[stage]
-            for stage in (ConnectionState.NEW, ConnectionState.IDLE, ConnectionState.PART)
-        )
-        if (
-            last := next((c for c in self.connections[ConnectionState.LAST] if not c.unsent()), None)
-        ) is not None:
-            return last
-        silent = next(iter(new), None)
-        if silent is not None and (
-            newcomer.state_since_ms - silent.state_since_ms > STALL_THRESHOLD_MS or len(new) > len(idle)
-        ):
-            return silent
-        idle_most = self.longest_idle()
-        return next(iter(part), newcomer) if idle_most is None else idle_most
-
-    def longest_idle(self) -> ClientConnection | None:
-        """None whose answer may not be written yet."""
-        client = next(iter(self.connections[ConnectionState.IDLE]), None)
-        return client if client is not None and self.is_resting(client) else None
-
-    def is_resting(self, client: ClientConnection) -> bool:
-        return (
-            self.dispatcher.clock.now() - client.state_since_ms > STALL_THRESHOLD_MS
-            and not client.unsent()
-            and not client.spare_once()
-        )
-
-    def thin(self) -> None:
-        """Guards usual clients against those that ask once and stay: all share what clients may hold."""
-        if self.asked() > self.config.max_requesting_clients and (idle := self.longest_idle()) is not None:
-            idle.send_last_response()
-
-    def sweep(self) -> None:
-        """Closes what says nothing or never ends; what is only idle, where it is half of what may be."""
-        self.dispatcher.loop.call_later(SWEEP_S, self.sweep)
-        longest = self.dispatcher.clock.now() - CLIENT_IDLE_TIMEOUT_MS
-        if self.dispatcher.clock.recent_stall_ms:  # we stood: what they sent may lie unread
-            return
-        many = self.asked() - self.config.max_requesting_clients // 2
-        for stage, most in (
-            (ConnectionState.NEW, None),
-            (ConnectionState.PART, None),
-            (ConnectionState.IDLE, max(0, many)),
-        ):
-            for client in list(islice(self.connections[stage], most)):
-                if client.state_since_ms >= longest:
-                    break
-                if client.spare_once():
-                    continue
-                if stage is ConnectionState.IDLE:
-                    client.send_last_response()
-                else:
-                    client.abort()
-
-    def watch_last(self) -> None:
-        if not self.watching:
-            self.watching = True
-            self.dispatcher.loop.call_later(PART_STEP_S, self.see_off)
-
-    def see_off(self) -> None:
-        """Closes those whose last answer is written: at their own end, or when they had the time for it."""
-        self.watching, now = False, self.dispatcher.clock.now()
-        for client in list(self.connections[ConnectionState.LAST]):
-            if (
-                now - client.state_since_ms > (CLIENT_IDLE_TIMEOUT_MS if client.unsent() else PART_MS)
-                or client.has_gone()
-            ):
-                client.abort()
-        if self.connections[ConnectionState.LAST]:
-            self.watch_last()
+        self.limits.sweep()
+        host, port = self.socket.sockets[0].getsockname()[:2]
+        return host, port
 
     # Requests
 
     async def handle(self, request: BaseRequest) -> CompleteResponse:
-        """One request of a client. Cancelled when the client closes its connection: then it has gone away."""
-        target: str = request._message.path  # the raw target; the public form is decoded and re-encoded
+        """Answers one request; aiohttp calls it, and cancels it when the client closes its connection."""
+        target: str = request._message.path  # as it came; the public form is decoded and encoded again
         client: ClientConnection = request.protocol  # type: ignore[assignment]
-        closes = False
+        is_bad = False
         try:
-            if target in (READY, LIVE):
-                answer = CompleteResponse(200 if self.ready or target == LIVE else 503)
+            if target in (READINESS_PATH, LIVENESS_PATH):
+                response = CompleteResponse(200 if self.ready or target == LIVENESS_PATH else 503)
             else:
-                answer = await self.serve(request, target, client)
-        except BadRequestError as unfit:
-            answer = CompleteResponse(unfit.status, f"{unfit}\n".encode())
-            closes = True  # whatever else it sends is not read
+                response = await self.serve(request, target, client)
+        except BadRequestError as error:
+            response = CompleteResponse(error.status, f"{error}\n".encode())
+            is_bad = True  # whatever else this client sends is not read
         except Exception as error:
-            self.dispatcher.log_fault(error, "the front")
-            answer = CompleteResponse(500)  # a submission may be out
-        if closes or self.closing and not client._messages:  # what was read whole is answered first
-            answer.force_close()
-        client.enter(ConnectionState.IDLE)
-        self.thin()
-        return answer
-
-    async def read(self, request: BaseRequest) -> bytes:
-        if not request.body_exists:
-            return b""
-        if request.method == "GET":
-            raise BadRequestError(400, "a GET has no body")
-        if (request.content_length or 0) > MAX_BODY_BYTES:
-            raise BadRequestError(413, "the body is too large")
-        try:
-            return await request.read()
-        except HTTPRequestEntityTooLarge as large:
-            raise BadRequestError(413, "the body is too large") from large
-        except (RequestPayloadError, ValueError) as bad:
-            raise BadRequestError(400, "the body can't be read") from bad
+            self.dispatcher.log_fault(error, "the HTTP server")
+            response = CompleteResponse(500)  # an attempt may be in flight
+        if is_bad or self.is_shutting_down and not client._messages:  # what was read is answered first
+            response.force_close()
+        client.enter_state(ConnectionState.IDLE)
+        self.limits.close_surplus_idle()
+        return response
 
     async def serve(self, request: BaseRequest, target: str, client: ClientConnection) -> CompleteResponse:
+        """Answers a request that is not about health.
+
+        Raises:
+            BadRequestError: It goes no further.
+        """
         return await self.forward(
             request, target, target, client, self.config, self.dispatcher, self.open_request_ids
         )
@@ -392,65 +149,114 @@
         client: ClientConnection,
         config: GatewayConfig,
         dispatcher: Dispatcher,
-        ids: set[str],
+        open_request_ids: set[str],
     ) -> CompleteResponse:
-        """To the desk of whoever serves it; path is the target as the product is read from it."""
+        """Has a request forwarded by a service, and waits for its final response.
+
+        Args:
+            request: The request.
+            target: Its target, which endpoints get as it came.
+            path: The target as the request class is read from it.
+            client: Its connection.
+            config: The service's names and settings.
+            dispatcher: The service's.
+            open_request_ids: Ids of the service's requests in flight.
+
+        Raises:
+            BadRequestError: It goes no further.
+        """
         headers = request.headers
-        asked = parse_request(config.names, config.settings, request.method, path, headers)
+        received = parse_request(config.names, config.settings, request.method, path, headers)
         body = await self.read(request)
-        if (name := headers["Request-Id"]) in ids:
-            raise BadRequestError(409, "a txn of this id is open")  # it would spoil that one
-        client.enter(ConnectionState.OPEN)
+        request_id = headers[http_headers.REQUEST_ID]
+        if request_id in open_request_ids:  # an endpoint would take it for a retry of that one
+            raise BadRequestError(409, "a request with this id is in flight")
+        client.enter_state(ConnectionState.IN_FLIGHT)
         head = write_head(request.method, target, request._message.raw_headers, body)
-        passage = ClientRequest(head, body, asked, client_left=client.has_left)
-        ids.add(name)
+        client_request = ClientRequest(head, body, received, client_left=client.client_left)
+        open_request_ids.add(request_id)
         try:
-            reply = await dispatcher.submit(passage)
+            result = await dispatcher.submit(client_request)
         except asyncio.CancelledError:
-            dispatcher.client_disconnected(passage.request_id)
+            dispatcher.client_disconnected(client_request.request_id)
             raise
         finally:
-            ids.discard(name)
-        if reply.response is not None:
-            kind, body = reply.response
-            return CompleteResponse(200, body, f"Content-Type: {kind}\r\n" if kind else "")
-        after = reply.retry_after_ms / 1000.0
-        return CompleteResponse(reply.status, b"", f"Retry-After: {after:.3f}\r\n" if after else "")
+            open_request_ids.discard(request_id)
+        return _response_of(result)
 
-    # The end
+    async def read(self, request: BaseRequest) -> bytes:
+        """Reads a request's body, as the bytes that came.
+
+        Raises:
+            BadRequestError: It is too large, broken, or belongs to a GET.
+        """
+        if not request.body_exists:
+            return b""
+        if request.method == "GET":
+            raise BadRequestError(400, "a GET has no body")
+        if (request.content_length or 0) > MAX_BODY_BYTES:
+            raise BadRequestError(413, "the body is too large")
+        try:
+            return await request.read()
+        except HTTPRequestEntityTooLarge as error:
+            raise BadRequestError(413, "the body is too large") from error
+        except (RequestPayloadError, ValueError) as error:
+            raise BadRequestError(400, "the body can't be read") from error
+
+    def _make_request(self, message: Any, payload: Any, protocol: Any, writer: Any, task: Any) -> BaseRequest:
+        return BaseRequest(
+            message, payload, protocol, writer, task, self.dispatcher.loop, client_max_size=MAX_BODY_BYTES
+        )
+
+    # Graceful shutdown
 
     def withdraw_readiness(self) -> None:
-        """Not ready any more, yet all that comes is still served; each connection closes after its answer."""
-        self.ready, self.closing = False, True
+        """Says that it is not ready, and serves on; each connection is closed behind its response."""
+        self.ready = False
+        self.is_shutting_down = True
 
     async def drain(self, end_ms: float) -> None:
-        """Closes the door; returns when nothing is owed to anybody who came in, or at that time."""
-        calm = 0
-        while (
-            calm < 2 and self.dispatcher.clock.now() < end_ms
-        ):  # who was accepted in one turn is here in the next
-            calm = 0 if self.close_idle() else calm + 1
-            await asyncio.sleep(PART_STEP_S)
+        """Accepts nobody any more; returns when no client is owed a response, or at this time."""
+        quiet_polls = 0
+        while quiet_polls < QUIET_POLLS and self.dispatcher.clock.now() < end_ms:
+            quiet_polls = 0 if self.close_idle() else quiet_polls + 1
+            await asyncio.sleep(CLOSING_POLL_INTERVAL_S)
 
     def close_idle(self) -> int:
-        """Parts from those to whom nothing is owed; returns how many it is owed to. Whoever has sent half a
-        request is parted from too: what came later would be read after the shutdown."""
+        """Closes the connections whose clients are owed nothing.
+
+        Guards the shutdown against half a request: its connection is closed too, as its rest would be read
+        after the shutdown.
+
+        Returns:
+            How many clients are owed a response.
+        """
         if self.socket is not None:
             self.socket.close()
-        busy = 0
+        owed_count = 0
         for client in self.server.connections:
             assert isinstance(client, ClientConnection)
-            if client.state is ConnectionState.LAST:
+            if client.state is ConnectionState.CLOSING:
                 continue
-            if client.owes():
-                busy += 1
-            elif client._current_request is not None:  # its handler waits for the rest of a body
+            if client.is_owed_response():
+                owed_count += 1
+            elif client.is_reading_body():
                 client.abort()
             else:
                 client.send_last_response()
-        return busy
+        return owed_count
 
     async def wait_until_closed(self) -> None:
-        """Bounded: see_off ends each of them."""
-        while self.connections[ConnectionState.LAST]:
-            await asyncio.sleep(PART_STEP_S)
+        """Waits for the CLOSING connections; `ConnectionLimits.close_finished` ends each in time."""
+        while self.limits.connections[ConnectionState.CLOSING]:
+            await asyncio.sleep(CLOSING_POLL_INTERVAL_S)
+
+
+def _response_of(result: SendResponse) -> CompleteResponse:
+    if result.response is not None:
+        content_type, body = result.response
+        return CompleteResponse(200, body, f"Content-Type: {content_type}\r\n" if content_type else "")
+    retry_after_s = result.retry_after_ms / MS_PER_S
+    return CompleteResponse(
+        result.status, b"", f"Retry-After: {retry_after_s:.3f}\r\n" if retry_after_s else ""
+    )
--- a/drumgw/hosting/http_server.py
+++ b/drumgw/hosting/http_server.py
@@ -13,9 +13,12 @@
 from aiohttp.web_request import BaseRequest
 from loguru import logger
 
+from drumgw.gateway.client_connections import ClientConnection, ConnectionState
 from drumgw.gateway.clock import STALL_THRESHOLD_MS, StallAwareClock
-from drumgw.gateway.http_server import ClientConnection, CompleteResponse, ConnectionState, HttpServer
+from drumgw.gateway.connection_limits import ConnectionLimits
+from drumgw.gateway.http_server import HttpServer
 from drumgw.gateway.request_parsing import BadRequestError
+from drumgw.gateway.responses import CompleteResponse
 from drumgw.hosting.tenant_services import TenantServices
 
 
@@ -46,27 +49,29 @@
         logger.opt(exception=error).error("fault in {}: {!r}", where, error)
 
 
-class HostHttpServer(HttpServer):
-    """The listener of a host.
+class TenantConnectionLimits(ConnectionLimits):
+    """Bounds on the connections of all tenants' clients.
 
     Attributes:
         connection_counts: open connections by the key of the tenant of their last request.
     """
 
-    def __init__(self, config: ListenerConfig, services: TenantServices) -> None:
-        super().__init__(cast(Any, config), cast(Any, ListenerDispatcher(services.clock)))
+    def __init__(self, bounds: ListenerConfig, services: TenantServices) -> None:
+        super().__init__(bounds, services.clock)
         self.connection_counts: Counter[str] = Counter()
         self._services = services
 
-    # Connections
+    def closed(self, client: ClientConnection) -> None:
+        """Counts the connection no more, for its tenant neither."""
+        super().closed(client)
+        self._count_for_no_tenant(client)
 
-    def connection_closed(self, client: ClientConnection) -> None:
-        """Counts the connection for no tenant any more."""
-        if client.tenant_key:
-            self.connection_counts[client.tenant_key] -= 1
-            if not self.connection_counts[client.tenant_key]:
-                del self.connection_counts[client.tenant_key]
-            client.tenant_key = ""
+    def count_for_tenant(self, client: ClientConnection, tenant_key: str) -> None:
+        """Counts the connection for the tenant of its last request."""
+        if client.tenant_key != tenant_key:
+            self._count_for_no_tenant(client)
+            client.tenant_key = tenant_key
+            self.connection_counts[tenant_key] += 1
 
     def longest_idle(self) -> ClientConnection | None:
         """Returns the idle connection to close where one must go.
@@ -74,25 +79,38 @@
         Guards tenants whose clients keep few connections against one whose clients keep hundreds: a tenant
         with more connections than its part by weight loses one first.
         """
-        now_ms = self.dispatcher.clock.now()
+        now_ms = self.clock.now()
         weights = self._services.admission.weights
         total_weight = sum(weights.values()) or 1.0
         for client in self.connections[ConnectionState.IDLE]:
             if now_ms - client.state_since_ms <= STALL_THRESHOLD_MS:
                 break
             weight = weights.get(client.tenant_key, 0.0)
-            fair_count = self.config.max_client_connections * weight / total_weight
+            fair_count = self.bounds.max_client_connections * weight / total_weight
             if self.connection_counts[client.tenant_key] > fair_count and self.is_resting(client):
                 return client
         return super().longest_idle()
 
-    def _count_for_tenant(self, client: ClientConnection, tenant_key: str) -> None:
-        if client.tenant_key != tenant_key:
-            self.connection_closed(client)
-            client.tenant_key = tenant_key
-            self.connection_counts[tenant_key] += 1
+    def _count_for_no_tenant(self, client: ClientConnection) -> None:
+        if client.tenant_key:
+            self.connection_counts[client.tenant_key] -= 1
+            if not self.connection_counts[client.tenant_key]:
+                del self.connection_counts[client.tenant_key]
+            client.tenant_key = ""
+
+
+class HostHttpServer(HttpServer):
+    """The listener of a host.
 
-    # Requests
+    Attributes:
+        tenant_limits: the bounds on connections, shared by the tenants' clients.
+    """
+
+    def __init__(self, config: ListenerConfig, services: TenantServices) -> None:
+        self.tenant_limits = TenantConnectionLimits(config, services)
+        dispatcher = ListenerDispatcher(services.clock)
+        super().__init__(cast(Any, config), cast(Any, dispatcher), self.tenant_limits)
+        self._services = services
 
     async def serve(self, request: BaseRequest, target: str, client: ClientConnection) -> CompleteResponse:
         """Answers a request through the service of its tenant, or rejects it with a Retry-After."""
@@ -103,7 +121,7 @@
         if service is None:
             await self.read(request)
             return CompleteResponse(503, b"", f"Retry-After: {retry_after_ms / 1000:.3f}\r\n")
-        self._count_for_tenant(client, service.key)
+        self.tenant_limits.count_for_tenant(client, service.key)
         gateway_service = service.gateway_service
         try:
             return await self.forward(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -8,7 +8,6 @@
 import json
 import os
 import resource
-import select
 import socket
 import struct
 import sys
@@ -21,8 +20,9 @@
 
 import uvloop
 
-from drumgw.gateway.http_server import ClientConnection, CompleteResponse, ConnectionState
+from drumgw.gateway.client_connections import ClientConnection, ConnectionState
 from drumgw.gateway.process import GatewayProcess
+from drumgw.gateway.responses import CompleteResponse
 from tests.scripted_server import StandIn, http
 from tests.test_gateway import POSTED, GateCase, gateway_config, instance, request, settings, told
 from tests.test_simulator import REQUEST_CLASS
@@ -518,7 +518,7 @@
         line = self.client()
         line.write(request())
         await line.read(b"ok")
-        await until(lambda: self.gateway.http_server.connections[ConnectionState.IDLE])
+        await until(lambda: self.gateway.http_server.limits.connections[ConnectionState.IDLE])
         return worker, line
 
     async def test_a_request_that_lies_unread_as_the_idle_are_closed_is_served(self) -> None:
@@ -532,15 +532,15 @@
     async def test_a_request_that_comes_after_the_shutdown_is_not_read(self) -> None:
         """It is its client's to send again: it sees an end, no answer and no reset."""
         worker, line = await self.rested()
-        with mock.patch("drumgw.gateway.http_server.PART_MS", 1e9):
+        with mock.patch("drumgw.gateway.connection_limits.CLOSING_TIMEOUT_MS", 1e9):
             self.assertEqual(self.gateway.http_server.close_idle(), 0)
             line.write(request(Request_Id="9b20"))
             self.assertEqual(await line.rest(), b"")
             await asyncio.sleep(0.02)
-            (client,) = self.gateway.http_server.connections[ConnectionState.LAST]
-            self.assertTrue(client.seen(select.POLLIN))  # it lies where it came
+            (client,) = self.gateway.http_server.limits.connections[ConnectionState.CLOSING]
+            self.assertTrue(client.has_unread())  # it lies where it came
             line.close()
-            await until(lambda: not self.gateway.http_server.crowd())
+            await until(lambda: not self.gateway.http_server.limits.count())
         self.assertEqual((len(worker.came), self.gateway.dispatcher.lifecycle.received_count), (1, 1))
 
     async def test_a_long_last_answer_arrives_whole_though_bytes_came_behind_its_request(self) -> None:
@@ -621,12 +621,12 @@
     async def test_clients_that_never_end_their_side_do_not_hold_up_the_end(self) -> None:
         _, line = await self.rested()
         silent = self.client()
-        await until(lambda: self.gateway.http_server.connections[ConnectionState.NEW])
+        await until(lambda: self.gateway.http_server.limits.connections[ConnectionState.NEW])
         with mock.patch("drumgw.gateway.process.SHUTDOWN_LINGER_MS", 0.0):
             async with asyncio.timeout(BOUND_S):
                 await self.gateway.close()
         self.assertEqual(
-            (self.gateway.http_server.crowd(), await line.rest(), await silent.rest()), (0, b"", b"")
+            (self.gateway.http_server.limits.count(), await line.rest(), await silent.rest()), (0, b"", b"")
         )
 
 
@@ -703,7 +703,7 @@
             with mock.patch.object(self.gateway.endpoint_clients.pool, "before_write", before):
                 line.write(request(Request_Timeout="60000m"))
                 await until(lambda: attempts)  # noqa: B023
-                await until(lambda: self.empty() and not self.gateway.http_server.crowd())
+                await until(lambda: self.empty() and not self.gateway.http_server.limits.count())
             came = sum(len(worker.came) for worker in workers)
             self.assertEqual(came, 0 if first else 1, (first, reset))
             await self.end()
@@ -721,7 +721,7 @@
         await until(lambda: client._buffer_paused)
         line.sock.shutdown(socket.SHUT_WR)  # an end of both would be told by the first answer's reset
         answer.set_result(http(b"ok"))
-        await until(lambda: self.empty() and not self.gateway.http_server.crowd())
+        await until(lambda: self.empty() and not self.gateway.http_server.limits.count())
         self.assertEqual(len(worker.came), 1)
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,8 +18,8 @@
 from unittest import mock
 
 from drumgw import __main__ as program
+from drumgw.gateway.client_connections import ConnectionState
 from drumgw.gateway.clock import MonotonicClock, StallAwareClock
-from drumgw.gateway.http_server import ConnectionState
 from drumgw.gateway.invariants import invariant
 from drumgw.gateway.process import GatewayProcess
 from drumgw.gateway.process_config import ConfigError, GatewayConfig, read_config
@@ -424,8 +424,8 @@
     """Bad clients: each gets an error or a close soon, and holds nothing that a usual one needs."""
 
     async def short(self, client_ms: float = 40.0, **more: Any) -> None:
-        for name, value in (("CLIENT_IDLE_TIMEOUT_MS", client_ms), ("SWEEP_S", 0.005)):
-            patch = mock.patch(f"drumgw.gateway.http_server.{name}", value)
+        for name, value in (("CLIENT_IDLE_TIMEOUT_MS", client_ms), ("SWEEP_INTERVAL_S", 0.005)):
+            patch = mock.patch(f"drumgw.gateway.connection_limits.{name}", value)
             patch.start()
             self.addCleanup(patch.stop)
         self.worker = await self.stand_in(http(b"ok"))
@@ -442,7 +442,7 @@
                 line[1].write(sent)
                 self.assertEqual(await asyncio.wait_for(line[0].read(), 10), b"")  # to its end
         self.assertEqual(
-            (self.gateway.http_server.crowd(), self.gateway.http_server.open_request_ids), (0, set())
+            (self.gateway.http_server.limits.count(), self.gateway.http_server.open_request_ids), (0, set())
         )
 
     async def test_an_idle_client_is_closed_only_where_descriptors_are_short(self) -> None:
@@ -450,9 +450,9 @@
         first, *others = [await self.connect() for _ in range(3)]
         for line in (first, *others):
             self.assertEqual((await self.ask(line=line))[0], 200)
-        with mock.patch("drumgw.gateway.http_server.CLIENT_IDLE_TIMEOUT_MS", 1.0):
+        with mock.patch("drumgw.gateway.connection_limits.CLIENT_IDLE_TIMEOUT_MS", 1.0):
             self.assertEqual(await asyncio.wait_for(first[0].read(), 10), b"")  # the longest idle
-            self.gateway.http_server.sweep()
+            self.gateway.http_server.limits.sweep()
         for line in others:
             self.assertEqual((await self.ask(line=line))[0], 200)
 
@@ -463,18 +463,20 @@
         for _ in range(60):
             await self.connect()
         self.assertEqual(((await self.ask(line=line))[0], (await self.ask())[0]), (200, 200))
-        self.assertLessEqual(self.gateway.http_server.crowd(), 6)
+        self.assertLessEqual(self.gateway.http_server.limits.count(), 6)
 
     async def test_those_that_asked_once_and_stay_keep_no_newcomer_out(self) -> None:
         await self.short(60000.0, limits={"sockets": 34})
-        with mock.patch("drumgw.gateway.http_server.STALL_THRESHOLD_MS", 0.0):
+        with mock.patch("drumgw.gateway.connection_limits.STALL_THRESHOLD_MS", 0.0):
             for _ in range(20):
                 self.assertEqual((await self.ask())[0], 200)
-        self.assertEqual(self.gateway.http_server.asked(), 4)  # the rest of what clients may hold is free
+        self.assertEqual(
+            self.gateway.http_server.limits.requesting_count(), 4
+        )  # the rest of what clients may hold is free
         async with asyncio.timeout(20):  # the others got an end, and have a moment to read what was theirs
-            while self.gateway.http_server.connections[ConnectionState.LAST]:
+            while self.gateway.http_server.limits.connections[ConnectionState.CLOSING]:
                 await asyncio.sleep(0.001)
-        self.assertEqual(self.gateway.http_server.crowd(), 4)
+        self.assertEqual(self.gateway.http_server.limits.count(), 4)
 
     async def test_the_id_of_an_open_txn_is_turned_away(self) -> None:
         """Guards that txn: its worker would take the second for a copy."""
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -94,8 +94,8 @@
         and the other's stays open and is served.
         """
         host_process = await self.start_host(await self.tenant("t1"), await self.tenant("t2"))
-        http_server = host_process.http_server
-        http_server.config = ListenerConfig(("127.0.0.1", 0), 10, 8)  # type: ignore[assignment]
+        limits = host_process.http_server.tenant_limits
+        limits.bounds = ListenerConfig(("127.0.0.1", 0), 10, 8)
         quiet_reader, quiet_writer = await self.connect()
         request = (
             b"GET " + TARGET.encode() + b" HTTP/1.1\r\nHost: %s.example\r\nRequest-Id: %d\r\nPlan: p\r\n"
@@ -105,14 +105,14 @@
         self.assertIn(b" 200 ", (await read_message(quiet_reader))[0])
         with (
             mock.patch("drumgw.hosting.http_server.STALL_THRESHOLD_MS", -1.0),
-            mock.patch("drumgw.gateway.http_server.STALL_THRESHOLD_MS", -1.0),
+            mock.patch("drumgw.gateway.connection_limits.STALL_THRESHOLD_MS", -1.0),
         ):
             for n in range(40):
                 reader, writer = await self.connect()
                 writer.write(request % (b"t1", n + 2))
                 self.assertIn(b" 200 ", (await read_message(reader))[0])
-        self.assertEqual(http_server.connection_counts["t2#2"], 1)
-        self.assertLessEqual(http_server.connection_counts["t1#1"], 9)
+        self.assertEqual(limits.connection_counts["t2#2"], 1)
+        self.assertLessEqual(limits.connection_counts["t1#1"], 9)
         quiet_writer.write(request % (b"t2", 99))
         self.assertIn(b" 200 ", (await read_message(quiet_reader))[0])
 
