--- a/drumgw/policy/counter_calls.py
+++ b/drumgw/policy/counter_calls.py
@@ -7,15 +7,14 @@
 
 import math
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
-from enum import Enum
+from typing import NamedTuple
 
 from drumgw.model.actions import AddToCounter, LogMessage
 from drumgw.model.events import CounterReplied, Outcome
 from drumgw.model.settings import GatewaySettings
 from drumgw.policy.context import LONG_AGO_MS, DecisionContext
 from drumgw.policy.request_state import CounterExchange
-from drumgw.policy.state_machine import Transitions, advance
+from drumgw.policy.state_machine import MachineEnum, Transitions, advance
 from drumgw.stable_hash import stable_hash
 
 COUNTER_TTL_MS = 60000.0
@@ -33,25 +32,25 @@
 """Between calls to an unavailable counter, at a poll probability of 1."""
 
 
-class CounterState(Enum):
+class CounterState(MachineEnum):
     """Whether the shared counter answers."""
 
     AVAILABLE = "available"
     UNAVAILABLE = "unavailable"
 
 
-class CounterInput(Enum):
+class CounterInput(MachineEnum):
     """What changes the counter's availability."""
 
     REPLIED = "replied"
     MISSED_REPLIES = "missed replies"
 
 
-@dataclass(frozen=True, slots=True)
-class CounterCall:
+class CounterCall(NamedTuple):
     """A call in flight. Dropped with its reply."""
 
     exchange: CounterExchange
+    counter_key: int
     amount: float
     """Whole units of all classes; its two decimals count steps of the highest class's units."""
     epoch: int
@@ -113,13 +112,13 @@
         calls = self.in_flight.setdefault(key, [])
         last_total = account.counter_units if account.counter_epoch == exchange.epoch else 0.0
         expected_before = last_total + sum(math.floor(call.amount) for call in calls)
-        calls.append(CounterCall(exchange, amount, epoch, repair_units, expected_before))
+        calls.append(CounterCall(exchange, key, amount, epoch, repair_units, expected_before))
         context.actions.append(AddToCounter(key, amount, COUNTER_TTL_MS))
         return True
 
-    def pending(self, exchange: CounterExchange) -> Sequence[CounterCall]:
-        """The calls in flight on an exchange's key, oldest first."""
-        return self.in_flight.get(stable_hash(exchange.account.customer, exchange.epoch), ())
+    def pending(self, counter_key: int) -> Sequence[CounterCall]:
+        """The calls in flight on a key, oldest first."""
+        return self.in_flight.get(counter_key, ())
 
     def take(self, counter_key: int) -> CounterCall | None:
         """Removes the call that a reply belongs to; None where none is known."""
--- a/drumgw/policy/counter_repair.py
+++ b/drumgw/policy/counter_repair.py
@@ -12,6 +12,7 @@
 from drumgw.policy.context import DecisionContext
 from drumgw.policy.counter_calls import CounterCall, CounterCalls
 from drumgw.policy.request_state import CounterExchange
+from drumgw.stable_hash import stable_hash
 
 MIN_LOSS_UNITS = 2.0
 REPAIR_INTERVAL_MS = 1000.0
@@ -57,8 +58,9 @@
         account = exchange.account
         known_units = max(min(account.plan.quota_units, level_units), account.known_level_units)
         refilled = account.refilled_units(exchange.epoch, self.context.now_ms)
+        counter_key = stable_hash(account.customer, exchange.epoch)
         lacking = math.floor(known_units - account.counter_units + refilled)
-        lacking -= sum(call.repair_units for call in self.calls.pending(exchange))
+        lacking -= sum(call.repair_units for call in self.calls.pending(counter_key))
         is_repairable = known_units >= MIN_LOSS_UNITS or lacking < 0
         lacking = max(lacking, -MAX_REPAIR_UNITS) if is_repairable else 0
         if abs(lacking) < MIN_LOSS_UNITS or account.counter_epoch != exchange.epoch:
--- a/drumgw/policy/counter_sync.py
+++ b/drumgw/policy/counter_sync.py
@@ -125,15 +125,15 @@
         counted, exchange.top_class_fraction = decode_total(total)
         self._follow_others(call, counted)
         exchange.refill_lag_units = max(0.0, refilled - counted)
-        pending_units = [math.floor(each.amount) for each in self.calls.pending(exchange)]
+        pending_units = [math.floor(each.amount) for each in self.calls.pending(call.counter_key)]
         level = max(0.0, counted - refilled + sum(units for units in pending_units if units < 0))
         usage = max(account.local_usage_units, counted - refilled + sum(pending_units))
-        own_units = max(0, call.own_units)
+        own_units = call.own_units
         is_first = total - call.amount < HALF_STEP
-        has_lost = self._has_lost_units(account, counted - call.own_units - refilled)
+        has_lost = self._has_lost_units(account, counted - own_units - refilled)
         if has_lost:
-            level = max(level, account.known_level_units + own_units)
-        is_spoilt = level - own_units > MAX_LEVEL_QUOTAS * quota
+            level = max(level, account.known_level_units + max(0, own_units))
+        is_spoilt = level - max(0, own_units) > MAX_LEVEL_QUOTAS * quota
         if is_spoilt:
             level = usage = min(quota, max(sum(account.usage_units), account.local_usage_units))
         account.known_level_units = min(quota, level)
--- a/drumgw/policy/endpoint_state.py
+++ b/drumgw/policy/endpoint_state.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import Enum
 
 from drumgw.model.events import EndpointInfo
 from drumgw.policy.context import LONG_AGO_MS, NEVER_MS
+from drumgw.policy.state_machine import MachineEnum
 from drumgw.stable_hash import stable_hash
 
 
-class HealthState(Enum):
+class HealthState(MachineEnum):
     """Whether an endpoint is sent requests of one class."""
 
     HEALTHY = "healthy"
--- a/drumgw/policy/outlier_detection.py
+++ b/drumgw/policy/outlier_detection.py
@@ -6,14 +6,12 @@
 
 from __future__ import annotations
 
-from enum import Enum
-
 from drumgw.model.actions import LogMessage
 from drumgw.model.events import Outcome
 from drumgw.policy.context import DecisionContext
 from drumgw.policy.endpoint_set import EndpointSet
 from drumgw.policy.endpoint_state import AttemptInFlight, ClassHealth, EndpointState, HealthState
-from drumgw.policy.state_machine import Transitions, advance, no_effect
+from drumgw.policy.state_machine import MachineEnum, Transitions, advance, no_effect
 
 FAILURE_STEP = 0.2
 MAX_FAILURE_SHARE = 0.15
@@ -27,7 +25,7 @@
 """First ejection after a rejection, for a healthy endpoint."""
 
 
-class HealthInput(Enum):
+class HealthInput(MachineEnum):
     """What changes an endpoint's health for a class."""
 
     EJECTION_ENDED = "ejection ended"
--- a/drumgw/policy/overload.py
+++ b/drumgw/policy/overload.py
@@ -2,12 +2,10 @@
 
 from __future__ import annotations
 
-from enum import Enum
-
 from drumgw.model.actions import LogMessage
 from drumgw.policy.concurrency_limit import ConcurrencyLimit
 from drumgw.policy.context import LONG_AGO_MS, DecisionContext
-from drumgw.policy.state_machine import Transitions, advance
+from drumgw.policy.state_machine import MachineEnum, Transitions, advance
 
 LATE_OBJECTIVE_FRACTION = 0.6
 """An answer that took more of the latency objective is late: the way to the client comes on top of it."""
@@ -23,14 +21,14 @@
 SHED_LEVEL_FALL = 0.015
 
 
-class LoadState(Enum):
+class LoadState(MachineEnum):
     """The back end's load."""
 
     SPARE_CAPACITY = "has spare capacity"
     OVERLOADED = "overloaded"
 
 
-class LoadInput(Enum):
+class LoadInput(MachineEnum):
     """What changes the back end's load state."""
 
     HIGH_LOAD = "high load"
--- a/drumgw/policy/quota_account.py
+++ b/drumgw/policy/quota_account.py
@@ -167,32 +167,25 @@
 
     def refill(self, now_ms: float) -> None:
         """Brings the account up to this time: the quota refills, so usage and reservations shrink."""
+        plan = self.plan
+        gateways = self.gateway_count
         elapsed_ms = now_ms - self.updated_at_ms
         self.updated_at_ms = now_ms
-        refilled = self.plan.rate_units_per_ms * elapsed_ms
+        refilled = plan.rate_units_per_ms * elapsed_ms
         self.known_level_units = max(0.0, self.known_level_units - refilled)
         self.local_usage_units = max(0.0, self.local_usage_units - refilled)
-        self._refill_local_parts(elapsed_ms, refilled)
-        self._guess_usage_of_others(elapsed_ms)
+        ceiling = self.ceiling_units + plan.ceiling_units_per_ms * elapsed_ms / gateways
+        self.ceiling_units = min(plan.ceiling_burst_units / gateways, ceiling)
+        allowance = self.allowance_units + refilled / gateways
+        self.allowance_units = min(self.max_allowance_units, allowance)
+        # Between totals the others' usage is guessed, but never as much as includes this gateway's own part
+        most_per_ms = plan.rate_units_per_ms * (1 - 1 / gateways)
+        self.usage_units[-1] += min(self.others_pace_units_per_ms, most_per_ms) * elapsed_ms
         remembered = max(0.0, 1 - elapsed_ms / RATE_MEMORY_MS)
         self.local_pace_units_per_ms = [pace * remembered for pace in self.local_pace_units_per_ms]
         self._shrink_usage(refilled)
-        self._roll_window(now_ms)
-
-    def _refill_local_parts(self, elapsed_ms: float, refilled: float) -> None:
-        plan = self.plan
-        self.ceiling_units = min(
-            plan.ceiling_burst_units / self.gateway_count,
-            self.ceiling_units + plan.ceiling_units_per_ms * elapsed_ms / self.gateway_count,
-        )
-        self.allowance_units = min(
-            self.max_allowance_units, self.allowance_units + refilled / self.gateway_count
-        )
-
-    def _guess_usage_of_others(self, elapsed_ms: float) -> None:
-        """Between totals: at their last pace, but never this gateway's even part of the rate."""
-        most = self.plan.rate_units_per_ms * (1 - 1 / self.gateway_count)
-        self.usage_units[-1] += min(self.others_pace_units_per_ms, most) * elapsed_ms
+        if now_ms - self.window_started_at_ms >= plan.window_ms:
+            self._roll_window(now_ms)
 
     def _shrink_usage(self, refilled: float) -> None:
         total = sum(self.usage_units) + sum(units for units in self.reserved_units if units > 0)
@@ -203,11 +196,9 @@
         self.reserved_units = [units * kept for units in self.reserved_units]
 
     def _roll_window(self, now_ms: float) -> None:
-        passed_ms = now_ms - self.window_started_at_ms
-        if passed_ms < self.plan.window_ms:
-            return
+        """Begins a new window; one that ended a whole window ago is not the last one any more."""
         class_count = len(self.window_usage_units)
-        is_last_window = passed_ms < 2 * self.plan.window_ms
+        is_last_window = now_ms - self.window_started_at_ms < 2 * self.plan.window_ms
         self.last_window_usage_units = self.window_usage_units if is_last_window else [0.0] * class_count
         self.window_usage_units = [0.0] * class_count
         self.window_started_at_ms = now_ms
--- a/drumgw/policy/request_state.py
+++ b/drumgw/policy/request_state.py
@@ -3,16 +3,16 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import Enum
 
 from drumgw.model.settings import RequestClass
 from drumgw.policy.endpoint_state import EndpointState
 from drumgw.policy.quota_account import QuotaAccount
+from drumgw.policy.state_machine import MachineEnum
 
 NO_EPOCH = -1
 
 
-class RequestState(Enum):
+class RequestState(MachineEnum):
     """Where a request stands."""
 
     NEW = "new"
@@ -21,7 +21,7 @@
     DONE = "done"
 
 
-class RequestInput(Enum):
+class RequestInput(MachineEnum):
     """What moves a request from one state to the next."""
 
     ADMITTED = "admitted"
--- a/drumgw/policy/state_machine.py
+++ b/drumgw/policy/state_machine.py
@@ -11,14 +11,20 @@
 from typing import Any, Protocol, TypeVar
 
 
+class MachineEnum(Enum):
+    """A state or an input. Hashed by identity: transitions are looked up several times for each request."""
+
+    __hash__ = object.__hash__
+
+
 class Stateful(Protocol):
     """A record that holds its machine's state."""
 
     state: Any
 
 
-StateT = TypeVar("StateT", bound=Enum)
-InputT = TypeVar("InputT", bound=Enum)
+StateT = TypeVar("StateT", bound=MachineEnum)
+InputT = TypeVar("InputT", bound=MachineEnum)
 OwnerT = TypeVar("OwnerT")
 RecordT = TypeVar("RecordT", bound=Stateful)
 
