--- a/drumgw/gateway/connection_pool.py
+++ b/drumgw/gateway/connection_pool.py
@@ -1,8 +1,8 @@
 """The connections to one kind of peer, kept alive and used by one exchange at a time.
 
-Built on aiohttp's connector and parser, without its session. That costs twice the processor time, tells
-neither whether a request was written nor when a cancelled request's connection is closed, and may send a
-request twice. Here the bytes go out as they are given, once.
+Built on aiohttp's connector and parser, without its session. That tells neither whether a request was
+written nor when a cancelled request's connection is closed, and may send a request twice. Here the bytes go
+out as they are given, once.
 """
 
 from __future__ import annotations
--- a/drumgw/gateway/request_lifecycle.py
+++ b/drumgw/gateway/request_lifecycle.py
@@ -51,9 +51,6 @@
 )
 from drumgw.model.settings import GatewaySettings
 
-NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
-"""Outcomes after which the request cannot have run at the endpoint; after all others it may have."""
-
 
 class PolicyEngineProtocol(Protocol):
     """The policy engine, as the lifecycle calls it."""
@@ -319,7 +316,7 @@
         load_report: dict[str, float],
     ) -> None:
         attempt = request.attempts.pop(number)
-        if outcome not in NEVER_RAN:
+        if outcome.may_have_run:
             request.ended_attempt_may_have_run = True
         self._pending_events.append(
             AttemptEnded(
--- a/drumgw/model/events.py
+++ b/drumgw/model/events.py
@@ -29,6 +29,11 @@
     NOT_SENT = "not sent"
     """Withdrawn here before its last byte was written, for no fault of the endpoint's: nothing ran."""
 
+    @property
+    def may_have_run(self) -> bool:
+        """Whether the endpoint may have run the request: decides about retries and about the answer."""
+        return self not in (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
+
 
 class EndpointStatus(Enum):
     """What the endpoint list says of an endpoint."""
@@ -45,10 +50,12 @@
     zone: int
     cell: int
     machine_type: str
+    """Told by discovery; no decision reads it."""
     status: EndpointStatus
     started_at_ms: float | None
     """When it started cold; None for one that was warm when it was first listed."""
     weight: float
+    """Told by discovery; no decision reads it."""
 
 
 class EndpointsUpdated(NamedTuple):
@@ -72,6 +79,7 @@
     gateway_count: int
     """How many gateways this customer's requests come in through, from `first_gateway` on."""
     first_gateway: int
+    """Told by the client; no decision reads it."""
 
 
 class AttemptEnded(NamedTuple):
@@ -88,10 +96,11 @@
     billed_units: float
     """True cost; 0 where the endpoint did not tell."""
     load_report: dict[str, float]
+    """What the endpoint reports of its load; no decision reads it."""
 
 
 class ResponseStarted(NamedTuple):
-    """A streamed response has begun; from now on it belongs to the client."""
+    """A streamed response has begun; from now on it belongs to the client. No decision depends on it."""
 
     request_id: int
 
--- a/drumgw/policy/admission.py
+++ b/drumgw/policy/admission.py
@@ -41,7 +41,8 @@
     def quota_wait_ms(self, request: PendingRequest) -> float:
         """How long until a request fits its customer's quota; 0 where it fits now.
 
-        Notes on the request whether it is admitted beyond a soft plan's quota.
+        Notes on the request whether it is admitted beyond a soft plan's quota. Such a plan passes its
+        concurrency cap as well, while the back end has spare capacity.
         """
         account = request.account
         plan = account.plan
@@ -60,7 +61,10 @@
         return max(MIN_RETRY_AFTER_MS, lacking / rate if rate else self.max_retry_after_ms)
 
     def _lacking_units(self, request: PendingRequest) -> float:
-        """Units that must be refilled before a request fits; 0 or less where it fits."""
+        """Units that must be refilled before a request fits; 0 or less where it fits.
+
+        A request beyond the concurrency cap lacks all of its units.
+        """
         account = request.account
         plan = account.plan
         units = request.units
@@ -88,8 +92,8 @@
             reserved.append(max(0.0, floor - account.usage_units[rank]))
         return sum(reserved)
 
-    def shed_load(self, request: PendingRequest) -> None:
-        """Rejects a request that fits its quota, but not what the back end can do.
+    def limit_by_load(self, request: PendingRequest) -> None:
+        """Rejects a request that fits its quota, but not the concurrency limit or what the back end can do.
 
         Guards the higher classes while answers are late: the lower ones yield first. For those an overdue
         attempt still counts as in flight then.
@@ -98,6 +102,7 @@
         class_rank = request.class_rank
         counts_overdue = self.overload.is_late and class_rank > 0
         in_flight = self.limit.in_flight - (0 if counts_overdue else self.limit.overdue)
+        # Drawn for requests that the quota has rejected as well: the order of draws does not depend on quotas
         is_full = in_flight + random.random() > self.limit.max_in_flight_for(class_rank)
         if request.retry_after_ms:
             return
--- a/drumgw/policy/context.py
+++ b/drumgw/policy/context.py
@@ -26,5 +26,8 @@
 
     @property
     def is_after_stall(self) -> bool:
-        """Whether this event is the first after a stall, so that its durations include the stall."""
+        """Whether this event came in the moment in which a stall was noticed, so its durations include it.
+
+        The request lifecycle leaves stalls out of durations by itself; the simulator's adapter can't.
+        """
         return self.now_ms == self.stall_ended_at_ms
--- a/drumgw/policy/counter_polling.py
+++ b/drumgw/policy/counter_polling.py
@@ -15,9 +15,11 @@
 from drumgw.policy.retry import MIN_RETRY_AFTER_MS
 
 MIN_TIME_LEFT_TO_WAIT_MS = 2100.0
+"""A stall of this process while a request waits would lose it: stalls of up to 2 s are to be expected."""
 TIMEOUTS_TO_SPARE = 2
 """Counter timeouts that a request must have left, to wait for a total."""
 STALL_MARGIN = 1.25
+"""Multiple of the longest stall seen, to be outlived by a request that waits."""
 
 
 class CounterPoller:
@@ -40,7 +42,7 @@
         """Guards requests that wait for a total while this process stalls.
 
         Such a request would miss its deadline without a decision; so from now on one with too little time
-        left for a stall like this does not wait.
+        left for a stall like this does not wait. That holds until this process ends.
         """
         needed_ms = STALL_MARGIN * stall_ms + TIMEOUTS_TO_SPARE * self.timeout_ms
         self.min_time_left_to_wait_ms = max(self.min_time_left_to_wait_ms, needed_ms)
@@ -49,7 +51,7 @@
         """Polls the total for a new request where that is of use, at random where the counter is crowded.
 
         Args:
-            request: judged by what is known here already; may be put off further where that is too little.
+            request: judged by what is known here already; may be rejected here, by its customer's allowance.
             time_left_ms: until the client gives up.
 
         Returns:
@@ -63,7 +65,7 @@
             exchange.epoch = exchange.account.epoch_at(self.context.now_ms)
             if may_wait and self.calls.send(exchange, 0.0):
                 return True
-        self._charge_allowance(request)
+        self._charge_or_reject_by_allowance(request)
         return False
 
     def _is_poll_useful(self, request: PendingRequest) -> bool:
@@ -79,8 +81,12 @@
         total_age_ms = self.context.now_ms - account.counted_at_ms
         return not (request.retry_after_ms and total_age_ms < plan.window_ms)
 
-    def _charge_allowance(self, request: PendingRequest) -> None:
-        """Guards the quota of a customer without a total: each gateway admits its part of it only."""
+    def _charge_or_reject_by_allowance(self, request: PendingRequest) -> None:
+        """Guards the quota of a customer without a total: each gateway admits its part of it only.
+
+        A client's retry is rejected even where the allowance covers it: another gateway has most likely
+        rejected it before, as the quota is used up.
+        """
         account = request.account
         if not self.has_counter or account.plan.is_soft:
             return
--- a/drumgw/policy/counter_repair.py
+++ b/drumgw/policy/counter_repair.py
@@ -28,7 +28,7 @@
         self.context = context
         self.calls = calls
 
-    def restore(self, exchange: CounterExchange, is_first: bool) -> None:
+    def start_repair(self, exchange: CounterExchange, is_first: bool) -> None:
         """Starts to put a total right that lost what it held, or holds more than a quota can.
 
         At random and once in a while, so that not all gateways do it. Who finds a new epoch's key empty is
--- a/drumgw/policy/counter_sync.py
+++ b/drumgw/policy/counter_sync.py
@@ -65,7 +65,6 @@
         """
         account = exchange.account
         class_rank = exchange.class_rank
-        draw = self.context.random.random
         weighted = min(
             exchange.units / self.calls.poll_probability, MAX_REPORT_QUOTA_FRACTION * account.plan.quota_units
         )
@@ -73,12 +72,16 @@
         units = unreported + reservation_units - account.reserved_units[class_rank]
         lag = exchange.refill_lag_units
         top_class_units = units * (class_rank == 0) + lag * exchange.top_class_fraction
-        steps = math.floor(top_class_units / TOP_CLASS_STEP_UNITS + draw())
-        lag_units = math.floor(min(lag, MAX_REPAIR_UNITS) + draw())
-        whole_units = math.floor(max(0.0, units) + draw()) + lag_units
+        steps = self._round_at_random(top_class_units / TOP_CLASS_STEP_UNITS)
+        lag_units = self._round_at_random(min(lag, MAX_REPAIR_UNITS))
+        whole_units = self._round_at_random(max(0.0, units)) + lag_units
         if self.calls.send(exchange, encode_amount(whole_units, steps), lag_units):
             account.reserved_units[class_rank] = reservation_units
 
+    def _round_at_random(self, value: float) -> int:
+        """Rounds up as often as the fraction says: small reports are right on average."""
+        return math.floor(value + self.context.random.random())
+
     def return_reservations(self, account: QuotaAccount) -> None:
         """Guards customers through restarts: a reservation left behind would count as used until refilled."""
         account.refill(self.context.now_ms)
@@ -100,7 +103,8 @@
             self.repair.carry_over(exchange, max(0.0, event.total - refilled) if succeeded else 0.0)
         elif succeeded:
             if call.epoch >= account.counter_epoch:  # else its key is not in use any more
-                self.repair.take_back(call, event.total, self.apply_total(call, event.total))
+                level_units = self.apply_total(call, event.total)
+                self.repair.take_back(call, event.total, level_units)
         elif event.outcome is not Outcome.TIMED_OUT:  # it was not added, so the report is owed
             account.reserved_units[exchange.class_rank] -= call.own_units
 
@@ -133,12 +137,12 @@
         has_lost = self._has_lost_units(account, counted - own_units - refilled)
         if has_lost:
             level = max(level, account.known_level_units + max(0, own_units))
-        is_spoilt = level - max(0, own_units) > MAX_LEVEL_QUOTAS * quota
-        if is_spoilt:
+        is_impossible = level - max(0, own_units) > MAX_LEVEL_QUOTAS * quota
+        if is_impossible:
             level = usage = min(quota, max(sum(account.usage_units), account.local_usage_units))
         account.known_level_units = min(quota, level)
-        if has_lost or is_spoilt or (is_first and refilled < quota):
-            self.repair.restore(exchange, is_first)
+        if has_lost or is_impossible or (is_first and refilled < quota):
+            self.repair.start_repair(exchange, is_first)
         self._set_usage(exchange, max(level, usage))
         return level
 
--- a/drumgw/policy/endpoint_selection.py
+++ b/drumgw/policy/endpoint_selection.py
@@ -17,6 +17,9 @@
 MIN_USABLE_NEARBY = 3
 """With fewer usable nearby endpoints, farther ones join them."""
 FAIR_SHARE_MULTIPLE = 1.3
+"""An endpoint with more attempts than this multiple of its part of all is passed over."""
+MAX_RANDOM_SLOWNESS = 1.3
+"""An endpoint is passed over at random where a draw below 1, times its slowness squared, is higher."""
 MIN_TOTAL_SPEED = 1e-9
 HASH_MULTIPLIER = 0x9E3779B97F4A7C15
 HASH_MASK = 2**64 - 1
@@ -53,8 +56,8 @@
         draw = self.context.random.random
         for each in candidates:
             slowness = each.slowness
-            has_fair_share = len(each.attempts) + 1 > max(1.0, fair_attempts / slowness)
-            if not has_fair_share and draw() * slowness * slowness < FAIR_SHARE_MULTIPLE:
+            is_at_fair_share = len(each.attempts) + 1 > max(1.0, fair_attempts / slowness)
+            if not is_at_fair_share and draw() * slowness * slowness < MAX_RANDOM_SLOWNESS:
                 return each
         return min(candidates, key=lambda each: (len(each.attempts) + 1) * each.slowness)
 
@@ -82,7 +85,10 @@
         return is_in_deduplication_scope(endpoint, request) and self.slow_start.may_send(endpoint)
 
     def _last_resort(self, request: PendingRequest) -> list[EndpointState]:
-        """Where no endpoint is usable: any that is warm, however it has failed."""
+        """Where no endpoint is usable: any that is warm, ejected or tried before as it may be.
+
+        Guards the service where every endpoint has been ejected: an attempt may succeed, a rejection can't.
+        """
         return [
             each
             for each in self.endpoints.preferred
--- a/drumgw/policy/outlier_detection.py
+++ b/drumgw/policy/outlier_detection.py
@@ -14,15 +14,20 @@
 from drumgw.policy.state_machine import MachineEnum, Transitions, advance, no_effect
 
 FAILURE_STEP = 0.2
+"""Weight of the last attempt in an endpoint's failure share."""
 MAX_FAILURE_SHARE = 0.15
-"""An endpoint that fails more of a class, beyond the broken responses of all, is an outlier."""
+"""An endpoint that fails more of a class, beyond the broken responses of all, is an outlier.
+
+Below FAILURE_STEP: one clear failure is enough where there was none before.
+"""
 BROKEN_SHARE_STEP = 0.03
 AMBIGUOUS_FAILURE_WEIGHT = 0.5
 """Of a broken response or an overdue attempt, which may be the network's fault."""
-MIN_EJECTION_MS = 1000.0
+FIRST_EJECTION_MS = 1000.0
+"""First ejection after a failure; each further one lasts twice as long, until an attempt succeeds."""
 MAX_EJECTION_MS = 16000.0
-REJECTION_EJECTION_MS = 150.0
-"""First ejection after a rejection, for a healthy endpoint."""
+FIRST_EJECTION_AFTER_REJECTION_MS = 150.0
+"""Shorter than after a failure: an endpoint without capacity is soon free again."""
 
 
 class HealthInput(MachineEnum):
@@ -67,25 +72,27 @@
         """Records how an attempt ended."""
         is_broken = outcome is Outcome.BROKEN_RESPONSE
         self.broken_share += BROKEN_SHARE_STEP * (is_broken - self.broken_share)
-        health = endpoint.class_health[attempt.class_index]
+        class_index = attempt.class_index
+        health = endpoint.class_health[class_index]
         if outcome is Outcome.SUCCEEDED:
             self._record_success(health)
         elif outcome is Outcome.REJECTED:
-            health.ejection_ms = health.ejection_ms or REJECTION_EJECTION_MS / 2
+            # `eject` doubles it
+            health.ejection_ms = health.ejection_ms or FIRST_EJECTION_AFTER_REJECTION_MS / 2
             advance(HEALTH_TRANSITIONS, self, health, HealthInput.REJECTED)
         elif outcome is Outcome.UNREACHABLE:
-            for each in endpoint.class_health:
-                self._record_failure(endpoint, each)
+            for each_class in range(len(endpoint.class_health)):
+                self._record_failure(endpoint, each_class)
         elif is_broken:
-            self._record_failure(endpoint, health, AMBIGUOUS_FAILURE_WEIGHT)
+            self._record_failure(endpoint, class_index, AMBIGUOUS_FAILURE_WEIGHT)
         elif outcome is Outcome.FAILED or (outcome is Outcome.TIMED_OUT and not attempt.is_overdue):
-            self._record_failure(endpoint, health)
+            self._record_failure(endpoint, class_index)
 
     def record_overdue(self, endpoint: EndpointState, attempt: AttemptInFlight) -> None:
         """Records an overdue attempt, unless the class succeeded there since it was sent."""
         health = endpoint.class_health[attempt.class_index]
         if health.last_success_at_ms < attempt.sent_at_ms:
-            self._record_failure(endpoint, health, AMBIGUOUS_FAILURE_WEIGHT)
+            self._record_failure(endpoint, attempt.class_index, AMBIGUOUS_FAILURE_WEIGHT)
 
     def _record_success(self, health: ClassHealth) -> None:
         is_trial = health.state is HealthState.HALF_OPEN
@@ -94,24 +101,26 @@
         health.last_success_at_ms = self.context.now_ms
         advance(HEALTH_TRANSITIONS, self, health, HealthInput.SUCCEEDED)
 
-    def _record_failure(self, endpoint: EndpointState, health: ClassHealth, weight: float = 1.0) -> None:
+    def _record_failure(self, endpoint: EndpointState, class_index: int, weight: float = 1.0) -> None:
         """Ejects an endpoint that fails more than the network explains.
 
         Where connections break to all endpoints alike, each would look like an outlier, and ejecting them one
         by one would take out the fleet: only failures beyond the share of broken responses count.
         """
+        health = endpoint.class_health[class_index]
         health.failure_share += weight * FAILURE_STEP * (1 - health.failure_share)
         is_outlier = health.failure_share > MAX_FAILURE_SHARE + self.broken_share
         if not is_outlier and health.state is not HealthState.HALF_OPEN:
             return
-        text = f"endpoint {endpoint.endpoint_id} ejected: failure share {health.failure_share:.2f}, "
-        self.context.actions.append(LogMessage(text + f"{len(endpoint.attempts)} in flight"))
+        where = f"endpoint {endpoint.endpoint_id} ejected for request class {class_index}"
+        figures = f"failure share {health.failure_share:.2f}, {len(endpoint.attempts)} in flight"
+        self.context.actions.append(LogMessage(f"{where}: {figures}"))
         advance(HEALTH_TRANSITIONS, self, health, HealthInput.OUTLIER)
 
     def eject(self, health: ClassHealth) -> None:
         """Ejects for twice the last time; longer where few requests come, as each trial may cost one."""
         interval_ms = self.endpoints.completion_interval_ms()
-        ejection_ms = max(interval_ms, 2 * health.ejection_ms or MIN_EJECTION_MS)
+        ejection_ms = max(interval_ms, 2 * health.ejection_ms or FIRST_EJECTION_MS)
         health.ejection_ms = min(MAX_EJECTION_MS, ejection_ms)
         health.ejected_until_ms = self.context.now_ms + health.ejection_ms
 
--- a/drumgw/policy/overload.py
+++ b/drumgw/policy/overload.py
@@ -114,7 +114,8 @@
         """The load's figures, for the log."""
         limit = self.limit
         return (
-            f"{limit.in_flight} in flight, limit {limit.max_in_flight:.0f}, late share {self.late_share:.2f}"
+            f"attempts in flight {limit.in_flight}, limit {limit.max_in_flight:.0f}, "
+            f"late share {self.late_share:.2f}"
         )
 
 
--- a/drumgw/policy/quota_account.py
+++ b/drumgw/policy/quota_account.py
@@ -71,7 +71,8 @@
     """A customer's account here. The engine drops it after `IDLE_ACCOUNT_MS` without a request.
 
     Its methods write usage, refill and ceiling; `CounterSync` and `CounterRepair` write what totals of the
-    shared counter say; `AttemptTracker` counts the attempts in flight.
+    shared counter say, `CounterPoller` the allowance. `AttemptTracker` counts attempts in flight up,
+    `RequestFlow` counts them down. Plan and gateway count stay those of the request that opened it.
     """
 
     plan: PlanLimits
--- a/drumgw/policy/request_flow.py
+++ b/drumgw/policy/request_flow.py
@@ -25,8 +25,6 @@
 
 MIN_TIME_LEFT_MS = 1.0
 """With less time left nothing is forwarded any more."""
-AMBIGUOUS_OUTCOMES = (Outcome.FAILED, Outcome.TIMED_OUT, Outcome.BROKEN_RESPONSE, Outcome.CANCELLED)
-"""After these the request may have run."""
 
 
 class RequestFlow:
@@ -86,7 +84,7 @@
 
     def decide(self, request: PendingRequest) -> None:
         """Admits a request or rejects it."""
-        self.admission.shed_load(request)
+        self.admission.limit_by_load(request)
         self.advance(request, RequestInput.REJECTED if request.retry_after_ms else RequestInput.ADMITTED)
 
     def attempt_ended(self, event: AttemptEnded) -> None:
@@ -102,7 +100,7 @@
                 account.correct_usage(request.class_rank, request.units, event.billed_units)
             self.advance(request, RequestInput.SUCCEEDED)
             return
-        if event.outcome in AMBIGUOUS_OUTCOMES and request.may_have_run_on is None:
+        if event.outcome.may_have_run and request.may_have_run_on is None:
             request.may_have_run_on = request.tried_endpoints[-1]
             request.may_have_run_at_ms = request.last_sent_at_ms
         self.advance(request, RequestInput.CLIENT_GONE if event.is_final else RequestInput.ATTEMPT_FAILED)
--- a/drumgw/policy/request_state.py
+++ b/drumgw/policy/request_state.py
@@ -38,7 +38,8 @@
 class CounterExchange:
     """What one request, or the end of the gateway, has to do with the shared counter.
 
-    Written by `CounterSync`; dropped with the last counter call that names it.
+    Written by `CounterPoller` (the epoch), `CounterSync` and `CounterRepair` (the total's figures); dropped
+    with the last counter call that names it.
     """
 
     account: QuotaAccount
@@ -55,7 +56,11 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that is owed an answer. Written by `RequestFlow`, which drops it at its final answer."""
+    """A request that is owed an answer.
+
+    `RequestFlow` owns it, moves its state and drops it at its final answer. `AdmissionControl` and
+    `CounterPoller` write whether it fits, `AttemptTracker` writes its attempts.
+    """
 
     request_id: int
     account: QuotaAccount
