--- a/drumgw/testbed/statuses.py
+++ b/drumgw/testbed/statuses.py
@@ -9,4 +9,4 @@
 STATUS_REJECTED = 503
 """Nothing ran: sending again is harmless."""
 REJECTION_STATUSES = (429, STATUS_REJECTED)
-"""All statuses by which a gateway says so."""
+"""All statuses that the protocol allows for it; this project's gateways send the second only."""
