--- a/drumgw/gateway/counter_client.py
+++ b/drumgw/gateway/counter_client.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class CounterCall:
+class CounterRequest:
     """One call. Its reply counts until it is timed out; its end is reported once."""
 
     command: AddToCounter
@@ -61,7 +61,7 @@
 class KeyQueue:
     """The calls for one counter key whose end has not been reported yet."""
 
-    calls: deque[CounterCall] = field(default_factory=deque)
+    calls: deque[CounterRequest] = field(default_factory=deque)
     """In the order in which they were made."""
     connection: CounterConnection | None = None
     """Where the last one was written."""
@@ -75,7 +75,7 @@
     """
 
     def __init__(self, client: CounterClient) -> None:
-        self.calls: deque[CounterCall] = deque()  # not answered on it; emptied at once when it closes
+        self.calls: deque[CounterRequest] = deque()  # not answered on it; emptied at once when it closes
         self.is_open = True
         """Whether it takes further calls."""
         self.last_used_ms = client.clock.now()
@@ -84,7 +84,7 @@
         self._connection: PeerConnection | None = None  # None until it is up
         self._task = client.loop.create_task(self._connect())
 
-    def send(self, call: CounterCall) -> None:
+    def send(self, call: CounterRequest) -> None:
         """Writes the call, now or once the connection is up."""
         self.calls.append(call)
         if self._connection is not None:
@@ -123,7 +123,7 @@
             self._client.log_fault(error)
             self.close()
 
-    def _write(self, connection: PeerConnection, call: CounterCall) -> None:
+    def _write(self, connection: PeerConnection, call: CounterRequest) -> None:
         connection.send_request(self._client.request(call.command))
         call.is_written = True
 
@@ -189,7 +189,7 @@
     def call(self, command: AddToCounter) -> None:
         """Makes a call. It ends as unreachable at once where too many are in flight."""
         now = self.clock.now()
-        call = CounterCall(command, now - self.clock.stalled_ms)
+        call = CounterRequest(command, now - self.clock.stalled_ms)
         queue = self.queues.get(command.counter_key) or KeyQueue()
         connection = queue.connection
         if connection is None or not connection.is_open:
@@ -204,12 +204,12 @@
         call.timer = self.clock.call_at(now + self.timeout_ms, partial(self.time_out, call, connection))
         connection.send(call)
 
-    def time_out(self, call: CounterCall, connection: CounterConnection) -> None:
+    def time_out(self, call: CounterRequest, connection: CounterConnection) -> None:
         """Ends a call that was not answered in time; its connection takes no further calls."""
         self.end(call, call.outcome_without_reply, 0.0)
         connection.retire()
 
-    def end(self, call: CounterCall, outcome: Outcome, total: float) -> None:
+    def end(self, call: CounterRequest, outcome: Outcome, total: float) -> None:
         """Ends a call, and reports its key's ended calls, up to the first that has not ended.
 
         Does nothing for a call that has ended: a late total reaches nobody.
@@ -230,7 +230,7 @@
                 del self.queues[counter_key]
             self._report(ended)
 
-    def _report(self, call: CounterCall) -> None:
+    def _report(self, call: CounterRequest) -> None:
         assert call.outcome is not None
         self._dispatcher.post(
             self._dispatcher.lifecycle.counter_replied,
--- a/drumgw/gateway/dispatcher.py
+++ b/drumgw/gateway/dispatcher.py
@@ -60,7 +60,7 @@
     arguments: tuple[Any, ...]
 
 
-class PendingRequest(NamedTuple):
+class AwaitedResponse(NamedTuple):
     """A request whose client waits."""
 
     request: ClientRequest
@@ -93,7 +93,9 @@
         """Set before the first request."""
         self.counter: CounterTransport | None = None
         """None for a service without a shared counter."""
-        self.pending_requests: dict[int, PendingRequest] = {}  # an entry goes with its response or its client
+        self.pending_requests: dict[
+            int, AwaitedResponse
+        ] = {}  # an entry goes with its response or its client
         self.request_deadlines: dict[int, Timer] = {}  # an entry goes as its request leaves the lifecycle
         self._timers: dict[int, asyncio.TimerHandle] = {}  # by timer_id; the engine uses a few
         self._max_mailbox_entries = max_mailbox_entries
@@ -145,7 +147,7 @@
             request.request_id, commands = self.lifecycle.request_received(
                 self._read_clock(), request.received, self.clock.recent_stall_ms
             )
-            self.pending_requests[request.request_id] = PendingRequest(request, response)
+            self.pending_requests[request.request_id] = AwaitedResponse(request, response)
             self._execute(commands)
         finally:
             self._is_calling_lifecycle = False
--- a/drumgw/gateway/process_config.py
+++ b/drumgw/gateway/process_config.py
@@ -41,7 +41,7 @@
     """A configuration that cannot be used; its text is one line."""
 
 
-class ConnectionLimits(NamedTuple):
+class ConnectionBudget(NamedTuple):
     """How many connections of each kind may be open at once."""
 
     clients: int
@@ -177,7 +177,7 @@
     )
 
 
-def _divide_descriptors(sockets: int, has_counter: bool) -> ConnectionLimits:
+def _divide_descriptors(sockets: int, has_counter: bool) -> ConnectionBudget:
     """Divides a process's file descriptors between clients and endpoints.
 
     The protocol lets clients hold a third of all for requests, and as many may connect and say nothing. So
@@ -189,7 +189,7 @@
         raise ConfigError(f"limits.sockets is {sockets}, too few")
     clients = free - endpoints
     requesting_clients = min(clients, sockets // 3) * 3 // 4
-    return ConnectionLimits(clients, requesting_clients, endpoints)
+    return ConnectionBudget(clients, requesting_clients, endpoints)
 
 
 def _first_line(error: Exception) -> str:
--- a/drumgw/testbed/socket_servers.py
+++ b/drumgw/testbed/socket_servers.py
@@ -131,7 +131,7 @@
         )
 
 
-class CounterCall(NamedTuple):
+class ReceivedCounterCall(NamedTuple):
     """One call to the shared counter."""
 
     name: str
@@ -164,7 +164,7 @@
         counter.call(self._gateway, call.name, call.amount, call.ttl_ms, on_reply)
 
 
-def parse_counter_call(head: bytes) -> CounterCall | None:
+def parse_counter_call(head: bytes) -> ReceivedCounterCall | None:
     """The call that a request's head makes; None where it is none."""
     method, target, _ = head.split(b"\r\n", 1)[0].decode("latin-1").split(" ", 2)
     url = urlsplit(target)
@@ -177,7 +177,7 @@
     name = url.path.removeprefix("/counters/")
     is_counter_path = method == "POST" and url.path != name and 1 <= len(name) <= MAX_COUNTER_NAME
     is_in_range = abs(amount) <= MAX_COUNTER_AMOUNT and math.isfinite(amount) and math.isfinite(ttl_ms)
-    return CounterCall(name, amount, ttl_ms) if is_counter_path and is_in_range else None
+    return ReceivedCounterCall(name, amount, ttl_ms) if is_counter_path and is_in_range else None
 
 
 class DiscoveryConnection(ServerConnection):
