--- a/drumgw/gateway/discovery.py
+++ b/drumgw/gateway/discovery.py
@@ -120,7 +120,7 @@
         except MalformedEndpointListError as error:
             raise ConfigError(f"known cannot be read: {error}") from error
         if config.shared_discovery:
-            self.membership.ask_since(known)
+            self.membership.build_on_known_list(known)
         self._pool = ConnectionPool(
             MAX_CONNECTIONS, KEEP_ALIVE_MS, CONNECT_TIMEOUT_MS, dispatcher.clock, MAX_LIST_BYTES
         )
@@ -252,7 +252,7 @@
         poll = Poll(
             task=asyncio.current_task(),
             epoch=self._poll_epoch,
-            is_for_all=since is None,
+            asks_for_complete_list=since is None,
             sent_at_ms=self.clock.now(),
             finished=self._dispatcher.loop.create_future(),
         )
@@ -335,7 +335,7 @@
         if status != STATUS_OK:
             raise DiscoveryError(f"discovery answers {status}")
         endpoint_list = self._reader.read(json.loads(response.body))
-        return self.membership.update(now, endpoint_list, poll.is_for_all)
+        return self.membership.update(now, endpoint_list, poll.asks_for_complete_list)
 
     def _apply(self, change: MembershipChange, origin: str) -> None:
         """Passes a change on.
--- a/drumgw/gateway/discovery_poll.py
+++ b/drumgw/gateway/discovery_poll.py
@@ -43,7 +43,7 @@
     task: asyncio.Task[None] | None
     epoch: int
     """Its response counts only while no other call was answered, and discovery has not moved."""
-    is_for_all: bool
+    asks_for_complete_list: bool
     """Whether it asks for the complete list."""
     sent_at_ms: float
     finished: asyncio.Future[None]
--- a/drumgw/gateway/http_server.py
+++ b/drumgw/gateway/http_server.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections.abc import Callable
 from functools import partial
-from typing import Any
+from typing import Any, NamedTuple
 
 from aiohttp.web_exceptions import HTTPRequestEntityTooLarge
 from aiohttp.web_protocol import RequestPayloadError
@@ -43,6 +43,15 @@
         return self.connection_factory(self, loop=self._loop, **self._kwargs)
 
 
+class ServingService(NamedTuple):
+    """What the listener needs of the service that a request is for."""
+
+    config: GatewayConfig
+    dispatcher: Dispatcher
+    open_request_ids: set[str]
+    """Ids of its requests in flight."""
+
+
 class HttpServer:
     """The listener.
 
@@ -137,9 +146,8 @@
         Raises:
             BadRequestError: It goes no further.
         """
-        return await self.forward(
-            request, target, target, client, self.config, self.dispatcher, self.open_request_ids
-        )
+        service = ServingService(self.config, self.dispatcher, self.open_request_ids)
+        return await self.forward(request, target, target, client, service)
 
     async def forward(
         self,
@@ -147,9 +155,7 @@
         target: str,
         path: str,
         client: ClientConnection,
-        config: GatewayConfig,
-        dispatcher: Dispatcher,
-        open_request_ids: set[str],
+        service: ServingService,
     ) -> CompleteResponse:
         """Has a request forwarded by a service, and waits for its final response.
 
@@ -158,13 +164,12 @@
             target: Its target, which endpoints get as it came.
             path: The target as the request class is read from it.
             client: Its connection.
-            config: The service's names and settings.
-            dispatcher: The service's.
-            open_request_ids: Ids of the service's requests in flight.
+            service: Whose request it is.
 
         Raises:
             BadRequestError: It goes no further.
         """
+        config, dispatcher, open_request_ids = service
         headers = request.headers
         received = parse_request(config.names, config.settings, request.method, path, headers)
         body = await self.read(request)
--- a/drumgw/gateway/membership.py
+++ b/drumgw/gateway/membership.py
@@ -90,7 +90,7 @@
         """Whether the agent's list is older than what is known."""
         return self.state is MembershipState.BEHIND
 
-    def ask_since(self, known: EndpointList) -> None:
+    def build_on_known_list(self, known: EndpointList) -> None:
         """Asks first for the changes since a known list, which is not used before they have come.
 
         That costs a shared discovery service less than a complete list.
@@ -105,16 +105,18 @@
         """Uses a known list while the agent is silent. The agent's first list replaces it."""
         return self._apply_all(known._replace(is_complete=True))
 
-    def update(self, now: float, endpoint_list: EndpointList, is_answer_to_all: bool) -> MembershipChange:
+    def update(
+        self, now: float, endpoint_list: EndpointList, is_reply_to_complete_poll: bool
+    ) -> MembershipChange:
         """Applies a list of the agent's, as far as the rule lets it.
 
         Args:
             now: the current time.
             endpoint_list: what the agent sent.
-            is_answer_to_all: whether the complete list was polled for; the answer is complete then, whatever
-                it says of itself.
+            is_reply_to_complete_poll: whether the complete list was polled for; the answer is complete then,
+                whatever it says of itself.
         """
-        update = endpoint_list._replace(is_complete=endpoint_list.is_complete or is_answer_to_all)
+        update = endpoint_list._replace(is_complete=endpoint_list.is_complete or is_reply_to_complete_poll)
         if self.state is MembershipState.WAITING and self._base is not None and not update.is_complete:
             update = _merge(self._base, update)
         self._base = None
--- a/drumgw/gateway/request_parsing.py
+++ b/drumgw/gateway/request_parsing.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 from math import isfinite
+from typing import NamedTuple
 
 from drumgw.gateway import http_headers
 from drumgw.model.events import RequestReceived
@@ -98,26 +99,14 @@
         raise BadRequestError(405, "not this request class's method")
     if not REQUEST_ID_PATTERN.fullmatch(headers.get(http_headers.REQUEST_ID, "")):
         raise BadRequestError(400, "Request-Id is missing or unusable")
-    plan = names.plans.get(headers.get(http_headers.PLAN, ""))
-    if plan is None:
-        raise BadRequestError(400, "Plan is missing or unknown")
+    plan = _read_plan(names, headers)
     try:
         time_left_ms = _read_duration_ms(headers[http_headers.REQUEST_TIMEOUT])
-        quota_info = _read_pairs(headers[http_headers.QUOTA_INFO])
-        units = _read_quota_number(quota_info[http_headers.QUOTA_UNITS])
-        gateway_count = _read_quota_number(quota_info[http_headers.QUOTA_GATEWAY_COUNT])
-        first_gateway = _read_quota_number(quota_info[http_headers.QUOTA_FIRST_GATEWAY])
+        quota_info = _read_quota_info(headers[http_headers.QUOTA_INFO])
         customer = _read_customer(query)
     except (KeyError, ValueError) as error:
         raise BadRequestError(400, f"missing or unusable: {error}") from error
-    is_in_range = (
-        time_left_ms > 0
-        and 0 < units <= settings.max_request_units
-        and 1 <= gateway_count <= settings.gateways
-        and first_gateway < settings.gateways
-        and gateway_count % 1 == first_gateway % 1 == 0
-    )
-    if not is_in_range:
+    if time_left_ms <= 0 or not quota_info.is_in_range(settings):
         raise BadRequestError(400, "Request-Timeout or Quota-Info is out of its range")
     return RequestReceived(
         request_id=0,
@@ -125,10 +114,42 @@
         plan=plan,
         customer=customer,
         request_class=request_class,
-        units=units,
+        units=quota_info.units,
         is_client_retry=headers.get(http_headers.CLIENT_RETRY) == "1",
-        gateway_count=int(gateway_count),
-        first_gateway=int(first_gateway),
+        gateway_count=int(quota_info.gateway_count),
+        first_gateway=int(quota_info.first_gateway),
+    )
+
+
+def _read_plan(names: NameIndex, headers: Mapping[str, str]) -> int:
+    plan = names.plans.get(headers.get(http_headers.PLAN, ""))
+    if plan is None:
+        raise BadRequestError(400, "Plan is missing or unknown")
+    return plan
+
+
+class _QuotaInfo(NamedTuple):
+    """What the Quota-Info header says; not checked against the settings yet."""
+
+    units: float
+    gateway_count: float
+    first_gateway: float
+
+    def is_in_range(self, settings: GatewaySettings) -> bool:
+        return (
+            0 < self.units <= settings.max_request_units
+            and 1 <= self.gateway_count <= settings.gateways
+            and self.first_gateway < settings.gateways
+            and self.gateway_count % 1 == self.first_gateway % 1 == 0
+        )
+
+
+def _read_quota_info(text: str) -> _QuotaInfo:
+    pairs = _read_pairs(text)
+    return _QuotaInfo(
+        units=_read_quota_number(pairs[http_headers.QUOTA_UNITS]),
+        gateway_count=_read_quota_number(pairs[http_headers.QUOTA_GATEWAY_COUNT]),
+        first_gateway=_read_quota_number(pairs[http_headers.QUOTA_FIRST_GATEWAY]),
     )
 
 
--- a/drumgw/hosting/http_server.py
+++ b/drumgw/hosting/http_server.py
@@ -16,7 +16,7 @@
 from drumgw.gateway.client_connections import ClientConnection, ConnectionState
 from drumgw.gateway.clock import STALL_THRESHOLD_MS, StallAwareClock
 from drumgw.gateway.connection_limits import ConnectionLimits
-from drumgw.gateway.http_server import HttpServer
+from drumgw.gateway.http_server import HttpServer, ServingService
 from drumgw.gateway.request_parsing import BadRequestError
 from drumgw.gateway.responses import CompleteResponse
 from drumgw.hosting.tenant_services import TenantServices
@@ -123,15 +123,8 @@
             return CompleteResponse(503, b"", f"Retry-After: {retry_after_ms / 1000:.3f}\r\n")
         self.tenant_limits.count_for_tenant(client, service.key)
         gateway_service = service.gateway_service
+        serving = ServingService(gateway_service.config, gateway_service.dispatcher, service.open_request_ids)
         try:
-            return await self.forward(
-                request,
-                target,
-                route.path,
-                client,
-                gateway_service.config,
-                gateway_service.dispatcher,
-                service.open_request_ids,
-            )
+            return await self.forward(request, target, route.path, client, serving)
         finally:
             self._services.release(service)
