--- a/tests/crossing_case.py
+++ b/tests/crossing_case.py
@@ -79,10 +79,10 @@
 class ManualPeer:
     """An endpoint, counter or agent that accepts, reads and writes only when its test does."""
 
-    def __init__(self, room: int = 0) -> None:
+    def __init__(self, receive_buffer_bytes: int = 0) -> None:
         self.sock, self.lines = socket.socket(), list[ScriptedConnection]()
-        if room:  # of what is sent to it the system keeps so little
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, room)
+        if receive_buffer_bytes:  # of what is sent to it the system keeps so little
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen(64)
         self.sock.setblocking(False)
@@ -119,8 +119,8 @@
     def tearDownClass(cls) -> None:
         asyncio.set_event_loop_policy(None)
 
-    def peer(self, room: int = 0) -> ManualPeer:
-        peer = ManualPeer(room)
+    def peer(self, receive_buffer_bytes: int = 0) -> ManualPeer:
+        peer = ManualPeer(receive_buffer_bytes)
         self.addCleanup(peer.close)
         return peer
 
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -66,7 +66,7 @@
         self.assertEqual((len(bad.requests), len(other.requests)), (1, 1))
 
     async def test_an_endpoint_that_reads_slowly_gets_no_last_byte_after_the_window(self) -> None:
-        peer = self.peer(room=4096)
+        peer = self.peer(receive_buffer_bytes=4096)
         await self.failing_first(peer.address)
         with self.narrow():
             asked = asyncio.create_task(self.ask(KEYED, "POST", LARGE))
@@ -99,7 +99,7 @@
 
     async def test_a_reset_under_the_first_half_says_that_it_never_ran(self) -> None:
         """Guards requests that are not idempotent: they may go to another endpoint then, and were failed."""
-        peer = self.peer(room=4096)
+        peer = self.peer(receive_buffer_bytes=4096)
         await self.open_gateway(peer.address, settings=raw_settings(ceilings=ONE_ATTEMPT))
         with self.narrow():
             asked = asyncio.create_task(self.ask(POST_TARGET, "POST", LARGE))
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -201,10 +201,10 @@
             line.close(reset=n % 2 == 0)
         await until(lambda: not self.gateway.dispatcher.lifecycle.in_flight)
         await until(self.empty)
-        lane = await counter.accept()
-        await lane.read(b"\r\n\r\n")
+        counter_connection = await counter.accept()
+        await counter_connection.read(b"\r\n\r\n")
         for _ in range(100):
-            lane.write(http_response(b"0"))
+            counter_connection.write(http_response(b"0"))
         await asyncio.sleep(0.05)
         self.assertEqual((endpoint.requests, endpoint.connections), ([], []))
 
