--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -96,7 +96,8 @@
         """One tenant's clients open dozens of connections, send one request and stay; another tenant has one.
 
         The listener cannot hold all. It closes connections of the tenant that has more than its part,
-        and the other's stays open and is served.
+        and the other's stays open and is served. Turns while the event loop lags are left out: a busy
+        machine would have them reject the dozens, which is another test's story.
         """
         host_process = await self.start_host(await self.tenant("t1"), await self.tenant("t2"))
         limits = host_process.http_server.tenant_limits
@@ -111,6 +112,7 @@
         with (
             mock.patch("drumgw.hosting.http_server.STALL_THRESHOLD_MS", -1.0),
             mock.patch("drumgw.gateway.connection_limits.STALL_THRESHOLD_MS", -1.0),
+            mock.patch("drumgw.hosting.fair_turns.MAX_LAG_MS", float("inf")),
         ):
             for n in range(40):
                 reader, writer = await self.connect()
