--- a/drumgw/testbed/gateway_subprocess.py
+++ b/drumgw/testbed/gateway_subprocess.py
@@ -64,11 +64,6 @@
         self._discovery_address = ""
         self._counter_address = ""
 
-    @property
-    def is_running(self) -> bool:
-        """Whether there is a process."""
-        return self.process is not None and self.process.returncode is None
-
     async def open_services(self) -> None:
         """Opens its addresses of discovery and counter; they count from the next configuration on."""
         network = self._surroundings.network
