--- a/tests/crossing_case.py
+++ b/tests/crossing_case.py
@@ -101,7 +101,7 @@
         self.sock.close()
 
 
-async def until(true: Callable[[], Any]) -> None:
+async def wait_until(true: Callable[[], Any]) -> None:
     """Waits until the condition holds; a time-out where it never does."""
     async with asyncio.timeout(BOUND_S):
         while not true():
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -12,7 +12,7 @@
     ONE_ATTEMPT,
     CrossingCase,
     ScriptedConnection,
-    until,
+    wait_until,
 )
 from tests.gateway_case import (
     POST_TARGET,
@@ -48,8 +48,8 @@
         bad = await self.failing_first(other.address)
         with self.held(lambda card: str(card.url.port) in other.address) as go:
             asked = asyncio.create_task(self.ask(KEYED, "POST", b"{}"))
-            await until(lambda: other.connections)
-            await until(self.past(150.0))
+            await wait_until(lambda: other.connections)
+            await wait_until(self.past(150.0))
             go.set()
             status, _, _ = await asked
         self.assertEqual((status, len(bad.requests), other.requests), (500, 1, []))
@@ -60,7 +60,7 @@
         bad = await self.failing_first(other.address, window_ms=60000.0)
         with self.held(lambda card: str(card.url.port) in other.address) as go:
             asked = asyncio.create_task(self.ask(KEYED, "POST", b"{}"))
-            await until(lambda: other.connections)
+            await wait_until(lambda: other.connections)
             go.set()
             self.assertEqual((await asked)[:2], (200, b"ok"))
         self.assertEqual((len(bad.requests), len(other.requests)), (1, 1))
@@ -88,8 +88,8 @@
         slow = await self.start_server(lambda head, body: answer)
         await self.begin_keyed(slow.address, window_ms=50.0)
         asked = asyncio.create_task(self.ask(KEYED, "POST", b"{}"))
-        await until(lambda: slow.requests)
-        await until(self.past(50.0))
+        await wait_until(lambda: slow.requests)
+        await wait_until(self.past(50.0))
         answer.set_result(http_response(status=500))
         self.assertEqual((await asked)[0], 500)  # they have forgotten it
 
@@ -104,7 +104,7 @@
         with self.narrow():
             asked = asyncio.create_task(self.ask(POST_TARGET, "POST", LARGE))
             line = await peer.accept()
-            await until(
+            await wait_until(
                 lambda: any(
                     wire.transport is not None and wire.transport.get_write_buffer_size()
                     for wire in self.gateway.endpoint_clients.pool.connections
@@ -150,7 +150,7 @@
             await line.read(b"{}")
             line.write(half)
             if how == "ours":
-                await until(
+                await wait_until(
                     lambda: any(
                         wire.framer.message for wire in self.gateway.endpoint_clients.pool.connections
                     )
@@ -192,5 +192,5 @@
         await self.open_gateway(endpoint.address)
         for n in range(3):
             self.assertEqual((await self.ask(Request_Id=f"{n}"))[0], 200)
-            await until(lambda: any(self.gateway.endpoint_clients.pool.connector._conns.values()))
+            await wait_until(lambda: any(self.gateway.endpoint_clients.pool.connector._conns.values()))
         self.assertEqual((len(endpoint.requests), len(endpoint.connections)), (3, 1))
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -14,7 +14,7 @@
     LARGE,
     CrossingCase,
     ScriptedConnection,
-    until,
+    wait_until,
 )
 from tests.gateway_case import (
     POST_TARGET,
@@ -35,7 +35,7 @@
         line = self.client()
         line.write(http_request())
         await line.read(b"ok")
-        await until(lambda: self.gateway.http_server.limits.connections[ConnectionState.IDLE])
+        await wait_until(lambda: self.gateway.http_server.limits.connections[ConnectionState.IDLE])
         return endpoint, line
 
     async def test_a_request_that_lies_unread_as_the_idle_are_closed_is_served(self) -> None:
@@ -57,7 +57,7 @@
             (client,) = self.gateway.http_server.limits.connections[ConnectionState.CLOSING]
             self.assertTrue(client.has_unread())  # it lies where it came
             line.close()
-            await until(lambda: not self.gateway.http_server.limits.count())
+            await wait_until(lambda: not self.gateway.http_server.limits.count())
         self.assertEqual((len(endpoint.requests), self.gateway.dispatcher.lifecycle.received_count), (1, 1))
 
     async def test_a_long_last_answer_arrives_whole_though_bytes_came_behind_its_request(self) -> None:
@@ -107,7 +107,7 @@
                 await self.open_gateway(endpoint.address)
                 line = self.client()
                 line.write(whole[:cut])
-                await until(
+                await wait_until(
                     lambda: any(
                         c._messages or c._current_request or c._parser is not None
                         for c in self.gateway.http_server.server.connections
@@ -138,7 +138,7 @@
     async def test_clients_that_never_end_their_side_do_not_hold_up_the_end(self) -> None:
         _, line = await self.rested()
         silent = self.client()
-        await until(lambda: self.gateway.http_server.limits.connections[ConnectionState.NEW])
+        await wait_until(lambda: self.gateway.http_server.limits.connections[ConnectionState.NEW])
         with mock.patch("drumgw.gateway.process.SHUTDOWN_LINGER_MS", 0.0):
             async with asyncio.timeout(BOUND_S):
                 await self.gateway.close()
@@ -175,9 +175,9 @@
                 line = self.client()
                 with self.held(lambda card: True) as go:
                     line.write(http_request(Request_Timeout="60000m"))
-                    await until(lambda: endpoint.connections)  # noqa: B023
+                    await wait_until(lambda: endpoint.connections)  # noqa: B023
                     line.close(reset)
-                    await until(self.empty)
+                    await wait_until(self.empty)
                     go.set()
                     self.assertEqual((await self.ask())[0], 200)
                 self.assertEqual(len(endpoint.requests), 1, (cancel, reset))  # the other client's
@@ -196,11 +196,11 @@
         lines = [self.client() for _ in range(100)]
         for n, line in enumerate(lines):
             line.write(http_request(Request_Timeout="900000m", Request_Id=f"{n:x}") + b"GET /" * (n % 3 == 0))
-        await until(lambda: len(self.gateway.dispatcher.lifecycle.in_flight) == 100)
+        await wait_until(lambda: len(self.gateway.dispatcher.lifecycle.in_flight) == 100)
         for n, line in enumerate(lines):
             line.close(reset=n % 2 == 0)
-        await until(lambda: not self.gateway.dispatcher.lifecycle.in_flight)
-        await until(self.empty)
+        await wait_until(lambda: not self.gateway.dispatcher.lifecycle.in_flight)
+        await wait_until(self.empty)
         counter_connection = await counter.accept()
         await counter_connection.read(b"\r\n\r\n")
         for _ in range(100):
@@ -225,8 +225,8 @@
 
             with mock.patch.object(self.gateway.endpoint_clients.pool, "before_write", before):
                 line.write(http_request(Request_Timeout="60000m"))
-                await until(lambda: attempts)  # noqa: B023
-                await until(lambda: self.empty() and not self.gateway.http_server.limits.count())
+                await wait_until(lambda: attempts)  # noqa: B023
+                await wait_until(lambda: self.empty() and not self.gateway.http_server.limits.count())
             came = sum(len(endpoint.requests) for endpoint in endpoints)
             self.assertEqual(came, 0 if first else 1, (first, reset))
             await self.close_gateway()
@@ -238,11 +238,11 @@
         await self.open_gateway(endpoint.address)
         line = self.client()
         line.write(b"".join(http_request(Request_Id=f"{n:x}", Request_Timeout="60000m") for n in range(1000)))
-        await until(lambda: endpoint.requests)
+        await wait_until(lambda: endpoint.requests)
         (client,) = self.gateway.http_server.server.connections
         assert isinstance(client, ClientConnection)
-        await until(lambda: client._buffer_paused)
+        await wait_until(lambda: client._buffer_paused)
         line.sock.shutdown(socket.SHUT_WR)  # an end of both would be told by the first answer's reset
         answer.set_result(http_response(b"ok"))
-        await until(lambda: self.empty() and not self.gateway.http_server.limits.count())
+        await wait_until(lambda: self.empty() and not self.gateway.http_server.limits.count())
         self.assertEqual(len(endpoint.requests), 1)
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -8,7 +8,7 @@
     GatewaySubprocess,
     ScriptedConnection,
     WatchingCase,
-    until,
+    wait_until,
 )
 from tests.gateway_case import (
     endpoint_row,
@@ -25,13 +25,13 @@
         _, gateway, asked = await self.begin_watching(grace_ms=1000.0)
         for outage_ms in (50.0, 150.0, 300.0, 700.0, 1500.0):
             self.is_silent = True
-            await until(self.past(outage_ms))
+            await wait_until(self.past(outage_ms))
             self.generation += 1
             self.lifecycle = "up" if self.lifecycle == "draining" else "draining"
             self.is_silent = False
             before = len(asked)
             wanted = {"draining": "draining", "up": "ready"}[self.lifecycle]
-            await until(lambda: gateway.discovery.membership.rows["s-0"].info.status.value == wanted)  # noqa: B023
+            await wait_until(lambda: gateway.discovery.membership.rows["s-0"].info.status.value == wanted)  # noqa: B023
             # A poll from the new generation on was sent after the news had been read: the watch going on
             without_news = [poll for poll in asked[before:] if f"since={self.generation}&" not in poll]
             self.assertEqual(len(without_news), 1, outage_ms)  # the first poll after the return brings it
@@ -44,7 +44,7 @@
         for grace_ms, pace_ms in ((0.0, 12.5), (100.0, 37.5), (250.0, 75.0), (2000.0, 150.0)):
             _, gateway, asked = await self.begin_watching(grace_ms)
             self.assertEqual(gateway.discovery.poll_interval_ms, pace_ms)
-            await until(lambda: len(asked) > 2)  # noqa: B023
+            await wait_until(lambda: len(asked) > 2)  # noqa: B023
             self.assertIn(f"timeout_ms={pace_ms:.0f}", asked[1])
             now = gateway.clock.now()
             self.assertLessEqual(
--- a/tests/test_process_crossings.py
+++ b/tests/test_process_crossings.py
@@ -12,7 +12,7 @@
     ONE_ATTEMPT,
     CrossingCase,
     GatewaySubprocess,
-    until,
+    wait_until,
 )
 from tests.gateway_case import (
     endpoint_row,
@@ -60,7 +60,7 @@
         self.listen_address = await process.serves()
         line = self.client()
         line.write(http_request(Request_Timeout="60000m"))
-        await until(lambda: endpoint.requests)
+        await wait_until(lambda: endpoint.requests)
         process.run.terminate()
         await process.says(b"told to stop")
         process.run.terminate()
@@ -165,7 +165,7 @@
             if kind == "z" or kind == "k" and told_settings["classes"][1]["keyTtlMs"] == 0.0:
                 self.assertFalse(status == 503 and True in attempts, name)
         self.assertIn(200, statuses)
-        await until(
+        await wait_until(
             lambda: not (
                 gateway.dispatcher.lifecycle.in_flight
                 or gateway.endpoint_clients.in_flight
