--- a/tests/crossing_case.py
+++ b/tests/crossing_case.py
@@ -53,7 +53,7 @@
                 came += data
         return came
 
-    async def rest(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """All that still comes until the other side ends or resets."""
         came = b""
         try:
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -73,7 +73,7 @@
             line = await peer.accept()
             status, _, _ = await asked
         self.assertEqual(status, 500)
-        self.assertLess((await line.rest()).count(b"x"), len(LARGE))
+        self.assertLess((await line.read_to_end()).count(b"x"), len(LARGE))
 
     async def test_it_is_rejected_only_where_a_retry_is_within_the_window(self) -> None:
         """A rejection says that coming again is harmless: to endpoints that forgot the first it is not."""
@@ -183,7 +183,7 @@
         other = await peer.accept()
         await other.read(b"Request-Id: 9b20")
         line.write(http_response(b"one"))  # it comes late, and to nobody
-        self.assertEqual(await line.rest(), b"")  # its connection ends
+        self.assertEqual(await line.read_to_end(), b"")  # its connection ends
         other.write(http_response(b"two"))
         self.assertIn(b"two", await second.read(b"two"))
 
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -44,7 +44,7 @@
         self.gateway.http_server.withdraw_readiness()
         self.assertEqual(self.gateway.http_server.close_idle(), 1)
         self.assertIn(b"Connection: close", await line.read(b"ok"))
-        self.assertEqual((await line.rest(), len(endpoint.requests)), (b"", 2))
+        self.assertEqual((await line.read_to_end(), len(endpoint.requests)), (b"", 2))
 
     async def test_a_request_that_comes_after_the_shutdown_is_not_read(self) -> None:
         """It is its client's to send again: it sees an end, no answer and no reset."""
@@ -52,7 +52,7 @@
         with mock.patch("drumgw.gateway.connection_limits.CLOSING_TIMEOUT_MS", 1e9):
             self.assertEqual(self.gateway.http_server.close_idle(), 0)
             line.write(http_request(Request_Id="9b20"))
-            self.assertEqual(await line.rest(), b"")
+            self.assertEqual(await line.read_to_end(), b"")
             await asyncio.sleep(0.02)
             (client,) = self.gateway.http_server.limits.connections[ConnectionState.CLOSING]
             self.assertTrue(client.has_unread())  # it lies where it came
@@ -83,7 +83,7 @@
             line.write(http_request())
             whole = await line.read(b"\r\n\r\n")
             await asyncio.sleep(0.02)
-            whole += await line.rest()
+            whole += await line.read_to_end()
         whole = whole.partition(b"\r\n\r\n")[2]
         self.assertEqual((whole.count(b"x"), b"(reset)" in whole), (len(LARGE), False))
 
@@ -94,7 +94,7 @@
         line = self.client()
         self.gateway.http_server.withdraw_readiness()
         line.write(http_request() + http_request(Request_Id="9b20"))
-        came = await line.rest()
+        came = await line.read_to_end()
         counted = came.count(b"200 OK"), came.count(b"Connection: close"), len(endpoint.requests)
         self.assertEqual(counted, (2, 1, 2))
 
@@ -121,7 +121,7 @@
                     mock.patch("asyncio.sleep", self.no_turn_first()),
                 ):
                     await self.gateway.close()
-                came = await line.rest()
+                came = await line.read_to_end()
                 self.assertEqual((b"200 OK" in came, len(endpoint.requests)), (rest, int(rest)), (cut, rest))
 
     def no_turn_first(self) -> Any:
@@ -143,7 +143,8 @@
             async with asyncio.timeout(BOUND_S):
                 await self.gateway.close()
         self.assertEqual(
-            (self.gateway.http_server.limits.count(), await line.rest(), await silent.rest()), (0, b"", b"")
+            (self.gateway.http_server.limits.count(), await line.read_to_end(), await silent.read_to_end()),
+            (0, b"", b""),
         )
 
 
