--- a/tests/crossing_case.py
+++ b/tests/crossing_case.py
@@ -80,7 +80,7 @@
     """An endpoint, counter or agent that accepts, reads and writes only when its test does."""
 
     def __init__(self, receive_buffer_bytes: int = 0) -> None:
-        self.sock, self.lines = socket.socket(), list[ScriptedConnection]()
+        self.sock, self.connections = socket.socket(), list[ScriptedConnection]()
         if receive_buffer_bytes:  # of what is sent to it the system keeps so little
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
         self.sock.bind(("127.0.0.1", 0))
@@ -90,13 +90,13 @@
 
     async def accept(self) -> ScriptedConnection:
         async with asyncio.timeout(BOUND_S):
-            self.lines.append(
+            self.connections.append(
                 ScriptedConnection((await asyncio.get_running_loop().sock_accept(self.sock))[0])
             )
-        return self.lines[-1]
+        return self.connections[-1]
 
     def close(self) -> None:
-        for line in self.lines:
+        for line in self.connections:
             line.sock.close()
         self.sock.close()
 
