--- a/tests/crossing_case.py
+++ b/tests/crossing_case.py
@@ -124,7 +124,7 @@
         self.addCleanup(peer.close)
         return peer
 
-    def client(self) -> ScriptedConnection:
+    def open_client(self) -> ScriptedConnection:
         line = ScriptedConnection(socket.create_connection(self.listen_address))
         self.addCleanup(line.sock.close)
         return line
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -173,7 +173,7 @@
         """
         peer = self.peer()
         await self.open_gateway(peer.address)
-        first, second = self.client(), self.client()
+        first, second = self.open_client(), self.open_client()
         first.write(http_request())
         line = await peer.accept()
         await line.read(b"\r\n\r\n")
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -32,7 +32,7 @@
         """A client between requests, and the endpoint that served it."""
         endpoint = await self.start_server(http_response(b"ok"))
         await self.open_gateway(endpoint.address)
-        line = self.client()
+        line = self.open_client()
         line.write(http_request())
         await line.read(b"ok")
         await wait_until(lambda: self.gateway.http_server.limits.connections[ConnectionState.IDLE])
@@ -91,7 +91,7 @@
         """None is read and then dropped."""
         endpoint = await self.start_server(http_response(b"ok"))
         await self.open_gateway(endpoint.address)
-        line = self.client()
+        line = self.open_client()
         self.gateway.http_server.withdraw_readiness()
         line.write(http_request() + http_request(Request_Id="9b20"))
         came = await line.read_to_end()
@@ -105,7 +105,7 @@
             for rest in (False, True):
                 endpoint = await self.start_server(http_response(b"ok"))
                 await self.open_gateway(endpoint.address)
-                line = self.client()
+                line = self.open_client()
                 line.write(whole[:cut])
                 await wait_until(
                     lambda: any(
@@ -137,7 +137,7 @@
 
     async def test_clients_that_never_end_their_side_do_not_hold_up_the_end(self) -> None:
         _, line = await self.rested()
-        silent = self.client()
+        silent = self.open_client()
         await wait_until(lambda: self.gateway.http_server.limits.connections[ConnectionState.NEW])
         with mock.patch("drumgw.gateway.process.SHUTDOWN_LINGER_MS", 0.0):
             async with asyncio.timeout(BOUND_S):
@@ -173,7 +173,7 @@
                     endpoint.address,
                     settings=raw_settings(ceilings={**raw_settings()["ceilings"], "cancel": cancel}),
                 )
-                line = self.client()
+                line = self.open_client()
                 with self.held(lambda card: True) as go:
                     line.write(http_request(Request_Timeout="60000m"))
                     await wait_until(lambda: endpoint.connections)  # noqa: B023
@@ -194,7 +194,7 @@
             counter=counter.address,
             settings=raw_settings(familyInfo=family, classes=[slow]),
         )
-        lines = [self.client() for _ in range(100)]
+        lines = [self.open_client() for _ in range(100)]
         for n, line in enumerate(lines):
             line.write(http_request(Request_Timeout="900000m", Request_Id=f"{n:x}") + b"GET /" * (n % 3 == 0))
         await wait_until(lambda: len(self.gateway.dispatcher.lifecycle.in_flight) == 100)
@@ -217,7 +217,7 @@
                 for _ in range(2)
             ]
             await self.open_gateway(*(endpoint.address for endpoint in endpoints))
-            line, attempts = self.client(), list[int]()
+            line, attempts = self.open_client(), list[int]()
 
             def before() -> None:
                 attempts.append(1)  # noqa: B023
@@ -237,7 +237,7 @@
         answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         endpoint = await self.start_server(lambda head, body: answer)
         await self.open_gateway(endpoint.address)
-        line = self.client()
+        line = self.open_client()
         line.write(b"".join(http_request(Request_Id=f"{n:x}", Request_Timeout="60000m") for n in range(1000)))
         await wait_until(lambda: endpoint.requests)
         (client,) = self.gateway.http_server.server.connections
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -69,7 +69,7 @@
         idle = list[ScriptedConnection]()
         for _ in range(3):
             self.is_silent = True
-            idle += [self.client() for _ in range(120)]  # twice what it may hold; it closes the first
+            idle += [self.open_client() for _ in range(120)]  # twice what it may hold; it closes the first
             self.generation, self.lifecycle = self.generation + 1, "draining"
             self.is_silent, before = False, len(asked)
             await process.says(f" list {self.generation}, ".encode())
--- a/tests/test_process_crossings.py
+++ b/tests/test_process_crossings.py
@@ -58,7 +58,7 @@
             )
         )
         self.listen_address = await process.serves()
-        line = self.client()
+        line = self.open_client()
         line.write(http_request(Request_Timeout="60000m"))
         await wait_until(lambda: endpoint.requests)
         process.run.terminate()
