--- a/tests/crossing_case.py
+++ b/tests/crossing_case.py
@@ -129,7 +129,7 @@
         self.addCleanup(line.sock.close)
         return line
 
-    async def begin_keyed(
+    async def open_keyed_gateway(
         self, *addresses: str, window_ms: float = 150.0, group: str = "all", **more: Any
     ) -> GatewayProcess:
         keyed = {
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -28,7 +28,7 @@
     async def failing_first(self, other: str, **more: Any) -> ScriptedServer:
         """An endpoint that fails what it gets; the other gets the repeat, whoever is asked first."""
         bad = await self.start_server(http_response(status=500))
-        await self.begin_keyed(bad.address, other, **more)
+        await self.open_keyed_gateway(bad.address, other, **more)
         number = next(n for n, w in self.gateway.endpoint_clients.clients.items() if w.address == bad.address)
         policy = self.gateway.dispatcher.lifecycle.policy
         policy.back_end.endpoints.preferred.sort(key=lambda w: w.endpoint_id != number)  # type: ignore[attr-defined]
@@ -79,14 +79,14 @@
         """A rejection says that coming again is harmless: to endpoints that forgot the first it is not."""
         for window_ms, most_s in ((60000.0, 0.5), (300.0, 0.15)):  # to come back after: half of what is left
             bad = await self.start_server(http_response(status=500))
-            await self.begin_keyed(bad.address, window_ms=window_ms)
+            await self.open_keyed_gateway(bad.address, window_ms=window_ms)
             status, _, head = await self.ask(KEYED, "POST", b"{}")
             self.assertEqual(status, 503)
             self.assertLessEqual(float(head.partition(b"Retry-After: ")[2].split()[0]), most_s)
             await self.close_gateway()
         answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         slow = await self.start_server(lambda head, body: answer)
-        await self.begin_keyed(slow.address, window_ms=50.0)
+        await self.open_keyed_gateway(slow.address, window_ms=50.0)
         asked = asyncio.create_task(self.ask(KEYED, "POST", b"{}"))
         await wait_until(lambda: slow.requests)
         await wait_until(self.past(50.0))
