--- a/tests/crossing_case.py
+++ b/tests/crossing_case.py
@@ -147,7 +147,7 @@
         )
 
     @contextmanager
-    def held(self, when: Callable[[Any], bool]) -> Iterator[asyncio.Event]:
+    def hold_connections(self, when: Callable[[Any], bool]) -> Iterator[asyncio.Event]:
         """Holds connections to endpoints that come up, where told, until the event is set."""
         connector, go = self.gateway.endpoint_clients.pool.connector, asyncio.Event()
         connect = connector.connect
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -46,7 +46,7 @@
     async def test_a_connection_that_comes_up_after_the_window_carries_no_repeat(self) -> None:
         other = await self.start_server(http_response(b"ok"))
         bad = await self.failing_first(other.address)
-        with self.held(lambda card: str(card.url.port) in other.address) as go:
+        with self.hold_connections(lambda card: str(card.url.port) in other.address) as go:
             asked = asyncio.create_task(self.ask(KEYED, "POST", b"{}"))
             await wait_until(lambda: other.connections)
             await wait_until(self.past(150.0))
@@ -58,7 +58,7 @@
         """The other side of the same: a late connection alone stops nothing."""
         other = await self.start_server(http_response(b"ok"))
         bad = await self.failing_first(other.address, window_ms=60000.0)
-        with self.held(lambda card: str(card.url.port) in other.address) as go:
+        with self.hold_connections(lambda card: str(card.url.port) in other.address) as go:
             asked = asyncio.create_task(self.ask(KEYED, "POST", b"{}"))
             await wait_until(lambda: other.connections)
             go.set()
@@ -132,7 +132,7 @@
         def reset() -> None:
             lines.pop().close(reset=True)
 
-        with self.held(lambda card: True) as go:
+        with self.hold_connections(lambda card: True) as go:
             asked = asyncio.create_task(self.ask(POST_TARGET, "POST", b"{}"))
             lines.append(await peer.accept())
             with mock.patch.object(self.gateway.endpoint_clients.pool, "before_write", reset):
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -174,7 +174,7 @@
                     settings=raw_settings(ceilings={**raw_settings()["ceilings"], "cancel": cancel}),
                 )
                 line = self.open_client()
-                with self.held(lambda card: True) as go:
+                with self.hold_connections(lambda card: True) as go:
                     line.write(http_request(Request_Timeout="60000m"))
                     await wait_until(lambda: endpoint.connections)  # noqa: B023
                     line.close(reset)
