--- a/tests/crossing_case.py
+++ b/tests/crossing_case.py
@@ -166,7 +166,7 @@
             yield go
 
     @contextmanager
-    def narrow(self) -> Iterator[None]:
+    def shrink_send_buffers(self) -> Iterator[None]:
         """Of what is sent to endpoints our system keeps little, so a large request stays in the gateway."""
         connector = self.gateway.endpoint_clients.pool.connector
         connect = connector.connect
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -68,7 +68,7 @@
     async def test_an_endpoint_that_reads_slowly_gets_no_last_byte_after_the_window(self) -> None:
         peer = self.peer(receive_buffer_bytes=4096)
         await self.failing_first(peer.address)
-        with self.narrow():
+        with self.shrink_send_buffers():
             asked = asyncio.create_task(self.ask(KEYED, "POST", LARGE))
             line = await peer.accept()
             status, _, _ = await asked
@@ -101,7 +101,7 @@
         """Guards requests that are not idempotent: they may go to another endpoint then, and were failed."""
         peer = self.peer(receive_buffer_bytes=4096)
         await self.open_gateway(peer.address, settings=raw_settings(ceilings=ONE_ATTEMPT))
-        with self.narrow():
+        with self.shrink_send_buffers():
             asked = asyncio.create_task(self.ask(POST_TARGET, "POST", LARGE))
             line = await peer.accept()
             await wait_until(
