--- a/tests/crossing_case.py
+++ b/tests/crossing_case.py
@@ -181,7 +181,7 @@
         with mock.patch.object(connector, "connect", up):
             yield
 
-    def past(self, window_ms: float) -> Callable[[], bool]:
+    def has_elapsed(self, window_ms: float) -> Callable[[], bool]:
         end = self.gateway.clock.now() + window_ms
         return lambda: self.gateway.clock.now() > end
 
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -49,7 +49,7 @@
         with self.hold_connections(lambda card: str(card.url.port) in other.address) as go:
             asked = asyncio.create_task(self.ask(KEYED, "POST", b"{}"))
             await wait_until(lambda: other.connections)
-            await wait_until(self.past(150.0))
+            await wait_until(self.has_elapsed(150.0))
             go.set()
             status, _, _ = await asked
         self.assertEqual((status, len(bad.requests), other.requests), (500, 1, []))
@@ -89,7 +89,7 @@
         await self.open_keyed_gateway(slow.address, window_ms=50.0)
         asked = asyncio.create_task(self.ask(KEYED, "POST", b"{}"))
         await wait_until(lambda: slow.requests)
-        await wait_until(self.past(50.0))
+        await wait_until(self.has_elapsed(50.0))
         answer.set_result(http_response(status=500))
         self.assertEqual((await asked)[0], 500)  # they have forgotten it
 
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -25,7 +25,7 @@
         _, gateway, asked = await self.begin_watching(grace_ms=1000.0)
         for outage_ms in (50.0, 150.0, 300.0, 700.0, 1500.0):
             self.is_silent = True
-            await wait_until(self.past(outage_ms))
+            await wait_until(self.has_elapsed(outage_ms))
             self.generation += 1
             self.lifecycle = "up" if self.lifecycle == "draining" else "draining"
             self.is_silent = False
