--- a/tests/crossing_case.py
+++ b/tests/crossing_case.py
@@ -189,7 +189,7 @@
 class WatchingCase(CrossingCase):
     """A scripted agent, which falls silent and comes back when its test says so."""
 
-    async def begin_watching(self, grace_ms: float) -> tuple[ManualPeer, GatewayProcess, list[str]]:
+    async def open_watching_gateway(self, grace_ms: float) -> tuple[ManualPeer, GatewayProcess, list[str]]:
         agent, self.is_silent, asked = self.peer(), False, list[str]()
         contract = {**raw_settings()["contract"], "stopSendingWithinMs": grace_ms}
         self.generation, self.lifecycle = 1, "up"
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -22,7 +22,7 @@
 
     async def test_outages_of_any_length_are_over_within_the_grace(self) -> None:
         """Guards drains. Between the loss and the return no call is answered, nor any that was out."""
-        _, gateway, asked = await self.begin_watching(grace_ms=1000.0)
+        _, gateway, asked = await self.open_watching_gateway(grace_ms=1000.0)
         for outage_ms in (50.0, 150.0, 300.0, 700.0, 1500.0):
             self.is_silent = True
             await wait_until(self.has_elapsed(outage_ms))
@@ -42,7 +42,7 @@
     async def test_the_pace_follows_the_grace_of_the_settings(self) -> None:
         """Two paces from a return to the next call at most, for an outage shorter than one."""
         for grace_ms, pace_ms in ((0.0, 12.5), (100.0, 37.5), (250.0, 75.0), (2000.0, 150.0)):
-            _, gateway, asked = await self.begin_watching(grace_ms)
+            _, gateway, asked = await self.open_watching_gateway(grace_ms)
             self.assertEqual(gateway.discovery.poll_interval_ms, pace_ms)
             await wait_until(lambda: len(asked) > 2)  # noqa: B023
             self.assertIn(f"timeout_ms={pace_ms:.0f}", asked[1])
