--- a/tests/crossing_case.py
+++ b/tests/crossing_case.py
@@ -267,7 +267,7 @@
             file.name,
         )
 
-    async def says(self, words: bytes) -> bytes:
+    async def wait_for_log_line(self, words: bytes) -> bytes:
         """The first line from here on that holds the words."""
         async with asyncio.timeout(BOUND_S):
             while words not in (line := await self.log.readline()):
@@ -276,7 +276,7 @@
         return line
 
     async def serves(self) -> tuple[str, int]:
-        line = await self.says(b" serves at ")
+        line = await self.wait_for_log_line(b" serves at ")
         os.unlink(self.path)
         host, _, port = line.split(b" serves at ")[1].split(b": ")[0].decode().rpartition(":")
         return host, int(port)
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -72,10 +72,10 @@
             idle += [self.open_client() for _ in range(120)]  # twice what it may hold; it closes the first
             self.generation, self.lifecycle = self.generation + 1, "draining"
             self.is_silent, before = False, len(asked)
-            await process.says(f" list {self.generation}, ".encode())
+            await process.wait_for_log_line(f" list {self.generation}, ".encode())
             self.assertLessEqual(len(asked) - before, 4)  # the grace is as long as four paces
             self.assertEqual((await self.ask(Request_Timeout="60000m"))[:2], (200, b"ok"))
             self.lifecycle, self.generation = "up", self.generation + 1
-            await process.says(f" list {self.generation}, ".encode())
+            await process.wait_for_log_line(f" list {self.generation}, ".encode())
         process.run.terminate()
         self.assertEqual(await process.run.wait(), 0)
--- a/tests/test_process_crossings.py
+++ b/tests/test_process_crossings.py
@@ -62,7 +62,7 @@
         line.write(http_request(Request_Timeout="60000m"))
         await wait_until(lambda: endpoint.requests)
         process.run.terminate()
-        await process.says(b"told to stop")
+        await process.wait_for_log_line(b"told to stop")
         process.run.terminate()
         held.set_result(http_response(b"ok"))
         self.assertIn(b"Connection: close", await line.read(b"ok"))
