--- a/tests/crossing_case.py
+++ b/tests/crossing_case.py
@@ -275,7 +275,7 @@
                     raise EOFError("it ended early")
         return line
 
-    async def serves(self) -> tuple[str, int]:
+    async def wait_until_serving(self) -> tuple[str, int]:
         line = await self.wait_for_log_line(b" serves at ")
         os.unlink(self.path)
         host, _, port = line.split(b" serves at ")[1].split(b": ")[0].decode().rpartition(":")
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -65,7 +65,7 @@
         self.addCleanup(lambda: [task.cancel() for task in self.tasks])
         config = raw_config(agent.address, self.rows, limits={"sockets": 64})
         process = await GatewaySubprocess.start(config, descriptors=64)
-        self.listen_address = await process.serves()
+        self.listen_address = await process.wait_until_serving()
         idle = list[ScriptedConnection]()
         for _ in range(3):
             self.is_silent = True
--- a/tests/test_process_crossings.py
+++ b/tests/test_process_crossings.py
@@ -57,7 +57,7 @@
                 discovery.address, [row], counter=counter.address, settings=raw_settings(familyInfo=family)
             )
         )
-        self.listen_address = await process.serves()
+        self.listen_address = await process.wait_until_serving()
         line = self.open_client()
         line.write(http_request(Request_Timeout="60000m"))
         await wait_until(lambda: endpoint.requests)
