--- a/tests/agent_case.py
+++ b/tests/agent_case.py
@@ -81,5 +81,5 @@
 
     async def ask_for_all_customers(self) -> list[tuple[int, bytes]]:
         """Requests of 16 customers, ranked by hash: half of them go to each of two endpoints."""
-        answers = [await self.ask(f"/a?account={n:016x}", Request_Id=f"{n:x}") for n in range(16)]
+        answers = [await self.send_request(f"/a?account={n:016x}", Request_Id=f"{n:x}") for n in range(16)]
         return [answer[:2] for answer in answers]
--- a/tests/gateway_case.py
+++ b/tests/gateway_case.py
@@ -137,7 +137,7 @@
         self.addCleanup(writer.close)
         return reader, writer
 
-    async def ask(
+    async def send_request(
         self,
         target: str = GET_TARGET,
         method: str = "GET",
--- a/tests/hosting_harness.py
+++ b/tests/hosting_harness.py
@@ -142,7 +142,7 @@
     async def send(self, tenant: str, target: str = TARGET, **headers: str | None) -> tuple[int, bytes]:
         """Sends a request to a tenant by its host name; returns status and body."""
         defaults = {"Host": f"{tenant}.example", "Request_Timeout": "2500m", "Plan": "p"}
-        status, body, _ = await self.ask(target, "GET", b"", None, **{**defaults, **headers})
+        status, body, _ = await self.send_request(target, "GET", b"", None, **{**defaults, **headers})
         return status, body
 
     async def call(
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -47,7 +47,7 @@
         other = await self.start_server(http_response(b"ok"))
         bad = await self.failing_first(other.address)
         with self.hold_connections(lambda card: str(card.url.port) in other.address) as go:
-            asked = asyncio.create_task(self.ask(KEYED, "POST", b"{}"))
+            asked = asyncio.create_task(self.send_request(KEYED, "POST", b"{}"))
             await wait_until(lambda: other.connections)
             await wait_until(self.has_elapsed(150.0))
             go.set()
@@ -59,7 +59,7 @@
         other = await self.start_server(http_response(b"ok"))
         bad = await self.failing_first(other.address, window_ms=60000.0)
         with self.hold_connections(lambda card: str(card.url.port) in other.address) as go:
-            asked = asyncio.create_task(self.ask(KEYED, "POST", b"{}"))
+            asked = asyncio.create_task(self.send_request(KEYED, "POST", b"{}"))
             await wait_until(lambda: other.connections)
             go.set()
             self.assertEqual((await asked)[:2], (200, b"ok"))
@@ -69,7 +69,7 @@
         peer = self.peer(receive_buffer_bytes=4096)
         await self.failing_first(peer.address)
         with self.shrink_send_buffers():
-            asked = asyncio.create_task(self.ask(KEYED, "POST", LARGE))
+            asked = asyncio.create_task(self.send_request(KEYED, "POST", LARGE))
             line = await peer.accept()
             status, _, _ = await asked
         self.assertEqual(status, 500)
@@ -80,14 +80,14 @@
         for window_ms, most_s in ((60000.0, 0.5), (300.0, 0.15)):  # to come back after: half of what is left
             bad = await self.start_server(http_response(status=500))
             await self.open_keyed_gateway(bad.address, window_ms=window_ms)
-            status, _, head = await self.ask(KEYED, "POST", b"{}")
+            status, _, head = await self.send_request(KEYED, "POST", b"{}")
             self.assertEqual(status, 503)
             self.assertLessEqual(float(head.partition(b"Retry-After: ")[2].split()[0]), most_s)
             await self.close_gateway()
         answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         slow = await self.start_server(lambda head, body: answer)
         await self.open_keyed_gateway(slow.address, window_ms=50.0)
-        asked = asyncio.create_task(self.ask(KEYED, "POST", b"{}"))
+        asked = asyncio.create_task(self.send_request(KEYED, "POST", b"{}"))
         await wait_until(lambda: slow.requests)
         await wait_until(self.has_elapsed(50.0))
         answer.set_result(http_response(status=500))
@@ -102,7 +102,7 @@
         peer = self.peer(receive_buffer_bytes=4096)
         await self.open_gateway(peer.address, settings=raw_settings(ceilings=ONE_ATTEMPT))
         with self.shrink_send_buffers():
-            asked = asyncio.create_task(self.ask(POST_TARGET, "POST", LARGE))
+            asked = asyncio.create_task(self.send_request(POST_TARGET, "POST", LARGE))
             line = await peer.accept()
             await wait_until(
                 lambda: any(
@@ -117,7 +117,7 @@
     async def test_a_reset_behind_the_last_byte_says_that_it_may_have_run(self) -> None:
         peer = self.peer()
         await self.open_gateway(peer.address)
-        asked = asyncio.create_task(self.ask(POST_TARGET, "POST", b"{}"))
+        asked = asyncio.create_task(self.send_request(POST_TARGET, "POST", b"{}"))
         line = await peer.accept()
         await line.read(b"{}")
         line.close(reset=True)
@@ -133,7 +133,7 @@
             lines.pop().close(reset=True)
 
         with self.hold_connections(lambda card: True) as go:
-            asked = asyncio.create_task(self.ask(POST_TARGET, "POST", b"{}"))
+            asked = asyncio.create_task(self.send_request(POST_TARGET, "POST", b"{}"))
             lines.append(await peer.accept())
             with mock.patch.object(self.gateway.endpoint_clients.pool, "before_write", reset):
                 go.set()
@@ -145,7 +145,7 @@
         for how, status in (("end", 200), ("reset", 500), ("stall", 500), ("ours", 500)):
             peer = self.peer()
             await self.open_gateway(peer.address)
-            asked = asyncio.create_task(self.ask(POST_TARGET, "POST", b"{}"))
+            asked = asyncio.create_task(self.send_request(POST_TARGET, "POST", b"{}"))
             line = await peer.accept()
             await line.read(b"{}")
             line.write(half)
@@ -191,6 +191,6 @@
         endpoint = await self.start_server(http_response(b"ok"))
         await self.open_gateway(endpoint.address)
         for n in range(3):
-            self.assertEqual((await self.ask(Request_Id=f"{n}"))[0], 200)
+            self.assertEqual((await self.send_request(Request_Id=f"{n}"))[0], 200)
             await wait_until(lambda: any(self.gateway.endpoint_clients.pool.connector._conns.values()))
         self.assertEqual((len(endpoint.requests), len(endpoint.connections)), (3, 1))
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -180,7 +180,7 @@
                     line.close(reset)
                     await wait_until(self.empty)
                     go.set()
-                    self.assertEqual((await self.ask())[0], 200)
+                    self.assertEqual((await self.send_request())[0], 200)
                 self.assertEqual(len(endpoint.requests), 1, (cancel, reset))  # the other client's
                 await self.close_gateway()
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -48,7 +48,7 @@
             await asyncio.open_connection(*gateway.http_server.socket.sockets[0].getsockname())
         may_answer.set()
         await self.gateway_opened()
-        self.assertEqual((await self.ask("/health/ready"))[0], 200)
+        self.assertEqual((await self.send_request("/health/ready"))[0], 200)
         self.assertEqual(await self.ask_for_all_customers(), [(200, b"other")] * 16)
         self.assertEqual((one.requests, self.statuses()), ([], {"s-0": "draining", "s-1": "ready"}))
 
@@ -96,9 +96,9 @@
                 known, counter=counter.address, settings=raw_settings(familyInfo=family)
             )
             await self.gateway_opened()
-        self.assertEqual((await self.ask("/health/ready"))[0], 200)
+        self.assertEqual((await self.send_request("/health/ready"))[0], 200)
         for target, method in (("/a?account=00000000b4d65521", "GET"), (POST_TARGET, "POST")):
-            status, _, head = await self.ask(target, method, Request_Timeout="60000m")
+            status, _, head = await self.send_request(target, method, Request_Timeout="60000m")
             self.assertEqual(status, 503)
             self.assertRegex(head, rb"Retry-After: 0\.[1-9]")
         self.assertEqual((one.connections, other.connections, counter.connections), ([], [], []))
@@ -192,7 +192,7 @@
             mock.patch(f"{DISCOVERY}.MAX_UNREAD_MS", 0.0),
             mock.patch.object(self.gateway.http_server, "read", read_after_drain),
         ):
-            answer = await self.ask(f"/a?account={customers_of_one[0]:016x}")
+            answer = await self.send_request(f"/a?account={customers_of_one[0]:016x}")
         self.assertEqual(answer[:2], (200, b"other"))
         self.assertEqual((one.requests, self.statuses()), ([], {"s-0": "draining", "s-1": "ready"}))
 
@@ -252,7 +252,7 @@
         self.assertEqual(len(self.gateway.endpoint_clients.clients), 1024)
         await self.update_agent(8, *({**row, "lifecycle": "draining"} for row in many))
         await self.until_called("since=8&")
-        self.assertEqual((await self.ask(Quota_Info=EVERY_GATEWAY))[:2], (200, b"other"))
+        self.assertEqual((await self.send_request(Quota_Info=EVERY_GATEWAY))[:2], (200, b"other"))
         self.assertEqual(
             sum(client.accepts_attempts for client in self.gateway.endpoint_clients.clients.values()), 1
         )
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -74,7 +74,7 @@
             self.is_silent, before = False, len(asked)
             await process.wait_for_log_line(f" list {self.generation}, ".encode())
             self.assertLessEqual(len(asked) - before, 4)  # the grace is as long as four paces
-            self.assertEqual((await self.ask(Request_Timeout="60000m"))[:2], (200, b"ok"))
+            self.assertEqual((await self.send_request(Request_Timeout="60000m"))[:2], (200, b"ok"))
             self.lifecycle, self.generation = "up", self.generation + 1
             await process.wait_for_log_line(f" list {self.generation}, ".encode())
         process.run.terminate()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -26,7 +26,7 @@
         body, back = b"\x1f\x8bnot really gzip\x00", b"\x00\xffneither"
         endpoint = await self.start_server(http_response(back, Content_Encoding="gzip", Billed_Units="2"))
         await self.open_gateway(endpoint.address)
-        status, answer, _ = await self.ask(
+        status, answer, _ = await self.send_request(
             GET_TARGET.replace("/a", "/b"), "POST", body, Content_Encoding="gzip"
         )
         head, came = endpoint.requests[0]
@@ -39,7 +39,7 @@
         """Guards keyed requests of another customer: their key was dropped, so no repeat was known."""
         endpoint = await self.start_server(http_response(b"ok"))
         await self.open_gateway(endpoint.address)
-        status, _, _ = await self.ask(
+        status, _, _ = await self.send_request(
             POST_TARGET,
             "POST",
             b"{}",
@@ -78,7 +78,7 @@
         await self.open_gateway(endpoint.address)
         line = await self.connect()
         for _ in range(3):
-            self.assertEqual((await self.ask(line=line))[:2], (200, b"ok"))
+            self.assertEqual((await self.send_request(line=line))[:2], (200, b"ok"))
         self.assertEqual((len(endpoint.requests), endpoint.disconnected.is_set()), (3, False))
 
     async def test_a_request_on_a_dead_connection_is_not_sent_again_by_itself(self) -> None:
@@ -88,8 +88,8 @@
         once = {**raw_settings()["ceilings"], "maxAttempts": 1}
         await self.open_gateway(endpoint.address, settings=raw_settings(ceilings=once))
         with mock.patch("drumgw.gateway.connection_pool.REUSE_DELAY_MS", 0.0):
-            self.assertEqual((await self.ask())[0], 200)
-        self.assertEqual((await self.ask())[0], 503)
+            self.assertEqual((await self.send_request())[0], 200)
+        self.assertEqual((await self.send_request())[0], 503)
         self.assertEqual((len(endpoint.requests), len(endpoint.connections)), (2, 1))
 
     async def test_what_never_ran_goes_to_another_endpoint(self) -> None:
@@ -103,7 +103,7 @@
         for first in (gone, full):
             await self.open_gateway(first.address, good.address)
             for _ in range(4):
-                status, answer, _ = await self.ask("/b?account=00000000b4d65521", "POST")
+                status, answer, _ = await self.send_request("/b?account=00000000b4d65521", "POST")
                 self.assertEqual((status, answer), (200, b"ok"))
             await self.close_gateway()
 
@@ -112,7 +112,7 @@
         for answer in (b"", http_response(status=500), http_response(status=503), half):
             endpoint = await self.start_server(answer)
             await self.open_gateway(endpoint.address)
-            status, _, _ = await self.ask("/b?account=00000000b4d65521", "POST")
+            status, _, _ = await self.send_request("/b?account=00000000b4d65521", "POST")
             self.assertEqual((status, len(endpoint.requests)), (500, 1), answer)
             await self.close_gateway()
 
@@ -142,7 +142,7 @@
             answers.append(answer)
             limit = mock.patch("drumgw.policy.outlier_detection.MAX_FAILURE_SHARE", 9.0)
             with limit:  # it gets the next one all the same
-                status, _, _ = await self.ask(POST_TARGET, "POST", Request_Timeout="60000m")
+                status, _, _ = await self.send_request(POST_TARGET, "POST", Request_Timeout="60000m")
             self.assertEqual((status, answers), (500, []), answer[:60])
             await asyncio.wait_for(endpoint.disconnected.wait(), 10)  # its connection ended
             endpoint.disconnected.clear()
@@ -163,13 +163,13 @@
         for first in good:
             for more in behind:
                 answers += [first + more, http_response(b"mine")]
-                self.assertEqual((await self.ask())[:2], (200, b"ok"))
-                self.assertEqual((await self.ask())[:2], (200, b"mine"))
+                self.assertEqual((await self.send_request())[:2], (200, b"ok"))
+                self.assertEqual((await self.send_request())[:2], (200, b"mine"))
         answers += [http_response(b"ok"), http_response(b"mine")]
         with mock.patch("drumgw.gateway.connection_pool.REUSE_DELAY_MS", 0.0):
-            self.assertEqual((await self.ask())[:2], (200, b"ok"))
+            self.assertEqual((await self.send_request())[:2], (200, b"ok"))
         endpoint.connections[-1].write(http_response(b"late"))  # on a kept connection, and not read yet
-        self.assertEqual((await self.ask())[:2], (200, b"mine"))
+        self.assertEqual((await self.send_request())[:2], (200, b"mine"))
 
     async def test_the_connection_last_used_is_used_next(self) -> None:
         """Guards what is not idempotent: the longer a connection is kept, the likelier it has died."""
@@ -182,14 +182,14 @@
         )  # how long it rests before is another test's
         patch.start()
         self.addCleanup(patch.stop)
-        asked = [asyncio.create_task(self.ask(Request_Id=name)) for name in ("1", "2", "3")]
+        asked = [asyncio.create_task(self.send_request(Request_Id=name)) for name in ("1", "2", "3")]
         while len(endpoint.requests) < 3:
             await asyncio.sleep(0.001)
         for n in (1, 0, 2):  # the third is not kept, and changes nothing
             held[n].set_result(http_response(b"ok", Connection="close") if n == 2 else http_response(b"ok"))
             self.assertEqual((await asked[n])[1], b"ok")
         for _ in range(2):
-            self.assertEqual((await self.ask())[1], b"ok")
+            self.assertEqual((await self.send_request())[1], b"ok")
         self.assertEqual(
             [endpoint.connections.index(line) for line in endpoint.request_connections], [0, 1, 2, 0, 0]
         )
@@ -205,7 +205,9 @@
     async def test_the_deadline_fails_a_request_at_once_and_closes_its_attempt(self) -> None:
         endpoint = await self.start_server(None)
         await self.open_gateway(endpoint.address)
-        status, _, _ = await self.ask("/b?account=00000000b4d65521", "POST", Request_Timeout="30000u")
+        status, _, _ = await self.send_request(
+            "/b?account=00000000b4d65521", "POST", Request_Timeout="30000u"
+        )
         self.assertEqual(status, 500)
         await asyncio.wait_for(endpoint.disconnected.wait(), 10)
 
@@ -250,16 +252,18 @@
             (413, {"target": POST_TARGET, "method": "POST", "body": b"x" * (64 * 1024 + 1)}),
         ]
         for status, asked in cases:
-            self.assertEqual((await self.ask(**asked))[0], status, asked)
+            self.assertEqual((await self.send_request(**asked))[0], status, asked)
         self.assertEqual(self.gateway.dispatcher.lifecycle.received_count, 0)
-        self.assertEqual((await self.ask(POST_TARGET, "POST", b"x" * (64 * 1024)))[0], 503)  # no endpoint
+        self.assertEqual(
+            (await self.send_request(POST_TARGET, "POST", b"x" * (64 * 1024)))[0], 503
+        )  # no endpoint
         self.assertEqual(self.gateway.dispatcher.lifecycle.received_count, 1)
 
     async def test_rejected_with_retry_after(self) -> None:
         await self.open_gateway(
             settings=raw_settings(tiersOfService=[{**PLAN, "unitsPerS": 1.0, "peakUnits": 4.0}])
         )
-        status, _, head = await self.ask(Quota_Info="units=9,spread=1,first=0")
+        status, _, head = await self.send_request(Quota_Info="units=9,spread=1,first=0")
         self.assertEqual(status, 503)
         self.assertRegex(head, rb"Retry-After: 0\.\d+")
 
@@ -267,18 +271,18 @@
         endpoint = await self.start_server(http_response(b"ok"))
         await self.open_gateway(endpoint.address)
         with mock.patch.object(self.gateway.dispatcher.lifecycle.policy, "handle", side_effect=KeyError("x")):
-            self.assertEqual((await self.ask())[0], 503)
+            self.assertEqual((await self.send_request())[0], 503)
         for where in (
             "drumgw.gateway.http_server.parse_request",
             "drumgw.gateway.request_lifecycle.RequestLifecycle.request_received",
         ):
             with mock.patch(where, side_effect=KeyError("x")):
-                self.assertEqual((await self.ask())[0], 500)
+                self.assertEqual((await self.send_request())[0], 500)
         with mock.patch(
             "drumgw.gateway.request_lifecycle.RequestLifecycle.attempt_ended", side_effect=KeyError("x")
         ):
-            status, _, _ = await self.ask(Request_Timeout="50m")  # its expiry ends it
-        self.assertEqual((status, (await self.ask())[:2]), (503, (200, b"ok")))
+            status, _, _ = await self.send_request(Request_Timeout="50m")  # its expiry ends it
+        self.assertEqual((status, (await self.send_request())[:2]), (503, (200, b"ok")))
 
 
 class CrowdTest(GatewayCase):
@@ -299,7 +303,7 @@
             for used in (False, True) if sent else (False,):
                 line = await self.connect()
                 if used:
-                    self.assertEqual((await self.ask(line=line))[0], 200)
+                    self.assertEqual((await self.send_request(line=line))[0], 200)
                 line[1].write(sent)
                 self.assertEqual(await asyncio.wait_for(line[0].read(), 10), b"")  # to its end
         self.assertEqual(
@@ -310,27 +314,29 @@
         await self.short(60000.0, limits={"sockets": 34})  # six clients; four may ask, two be idle for long
         first, *others = [await self.connect() for _ in range(3)]
         for line in (first, *others):
-            self.assertEqual((await self.ask(line=line))[0], 200)
+            self.assertEqual((await self.send_request(line=line))[0], 200)
         with mock.patch("drumgw.gateway.connection_limits.CLIENT_IDLE_TIMEOUT_MS", 1.0):
             self.assertEqual(await asyncio.wait_for(first[0].read(), 10), b"")  # the longest idle
             self.gateway.http_server.limits.sweep()
         for line in others:
-            self.assertEqual((await self.ask(line=line))[0], 200)
+            self.assertEqual((await self.send_request(line=line))[0], 200)
 
     async def test_hundreds_that_say_nothing_keep_no_usual_client_out(self) -> None:
         await self.short(60000.0, limits={"sockets": 34})
         line = await self.connect()
-        self.assertEqual((await self.ask(line=line))[0], 200)
+        self.assertEqual((await self.send_request(line=line))[0], 200)
         for _ in range(60):
             await self.connect()
-        self.assertEqual(((await self.ask(line=line))[0], (await self.ask())[0]), (200, 200))
+        self.assertEqual(
+            ((await self.send_request(line=line))[0], (await self.send_request())[0]), (200, 200)
+        )
         self.assertLessEqual(self.gateway.http_server.limits.count(), 6)
 
     async def test_those_that_asked_once_and_stay_keep_no_newcomer_out(self) -> None:
         await self.short(60000.0, limits={"sockets": 34})
         with mock.patch("drumgw.gateway.connection_limits.STALL_THRESHOLD_MS", 0.0):
             for _ in range(20):
-                self.assertEqual((await self.ask())[0], 200)
+                self.assertEqual((await self.send_request())[0], 200)
         self.assertEqual(
             self.gateway.http_server.limits.requesting_count(), 4
         )  # the rest of what clients may hold is free
@@ -342,5 +348,5 @@
     async def test_the_id_of_a_request_in_flight_is_rejected(self) -> None:
         """Guards that request: its endpoint would take the second for a copy."""
         endpoint, _ = await self.open_gateway_with_request_in_flight()
-        self.assertEqual((await self.ask())[0], 409)
+        self.assertEqual((await self.send_request())[0], 409)
         self.assertEqual(len(endpoint.requests), 1)
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -45,7 +45,7 @@
             await asyncio.sleep(0.001)
         closing = asyncio.create_task(self.gateway.close())
         await asyncio.sleep(0)
-        self.assertEqual((await self.ask("/health/ready"))[0], 503)
+        self.assertEqual((await self.send_request("/health/ready"))[0], 503)
         late, later = await self.connect()
         later.write(
             http_request(Request_Timeout="60000m", Request_Id="9b20")
@@ -263,5 +263,5 @@
             mock.patch.object(gateway.dispatcher.lifecycle, "attempt_ended", ended),
         ):
             for _ in range(2):
-                await self.ask(Request_Timeout="50m")
+                await self.send_request(Request_Timeout="50m")
         self.assertEqual(outcomes, [Outcome.UNREACHABLE, Outcome.NOT_SENT])
--- a/tests/test_process_crossings.py
+++ b/tests/test_process_crossings.py
@@ -150,7 +150,7 @@
         async def one(name: str, kind: str) -> int:
             method = "GET" if kind == "s" else "POST"
             target = f"/{kind}?account={len(name) + int(name[1:]):016x}"
-            return (await self.ask(target, method, Request_Id=name, Request_Timeout="300m"))[0]
+            return (await self.send_request(target, method, Request_Id=name, Request_Timeout="300m"))[0]
 
         async with asyncio.timeout(BOUND_S):
             statuses = await asyncio.gather(*(one(*each) for each in asked))
--- a/tests/test_shared_discovery.py
+++ b/tests/test_shared_discovery.py
@@ -40,7 +40,7 @@
         self.assertEqual((gateway.discovery.membership.rows, gateway.endpoint_clients.clients), ({}, {}))
         self.listen_address = await gateway.open()
         self.addAsyncCleanup(self.close_gateway)
-        self.assertEqual((await self.ask(Quota_Info=EVERY_GATEWAY))[:2], (200, b"other"))
+        self.assertEqual((await self.send_request(Quota_Info=EVERY_GATEWAY))[:2], (200, b"other"))
         await self.until_called("since=8&")
         self.assertEqual(
             self.targets,
