--- a/tests/agent_case.py
+++ b/tests/agent_case.py
@@ -61,7 +61,7 @@
         """Waits until the gateway accepts clients."""
         self.listen_address = await self.opening
 
-    async def until_called(self, *words: str) -> None:
+    async def wait_for_calls(self, *words: str) -> None:
         """Waits until a call has come for each of the words, with that word in its target."""
         while not all(any(word in target for target in self.targets) for word in words):
             await asyncio.sleep(0.001)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -76,7 +76,7 @@
                 "reset": True,
                 "instances": [{"instanceId": "s-0", "lifecycle": "draining"}, known[1]],
             }
-            await self.until_called("since=3&")
+            await self.wait_for_calls("since=3&")
         self.assertEqual(await self.ask_for_all_customers(), [(200, b"other")] * 16)
         self.assertEqual((len(one.requests), self.targets[0]), (came, "/registry/instances"))
 
@@ -104,7 +104,7 @@
         self.assertEqual((one.connections, other.connections, counter.connections), ([], [], []))
         self.assertFalse(gateway.discovery.has_endpoints.is_set())
         self.content = content
-        await self.until_called("since=7&")
+        await self.wait_for_calls("since=7&")
         self.assertEqual(set(await self.ask_for_all_customers()), {(200, b"other")})
         self.assertEqual((one.requests, self.statuses()), ([], {"s-0": "draining", "s-1": "ready"}))
 
@@ -145,14 +145,14 @@
         ):
             await self.start_gateway([])
             await self.gateway_opened()
-            await self.until_called("since=7&")  # never answered: the update does not wake it
+            await self.wait_for_calls("since=7&")  # never answered: the update does not wake it
             self.content = {
                 "generation": 8,
                 "reset": False,
                 "instances": [endpoint_row("s-0", "", "draining")],
             }
             async with asyncio.timeout(20):  # so that missing backup polls fail and do not hang
-                await self.until_called("since=8&")
+                await self.wait_for_calls("since=8&")
         self.assertEqual(self.statuses(), {"s-0": "draining"})
 
     def write_update(self, *rows: Any) -> None:
@@ -169,7 +169,7 @@
             self.addCleanup(patch.stop)
         await self.start_gateway([])
         await self.gateway_opened()
-        await self.until_called("since=7&")
+        await self.wait_for_calls("since=7&")
         return one, other, rows
 
     async def test_an_unread_drain_is_applied_before_a_request_is_forwarded(self) -> None:
@@ -251,7 +251,7 @@
         await self.gateway_opened()
         self.assertEqual(len(self.gateway.endpoint_clients.clients), 1024)
         await self.update_agent(8, *({**row, "lifecycle": "draining"} for row in many))
-        await self.until_called("since=8&")
+        await self.wait_for_calls("since=8&")
         self.assertEqual((await self.send_request(Quota_Info=EVERY_GATEWAY))[:2], (200, b"other"))
         self.assertEqual(
             sum(client.accepts_attempts for client in self.gateway.endpoint_clients.clients.values()), 1
@@ -310,7 +310,7 @@
         ):
             gateway = await self.start_gateway([])
             await self.gateway_opened()
-            await self.until_called("since=8&")
+            await self.wait_for_calls("since=8&")
         lost = [call for call in log.warning.call_args_list if "discovery lost" in call[0][0]]
         self.assertEqual((broken, self.statuses()), ([], {"s-0": "ready", "s-1": "ready"}))
         self.assertEqual(len(lost), 1)
--- a/tests/test_shared_discovery.py
+++ b/tests/test_shared_discovery.py
@@ -41,7 +41,7 @@
         self.listen_address = await gateway.open()
         self.addAsyncCleanup(self.close_gateway)
         self.assertEqual((await self.send_request(Quota_Info=EVERY_GATEWAY))[:2], (200, b"other"))
-        await self.until_called("since=8&")
+        await self.wait_for_calls("since=8&")
         self.assertEqual(
             self.targets,
             ["/registry/instances?since=5&timeout_ms=0", "/registry/instances?since=8&timeout_ms=3500"],
@@ -54,9 +54,9 @@
         await self.start_agent(*known)
         await self.start_gateway([], settings=self.SETTINGS)
         await self.gateway_opened()
-        await self.until_called("since=7&")
+        await self.wait_for_calls("since=7&")
         await self.update_agent(8, {**known[0], "lifecycle": "draining"})
-        await self.until_called("since=8&")
+        await self.wait_for_calls("since=8&")
         self.assertEqual(self.statuses(), {"s-0": "draining", "s-1": "ready"})
         self.assertEqual(
             self.targets,
