--- a/tests/agent_case.py
+++ b/tests/agent_case.py
@@ -79,7 +79,7 @@
         )
         return one, other, [endpoint_row("s-0", one.address), endpoint_row("s-1", other.address)]
 
-    async def ask_for_all_customers(self) -> list[tuple[int, bytes]]:
+    async def send_requests_of_all_customers(self) -> list[tuple[int, bytes]]:
         """Requests of 16 customers, ranked by hash: half of them go to each of two endpoints."""
         answers = [await self.send_request(f"/a?account={n:016x}", Request_Id=f"{n:x}") for n in range(16)]
         return [answer[:2] for answer in answers]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -49,7 +49,7 @@
         may_answer.set()
         await self.gateway_opened()
         self.assertEqual((await self.send_request("/health/ready"))[0], 200)
-        self.assertEqual(await self.ask_for_all_customers(), [(200, b"other")] * 16)
+        self.assertEqual(await self.send_requests_of_all_customers(), [(200, b"other")] * 16)
         self.assertEqual((one.requests, self.statuses()), ([], {"s-0": "draining", "s-1": "ready"}))
 
     async def test_an_agent_silent_at_the_start_comes_back_with_a_drain(self) -> None:
@@ -69,7 +69,9 @@
             await self.start_gateway(known)
             await self.gateway_opened()
             self.assertIn("the known endpoint list is used", str(log.warning.call_args_list))
-            self.assertEqual(set(await self.ask_for_all_customers()), {(200, b"one"), (200, b"other")})
+            self.assertEqual(
+                set(await self.send_requests_of_all_customers()), {(200, b"one"), (200, b"other")}
+            )
             came = len(one.requests)
             self.content = {
                 "generation": 3,
@@ -77,7 +79,7 @@
                 "instances": [{"instanceId": "s-0", "lifecycle": "draining"}, known[1]],
             }
             await self.wait_for_calls("since=3&")
-        self.assertEqual(await self.ask_for_all_customers(), [(200, b"other")] * 16)
+        self.assertEqual(await self.send_requests_of_all_customers(), [(200, b"other")] * 16)
         self.assertEqual((len(one.requests), self.targets[0]), (came, "/registry/instances"))
 
     async def test_an_agent_silent_for_longer_than_a_start_may_take(self) -> None:
@@ -105,7 +107,7 @@
         self.assertFalse(gateway.discovery.has_endpoints.is_set())
         self.content = content
         await self.wait_for_calls("since=7&")
-        self.assertEqual(set(await self.ask_for_all_customers()), {(200, b"other")})
+        self.assertEqual(set(await self.send_requests_of_all_customers()), {(200, b"other")})
         self.assertEqual((one.requests, self.statuses()), ([], {"s-0": "draining", "s-1": "ready"}))
 
     async def test_sigterm_while_it_waits_for_discovery(self) -> None:
@@ -179,7 +181,9 @@
         """
         one, _, _ = await self.start_watched()
         customers_of_one = [
-            n for n, answer in enumerate(await self.ask_for_all_customers()) if answer == (200, b"one")
+            n
+            for n, answer in enumerate(await self.send_requests_of_all_customers())
+            if answer == (200, b"one")
         ]  # and connections are kept now
         read = self.gateway.http_server.read
         one.requests = []
@@ -214,7 +218,7 @@
             mock.patch(f"{DISCOVERY}.MAX_UNREAD_MS", 0.0),
             mock.patch.object(connector, "connect", connect_and_remove),
         ):
-            self.assertEqual(await self.ask_for_all_customers(), [(200, b"other")] * 16)
+            self.assertEqual(await self.send_requests_of_all_customers(), [(200, b"other")] * 16)
         self.assertEqual((one.requests, self.statuses()), ([], {"s-1": "ready"}))
 
     async def test_another_agent_with_a_lower_numbering_leaves_a_drained_endpoint_out(self) -> None:
@@ -229,7 +233,7 @@
         self.content["generation"] = 41
         gateway = await self.start_gateway([])
         await self.gateway_opened()
-        self.assertEqual(set(await self.ask_for_all_customers()), {(200, b"one"), (200, b"other")})
+        self.assertEqual(set(await self.send_requests_of_all_customers()), {(200, b"one"), (200, b"other")})
         one.requests = []
         self.content = None
         other_agent = await self.start_server(endpoint_list(3, rows[1]))
@@ -238,7 +242,7 @@
         while "s-0" in membership.rows:
             await asyncio.sleep(0.001)
         self.assertLess(gateway.clock.now() - membership.behind_since_ms, RENUMBERED_AFTER_MS)
-        self.assertEqual(await self.ask_for_all_customers(), [(200, b"other")] * 16)
+        self.assertEqual(await self.send_requests_of_all_customers(), [(200, b"other")] * 16)
         self.assertEqual((one.requests, self.statuses()), ([], {"s-1": "ready"}))
 
     async def test_a_thousand_endpoints_in_one_list(self) -> None:
