--- a/tests/agent_case.py
+++ b/tests/agent_case.py
@@ -57,7 +57,7 @@
         self.addAsyncCleanup(self.close_gateway)
         return self.gateway
 
-    async def gateway_opened(self) -> None:
+    async def wait_until_open(self) -> None:
         """Waits until the gateway accepts clients."""
         self.listen_address = await self.opening
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -47,7 +47,7 @@
         with self.assertRaises(ConnectionRefusedError):  # as while it was not running
             await asyncio.open_connection(*gateway.http_server.socket.sockets[0].getsockname())
         may_answer.set()
-        await self.gateway_opened()
+        await self.wait_until_open()
         self.assertEqual((await self.send_request("/health/ready"))[0], 200)
         self.assertEqual(await self.send_requests_of_all_customers(), [(200, b"other")] * 16)
         self.assertEqual((one.requests, self.statuses()), ([], {"s-0": "draining", "s-1": "ready"}))
@@ -67,7 +67,7 @@
             mock.patch("drumgw.gateway.discovery_log.logger") as log,
         ):
             await self.start_gateway(known)
-            await self.gateway_opened()
+            await self.wait_until_open()
             self.assertIn("the known endpoint list is used", str(log.warning.call_args_list))
             self.assertEqual(
                 set(await self.send_requests_of_all_customers()), {(200, b"one"), (200, b"other")}
@@ -97,7 +97,7 @@
             gateway = await self.start_gateway(
                 known, counter=counter.address, settings=raw_settings(familyInfo=family)
             )
-            await self.gateway_opened()
+            await self.wait_until_open()
         self.assertEqual((await self.send_request("/health/ready"))[0], 200)
         for target, method in (("/a?account=00000000b4d65521", "GET"), (POST_TARGET, "POST")):
             status, _, head = await self.send_request(target, method, Request_Timeout="60000m")
@@ -146,7 +146,7 @@
             mock.patch(f"{DISCOVERY}.POLL_INTERVAL_PER_DRAIN_GRACE", 0.07),
         ):
             await self.start_gateway([])
-            await self.gateway_opened()
+            await self.wait_until_open()
             await self.wait_for_calls("since=7&")  # never answered: the update does not wake it
             self.content = {
                 "generation": 8,
@@ -170,7 +170,7 @@
             patch.start()
             self.addCleanup(patch.stop)
         await self.start_gateway([])
-        await self.gateway_opened()
+        await self.wait_until_open()
         await self.wait_for_calls("since=7&")
         return one, other, rows
 
@@ -232,7 +232,7 @@
         assert self.content is not None
         self.content["generation"] = 41
         gateway = await self.start_gateway([])
-        await self.gateway_opened()
+        await self.wait_until_open()
         self.assertEqual(set(await self.send_requests_of_all_customers()), {(200, b"one"), (200, b"other")})
         one.requests = []
         self.content = None
@@ -252,7 +252,7 @@
         await self.start_agent(*many, rows[1])
         self.assertGreater(len(json.dumps(many)), MAX_BODY_BYTES)
         await self.start_gateway([], settings=raw_settings(balancers=1024))
-        await self.gateway_opened()
+        await self.wait_until_open()
         self.assertEqual(len(self.gateway.endpoint_clients.clients), 1024)
         await self.update_agent(8, *({**row, "lifecycle": "draining"} for row in many))
         await self.wait_for_calls("since=8&")
@@ -265,7 +265,7 @@
         """An agent that never waits for updates would keep the gateway busy with polls."""
         await self.start_agent()
         gateway = await self.start_gateway([])
-        await self.gateway_opened()
+        await self.wait_until_open()
         slept_s: list[float] = []
 
         async def sleep(seconds: float) -> None:
@@ -313,7 +313,7 @@
             mock.patch(f"{DISCOVERY}.WATCH_MIN_INTERVAL_MS", 0.0),
         ):
             gateway = await self.start_gateway([])
-            await self.gateway_opened()
+            await self.wait_until_open()
             await self.wait_for_calls("since=8&")
         lost = [call for call in log.warning.call_args_list if "discovery lost" in call[0][0]]
         self.assertEqual((broken, self.statuses()), ([], {"s-0": "ready", "s-1": "ready"}))
--- a/tests/test_shared_discovery.py
+++ b/tests/test_shared_discovery.py
@@ -53,7 +53,7 @@
         _, _, known = await self.start_endpoints()
         await self.start_agent(*known)
         await self.start_gateway([], settings=self.SETTINGS)
-        await self.gateway_opened()
+        await self.wait_until_open()
         await self.wait_for_calls("since=7&")
         await self.update_agent(8, {**known[0], "lifecycle": "draining"})
         await self.wait_for_calls("since=8&")
