--- a/tests/hosting_harness.py
+++ b/tests/hosting_harness.py
@@ -110,7 +110,7 @@
         self.listen_address, self.api = await host_process.open()
         self.addAsyncCleanup(self.close_host, host_process)
         if ready:
-            await self.until_ready()
+            await self.wait_until_ready()
         return host_process
 
     async def close_host(self, host_process: HostProcess) -> None:
@@ -118,7 +118,7 @@
         with mock.patch("drumgw.hosting.host_process.SHUTDOWN_LINGER_MS", 0.0):
             await host_process.close()
 
-    async def until_ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Waits until all services and their replacements are ready."""
         services = self.host_process.services
         while services.replacements or not all(s.is_ready for s in services.services.values()):
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -195,7 +195,7 @@
             "POST", "/v1/tenants", await self.tenant("t1", answer=http_response(b"new"))
         )
         self.assertEqual(created.status, 201)
-        await self.until_ready()
+        await self.wait_until_ready()
         self.assertEqual(await self.send("t1", Request_Id="2"), (200, b"new"))
         self.assertEqual((await self.call("GET", location)).body["state"], "running")
         held.set_result(http_response(b"old"))
@@ -228,7 +228,7 @@
         lower = [{**plan, "burst_units": 20.0}]
         replaced = await self.call("PUT", "/v1/tenants/t1/plans", lower, If_Match=etag)
         self.assertEqual(replaced.status, 200)
-        await self.until_ready()
+        await self.wait_until_ready()
         self.assertEqual((await self.send("t1", Request_Id="6"))[0], 503)
         self.assertEqual(len({key.split("-")[1] for key in counter.totals}), 1)
 
@@ -243,7 +243,7 @@
         await self.until_received(self.endpoints["t1"])
         replaced = await self.call("PUT", "/v1/tenants/t1/limits", {"submissions": 2}, If_Match='"1"')
         self.assertEqual(replaced.status, 200)
-        await self.until_ready()
+        await self.wait_until_ready()
         self.assertEqual((await self.send("t1", Request_Id="same"))[0], 409)
         held.set_result(http_response(b"ok"))
         self.assertEqual(await request, (200, b"ok"))
@@ -294,7 +294,7 @@
             created = await self.call("POST", "/v1/tenants", tenant)
             self.assertEqual(created.status, 201)
             if n % 10 == 0:
-                await self.until_ready()
+                await self.wait_until_ready()
                 self.assertEqual(await self.send("t1", Request_Id=str(n)), (200, b"t1"))
             removal = await self.call("DELETE", "/v1/tenants/t1", If_Match=f'"{created.body["version"]}"')
             await self.until_done(removal.body["id"])
--- a/tests/test_hosting_admin.py
+++ b/tests/test_hosting_admin.py
@@ -268,11 +268,11 @@
         run = self.run_tenants
         self.assertEqual(await run("list"), (0, "t1  active  1\n"))
         self.assertEqual((await run("create", "-", body=tenant))[0], 0)
-        await self.until_ready()
+        await self.wait_until_ready()
         code, output = await run("create", "-", body=tenant)
         self.assertEqual((code, "Name taken" in output), (1, True))
         self.assertEqual((await run("replace", "t2", "-", "--part", "limits", body={"submissions": 2}))[0], 0)
-        await self.until_ready()
+        await self.wait_until_ready()
         config = host_process.services.services["t2"].gateway_service.config
         self.assertEqual(config.settings.max_attempts, 2)
         for arguments in (("suspend", "t2"), ("resume", "t2"), ("show", "t2", "--use"), ("show", "t2")):
