--- a/tests/hosting_harness.py
+++ b/tests/hosting_harness.py
@@ -124,7 +124,7 @@
         while services.replacements or not all(s.is_ready for s in services.services.values()):
             await asyncio.sleep(POLL_S)
 
-    async def until_closed(self) -> None:
+    async def wait_until_services_closed(self) -> None:
         """Waits until replaced and removed services are closed."""
         while self.host_process.services.closing:
             await asyncio.sleep(POLL_S)
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -201,7 +201,7 @@
         held.set_result(http_response(b"old"))
         self.assertEqual(await request, (200, b"old"))
         await self.until_done(removal.body["id"])
-        await self.until_closed()
+        await self.wait_until_services_closed()
         key = f"t1#{created.body['version']}"
         self.assertEqual(list(services.admission.shares.tenants), [key])
         self.assertEqual(list(services.admission.weights), [key])
@@ -298,7 +298,7 @@
                 self.assertEqual(await self.send("t1", Request_Id=str(n)), (200, b"t1"))
             removal = await self.call("DELETE", "/v1/tenants/t1", If_Match=f'"{created.body["version"]}"')
             await self.until_done(removal.body["id"])
-            await self.until_closed()
+            await self.wait_until_services_closed()
             if n == 20:
                 descriptors_in_use = len(os.listdir(descriptors))
         self.assertLess(len(os.listdir(descriptors)), descriptors_in_use + 20)
