--- a/tests/hosting_harness.py
+++ b/tests/hosting_harness.py
@@ -129,7 +129,7 @@
         while self.host_process.services.closing:
             await asyncio.sleep(POLL_S)
 
-    async def until_received(self, endpoint: ScriptedServer) -> None:
+    async def wait_until_received(self, endpoint: ScriptedServer) -> None:
         """Waits until a server has received something."""
         while not endpoint.requests:
             await asyncio.sleep(POLL_S)
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -185,7 +185,7 @@
         host_process = await self.start_host(await self.tenant("t1", answer=lambda head, body: held))
         services = host_process.services
         request = asyncio.create_task(self.send("t1", Request_Timeout="60000m"))
-        await self.until_received(self.endpoints["t1"])
+        await self.wait_until_received(self.endpoints["t1"])
         removal = await self.call("DELETE", "/v1/tenants/t1", If_Match='"1"')
         self.assertEqual((removal.status, removal.body["state"]), (202, "running"))
         location = removal.headers["Location"]
@@ -240,7 +240,7 @@
         held: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         await self.start_host(await self.tenant("t1", answer=lambda head, body: held))
         request = asyncio.create_task(self.send("t1", Request_Id="same", Request_Timeout="60000m"))
-        await self.until_received(self.endpoints["t1"])
+        await self.wait_until_received(self.endpoints["t1"])
         replaced = await self.call("PUT", "/v1/tenants/t1/limits", {"submissions": 2}, If_Match='"1"')
         self.assertEqual(replaced.status, 200)
         await self.wait_until_ready()
@@ -265,13 +265,13 @@
             self.assertEqual((replaced.status, replaced.body["version"]), (200, version + 1))
         self.assertIs(host_process.services.services["t1"].gateway_service, gateway_service)
         self.assertEqual((await self.send("else"))[1], b"t1")
-        await self.until_received(elsewhere)
+        await self.wait_until_received(elsewhere)
 
     async def test_a_tenant_is_suspended_drained_and_resumed(self) -> None:
         held: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         host_process = await self.start_host(await self.tenant("t1", answer=lambda head, body: held))
         request = asyncio.create_task(self.send("t1", Request_Timeout="60000m"))
-        await self.until_received(self.endpoints["t1"])
+        await self.wait_until_received(self.endpoints["t1"])
         suspended = await self.call("POST", "/v1/tenants/t1/suspend", If_Match='"1"')
         self.assertEqual(suspended.body["state"], "suspended")
         self.assertEqual((await self.send("t1", Request_Id="2"))[0], 503)
