--- a/tests/hosting_harness.py
+++ b/tests/hosting_harness.py
@@ -134,7 +134,7 @@
         while not endpoint.requests:
             await asyncio.sleep(POLL_S)
 
-    async def until_done(self, operation_id: str) -> None:
+    async def wait_until_done(self, operation_id: str) -> None:
         """Polls a long-running operation until it ends."""
         while (await self.call("GET", f"/v1/operations/{operation_id}")).body["state"] == "running":
             await asyncio.sleep(POLL_S)
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -200,7 +200,7 @@
         self.assertEqual((await self.call("GET", location)).body["state"], "running")
         held.set_result(http_response(b"old"))
         self.assertEqual(await request, (200, b"old"))
-        await self.until_done(removal.body["id"])
+        await self.wait_until_done(removal.body["id"])
         await self.wait_until_services_closed()
         key = f"t1#{created.body['version']}"
         self.assertEqual(list(services.admission.shares.tenants), [key])
@@ -279,7 +279,7 @@
         self.assertEqual((await self.call("GET", "/v1/tenants/t1")).body["state"], "draining")
         held.set_result(http_response(b"ok"))
         self.assertEqual(await request, (200, b"ok"))
-        await self.until_done(drain.body["id"])
+        await self.wait_until_done(drain.body["id"])
         self.assertEqual((await self.call("GET", "/v1/tenants/t1")).body["state"], "drained")
         version = host_process.services.registry.tenants["t1"].version
         await self.call("POST", "/v1/tenants/t1/resume", If_Match=f'"{version}"')
@@ -297,7 +297,7 @@
                 await self.wait_until_ready()
                 self.assertEqual(await self.send("t1", Request_Id=str(n)), (200, b"t1"))
             removal = await self.call("DELETE", "/v1/tenants/t1", If_Match=f'"{created.body["version"]}"')
-            await self.until_done(removal.body["id"])
+            await self.wait_until_done(removal.body["id"])
             await self.wait_until_services_closed()
             if n == 20:
                 descriptors_in_use = len(os.listdir(descriptors))
