--- a/drumgw/gateway/request_lifecycle.py
+++ b/drumgw/gateway/request_lifecycle.py
@@ -1,13 +1,14 @@
-"""The requests in flight: what the policy engine learns of them, and how each of them ends.
+"""Tracks requests in flight, passes events to the policy engine, and turns its actions into commands.
 
 This is the gateway's core. It does no I/O and reads no clock: every public method takes the current time and
-returns typed commands (`commands.py`), in the order in which they are to be carried out. Four rules hold
-here, whatever the policy engine does:
-
-* The first attempt that succeeds ends its request; its response goes to the client.
-* The end of an attempt is reported to the engine exactly once, also if it was cancelled or timed out.
-* A request is answered exactly once. One that the engine leaves open is answered here, at its deadline.
-* An answer of this module's own says "nothing was done" (503) only where no attempt may have run.
+returns typed commands (`commands.py`) in the order in which they must be executed. It enforces four rules,
+regardless of what the policy engine does:
+
+* The first successful attempt completes its request, and its response is sent to the client.
+* The end of each attempt is reported to the engine exactly once, including cancelled and timed-out attempts.
+* Each request gets exactly one response. If the engine has not decided on one by the request's deadline, this
+  module sends one.
+* A response that this module decides on has status 503 (not executed) only if no attempt may have run.
 """
 
 from __future__ import annotations
@@ -53,13 +54,13 @@
 
 
 class PolicyEngineProtocol(Protocol):
-    """The policy engine, as the lifecycle calls it."""
+    """The interface of the policy engine that the lifecycle uses."""
 
     def start(self, now: float) -> list[Action]:
         """Called once, before any event."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Takes one event and returns what is to be done, in order."""
+        """Processes one event and returns the resulting actions, in order."""
 
 
 class InFlightAttempt(NamedTuple):
@@ -67,55 +68,56 @@
 
     endpoint_id: int
     started_at_ms: float
-    """On a clock that does not advance while this process is stalled."""
+    """On a clock that stands still while this process is stalled."""
 
 
 @dataclass(slots=True)
 class InFlightRequest:
-    """A request from its arrival until it is answered and each of its attempts has ended.
+    """A request from its arrival until its response is decided and all its attempts have ended.
 
-    Written by `RequestLifecycle` only.
+    Only `RequestLifecycle` modifies it.
     """
 
     request_id: int
     deadline_ms: float
-    is_answer_owed: bool = True
-    """False once the client has been answered, or has gone."""
+    awaits_response: bool = True
+    """False once a response has been decided, or the client has disconnected."""
     started_attempts: int = 0
-    """How many attempts the engine asked for; the next attempt's number."""
+    """Number of attempts that the engine requested; also the number of the next attempt."""
     attempts: dict[int, InFlightAttempt] = field(default_factory=dict)
     """Attempts in flight, by number."""
     ended_attempt_may_have_run: bool = False
 
     @property
     def may_have_run(self) -> bool:
-        """Whether some attempt may have run; one in flight may."""
+        """Whether an endpoint may have executed the request; true while any attempt is in flight."""
         return self.ended_attempt_may_have_run or bool(self.attempts)
 
 
 class RequestLifecycle:
-    """Turns what the gateway's clients report into the engine's events, and its actions into commands.
+    """Converts transport callbacks into policy events, and policy actions into commands.
 
     Args:
-        policy: the policy engine; nobody else calls it.
-        settings: how many attempts a request may have, and whether two may be in flight.
+        policy: the policy engine; it has no other caller.
+        settings: supplies the limit on attempts per request, and whether hedging (several attempts of one
+            request in flight at once) is allowed.
     """
 
     def __init__(self, policy: PolicyEngineProtocol, settings: GatewaySettings) -> None:
         self.policy = policy
         self.in_flight: dict[int, InFlightRequest] = {}
         self.received_count = 0
-        """Requests received since the start; the last one's number."""
+        """Number of requests received since the start; also the id of the latest request."""
         self.stalled_ms = 0.0
-        """For how long this process was stalled since its start; that time counts for no attempt."""
+        """Total time this process has been stalled since its start; excluded from attempt durations."""
         self._max_attempts = settings.max_attempts
         self._hedging_allowed = settings.hedging_allowed
-        self._timer_delays: dict[int, float] = {}  # by timer_id; the engine uses a few
-        self._pending_events: deque[Event] = deque()  # emptied by each call of _process
-        self._commands: list[Command] = []  # emptied by each call of _process
+        self._timer_delays: dict[int, float] = {}  # by timer_id; few, so never removed
+        self._pending_events: deque[Event] = deque()  # drained by every call of _process
+        self._commands: list[Command] = []  # drained by every call of _process
 
     def start(self, now: float, endpoints: EndpointsUpdated) -> list[Command]:
-        """Starts the engine, with the endpoints that are known so far."""
+        """Starts the engine with the endpoints known so far."""
         for action in self.policy.start(now):
             self._apply(now, action)
         return self._process(now, endpoints)
@@ -123,16 +125,17 @@
     def request_received(
         self, now: float, received: RequestReceived, waited_ms: float = 0.0
     ) -> tuple[int, list[Command]]:
-        """Takes a request in.
+        """Registers a new request.
 
         Args:
             now: the current time.
-            received: the request; its number is assigned here.
-            waited_ms: how long it may have waited unread while this process was stalled. Its client has
-                waited as well, so the request has that much less time left than it says.
+            received: the request; its `request_id` is assigned here.
+            waited_ms: how long the request may have been in the socket buffer while this process was
+                stalled. The client has been waiting during that time, so it is deducted from the
+                request's remaining time.
 
         Returns:
-            The request's number, and the commands.
+            The request id and the commands.
         """
         self.received_count += 1
         request_id = self.received_count
@@ -153,28 +156,28 @@
         load_report: dict[str, float],
         response: Any,
     ) -> list[Command]:
-        """An attempt ended by itself. Ignored if it was aborted meanwhile: its end has been reported."""
+        """Handles an attempt that ended. Ignored if it was aborted before, as its end was reported then."""
         request = self.in_flight.get(request_id)
         if request is None or attempt not in request.attempts:
             return []
-        is_answer = request.is_answer_owed and outcome is Outcome.SUCCEEDED
-        if is_answer:
-            self._answer(request, STATUS_SUCCEEDED, 0.0, response)
-        units = billed_units if is_answer else 0.0
+        is_final_response = request.awaits_response and outcome is Outcome.SUCCEEDED
+        if is_final_response:
+            self._respond(request, STATUS_SUCCEEDED, 0.0, response)
+        units = billed_units if is_final_response else 0.0
         self._end_attempt(now, request, attempt, outcome, units, load_report)
         return self._process(now)
 
     def client_disconnected(self, now: float, request_id: int) -> list[Command]:
-        """The client has gone. Ignored if it was answered before."""
+        """Handles a client's disconnect. Ignored if a response has already been decided."""
         request = self.in_flight.get(request_id)
-        if request is None or not request.is_answer_owed:
+        if request is None or not request.awaits_response:
             return []
-        request.is_answer_owed = False
+        request.awaits_response = False
         self._drop_if_finished(request)
         return self._process(now, ClientDisconnected(request_id))
 
     def deadline_reached(self, now: float, request_id: int, attempt: int | None) -> list[Command]:
-        """The deadline of an attempt has come or, where `attempt` is None, that of the request."""
+        """Handles the expiry of an attempt's deadline or, if `attempt` is None, of the request's deadline."""
         request = self.in_flight.get(request_id)
         if request is None:
             return []
@@ -182,51 +185,51 @@
         overdue_attempts = list(request.attempts) if attempt is None else [attempt]
         for overdue in overdue_attempts:
             self._abort_attempt(now, request, overdue, Outcome.TIMED_OUT)
-        commands = self._process(now)  # the engine may answer as it learns of that
-        if is_request_deadline and request.is_answer_owed:
-            # Guards the client against an engine that lost its request: it would wait for ever.
-            self._answer_without_engine(now, request)
+        commands = self._process(now)  # on AttemptEnded the engine may decide on a response
+        if is_request_deadline and request.awaits_response:
+            # The engine did not decide on a response; without this, the client would wait forever.
+            self._respond_without_engine(now, request)
         return commands + self._process(now)
 
     def endpoints_updated(self, now: float, endpoints: EndpointsUpdated) -> list[Command]:
-        """The endpoint list has changed."""
+        """Passes a changed endpoint list to the engine."""
         return self._process(now, endpoints)
 
     def gateway_stopping(self, now: float) -> list[Command]:
-        """All requests are finished, and the gateway is about to exit."""
+        """Tells the engine that all requests are finished and the gateway is about to exit."""
         return self._process(now, GatewayStopping())
 
     def timer_fired(self, now: float, timer_id: int) -> list[Command]:
-        """A timer that the engine set has fired."""
+        """Handles a timer, set by the engine, that has fired."""
         return self._process(now, TimerFired(timer_id))
 
     def counter_replied(
         self, now: float, counter_key: int, outcome: Outcome, total: float, duration_ms: float
     ) -> list[Command]:
-        """A call to the shared counter has ended."""
+        """Passes the result of a call to the shared counter to the engine."""
         return self._process(now, CounterReplied(counter_key, outcome, total, duration_ms))
 
     def abandon_request(self, now: float, request_id: int) -> list[Command]:
-        """A command for this request could not be carried out: it is answered here."""
+        """Answers a request for which executing a command raised an exception."""
         request = self.in_flight.get(request_id)
-        if request is not None and request.is_answer_owed:
-            self._answer_without_engine(now, request)
+        if request is not None and request.awaits_response:
+            self._respond_without_engine(now, request)
         return self._process(now)
 
-    # The policy engine: events to it, actions from it
+    # Exchange of events and actions with the policy engine
 
     def _process(self, now: float, *events: Event) -> list[Command]:
-        """Passes these events to the engine, and then those that its actions cause.
+        """Passes events to the engine, followed by the events that its actions cause.
 
         Returns:
-            All commands since the last call.
+            All commands accumulated since the last call.
         """
         self._pending_events.extend(events)
         while self._pending_events:
             event = self._pending_events.popleft()
             try:
                 actions = self.policy.handle(now, event)
-            except Exception as error:  # a defect of the engine's must not end the process
+            except Exception as error:  # a bug in the engine must not terminate the process
                 self._recover_from_fault(now, event, error)
                 continue
             for action in actions:
@@ -239,9 +242,9 @@
             case ForwardRequest():
                 self._forward(now, action)
             case RejectRequest():
-                self._answer_for_engine(action.request_id, STATUS_REJECTED, action.retry_after_ms)
+                self._respond_for_engine(action.request_id, STATUS_REJECTED, action.retry_after_ms)
             case FailRequest():
-                self._answer_for_engine(action.request_id, STATUS_FAILED, 0.0)
+                self._respond_for_engine(action.request_id, STATUS_FAILED, 0.0)
             case CancelAttempt():
                 request = self.in_flight.get(action.request_id)
                 if request is not None:
@@ -254,9 +257,9 @@
 
     def _forward(self, now: float, action: ForwardRequest) -> None:
         request = self.in_flight.get(action.request_id)
-        is_open = request is not None and request.is_answer_owed
-        invariant(is_open, "a request is forwarded only while its client waits")
-        if request is None or not request.is_answer_owed:
+        awaits_response = request is not None and request.awaits_response
+        invariant(awaits_response, "a request is forwarded only while its response is pending")
+        if request is None or not request.awaits_response:
             return
         number = request.started_attempts
         request.started_attempts += 1
@@ -287,18 +290,18 @@
             return False
         return self._hedging_allowed or not request.attempts
 
-    # How requests and attempts end
+    # Completion of requests and attempts
 
-    def _answer_for_engine(self, request_id: int, status: int, retry_after_ms: float) -> None:
+    def _respond_for_engine(self, request_id: int, status: int, retry_after_ms: float) -> None:
         request = self.in_flight.get(request_id)
-        is_open = request is not None and request.is_answer_owed
-        invariant(is_open, "a request is answered once")
-        if request is not None and request.is_answer_owed:
-            self._answer(request, status, retry_after_ms, None)
+        awaits_response = request is not None and request.awaits_response
+        invariant(awaits_response, "a request gets exactly one response")
+        if request is not None and request.awaits_response:
+            self._respond(request, status, retry_after_ms, None)
             self._drop_if_finished(request)
 
-    def _answer(self, request: InFlightRequest, status: int, retry_after_ms: float, response: Any) -> None:
-        request.is_answer_owed = False
+    def _respond(self, request: InFlightRequest, status: int, retry_after_ms: float, response: Any) -> None:
+        request.awaits_response = False
         self._commands.append(SendResponse(request.request_id, status, retry_after_ms, response))
 
     def _abort_attempt(self, now: float, request: InFlightRequest, attempt: int, outcome: Outcome) -> None:
@@ -325,7 +328,7 @@
                 attempt.endpoint_id,
                 outcome,
                 now - self.stalled_ms - attempt.started_at_ms,
-                not request.is_answer_owed,
+                not request.awaits_response,
                 billed_units,
                 load_report,
             )
@@ -333,27 +336,34 @@
         self._drop_if_finished(request)
 
     def _drop_if_finished(self, request: InFlightRequest) -> None:
-        if not request.is_answer_owed and not request.attempts:
+        if not request.awaits_response and not request.attempts:
             self.in_flight.pop(request.request_id, None)
 
-    # Faults of this program
+    # Internal errors
 
     def _recover_from_fault(self, now: float, event: Event, error: Exception) -> None:
-        """Answers the request that the engine failed at. Others go on, and end at their deadline at worst."""
+        """Answers the request whose event the engine failed to handle.
+
+        Other requests are unaffected; at worst they end at their deadline.
+        """
         self._commands.append(ReportFault(error))
         if isinstance(event, TimerFired):
-            # Guards the engine's periodic work: it sets its timer anew as it handles this event.
+            # The engine re-arms its periodic timer while it handles this event. As it raised an exception
+            # instead, the timer is re-armed here; otherwise the engine's periodic work would stop.
             delay_ms = self._timer_delays.get(event.timer_id, 0.0)
             self._commands.append(SetTimer(delay_ms, event.timer_id))
         elif isinstance(event, RequestReceived | AttemptEnded):
             request = self.in_flight.get(event.request_id)
-            if request is not None and request.is_answer_owed:
-                self._answer_without_engine(now, request)
+            if request is not None and request.awaits_response:
+                self._respond_without_engine(now, request)
 
-    def _answer_without_engine(self, now: float, request: InFlightRequest) -> None:
-        """Answers 503 only where no attempt may have run, as it promises that trying again is harmless."""
+    def _respond_without_engine(self, now: float, request: InFlightRequest) -> None:
+        """Answers without the engine's decision.
+
+        The status is 503 only if no attempt may have run, as 503 tells the client that a retry is safe.
+        """
         status = STATUS_FAILED if request.may_have_run else STATUS_REJECTED
-        self._answer(request, status, 0.0, None)
+        self._respond(request, status, 0.0, None)
         for attempt in list(request.attempts):
             self._abort_attempt(now, request, attempt, Outcome.CANCELLED)
         self._drop_if_finished(request)
