--- a/drumgw/gateway/dispatcher.py
+++ b/drumgw/gateway/dispatcher.py
@@ -1,8 +1,8 @@
-"""The only caller of the request lifecycle, and so of the policy engine; carries out what it returns.
+"""Calls the request lifecycle, and through it the policy engine, and executes the returned commands.
 
-The lifecycle must not be called from inside one of its own calls, though carrying out a command may bring a
-result at once. So results are posted to a mailbox. Whoever posts while nobody is emptying the mailbox empties
-it at once: a request takes no extra turn of the event loop.
+The dispatcher is the only caller of the lifecycle. The lifecycle is not re-entrant, but executing a command
+may produce a result synchronously. Results are therefore posted to a mailbox. A post made while the mailbox
+is not being processed processes it at once, so a request costs no extra event-loop iteration.
 """
 
 from __future__ import annotations
@@ -33,49 +33,49 @@
 
 
 class AttemptTransport(Protocol):
-    """Carries attempts to endpoints, and posts `attempt_ended` for each that was not aborted."""
+    """Sends attempts to endpoints, and posts `attempt_ended` for each that was not aborted."""
 
     def start_attempt(self, command: StartAttempt, request: ClientRequest, /) -> None:
-        """Starts an attempt. Its end may be posted before this returns."""
+        """Starts an attempt. `attempt_ended` may be posted before this returns."""
 
     def abort_attempt(self, command: AbortAttempt, /) -> None:
-        """Closes the attempt's connection at once."""
+        """Closes the attempt's connection immediately."""
 
     def withdraw_unsent(self, request_id: int, attempt: int, /) -> None:
-        """Ends the attempt as not sent, unless all of it has been written."""
+        """Ends the attempt with `Outcome.NOT_SENT` unless its request has been written completely."""
 
 
 class CounterTransport(Protocol):
-    """Carries calls to the shared counter, and posts `counter_replied` for each."""
+    """Sends calls to the shared counter, and posts `counter_replied` for each."""
 
     def call(self, command: AddToCounter, /) -> None:
-        """Starts a call."""
+        """Starts a call; its result is posted when the call ends."""
 
 
 class MailboxEntry(NamedTuple):
-    """A call of the lifecycle that is to be made."""
+    """A pending call of the request lifecycle."""
 
     method: Callable[..., list[Command]]
-    """A method of `RequestLifecycle`; takes the time, then the arguments."""
+    """A method of `RequestLifecycle`; takes the current time, then `arguments`."""
     arguments: tuple[Any, ...]
 
 
-class AwaitedResponse(NamedTuple):
-    """A request whose client waits."""
+class PendingRequest(NamedTuple):
+    """A request whose client is waiting for a response."""
 
     request: ClientRequest
     response: asyncio.Future[SendResponse]
 
 
 class Dispatcher:
-    """Calls the request lifecycle and carries out its commands.
+    """Calls the request lifecycle and executes its commands.
 
     Args:
-        lifecycle: the requests in flight.
-        clock: the process's time, and for how long it was stalled.
-        max_mailbox_entries: what the mailbox may hold. What is posted is bounded by what is in flight, as
-            each attempt, counter call and timer ends once; more shows a defect.
-        log_prefix: stands before each log message.
+        lifecycle: holds the requests in flight.
+        clock: the current time and the process's stall times.
+        max_mailbox_entries: capacity of the mailbox. Each attempt, counter call and timer ends once, so the
+            posts are bounded by the work in flight; exceeding this limit indicates a bug.
+        log_prefix: prepended to each log message.
     """
 
     def __init__(
@@ -90,14 +90,14 @@
         self.loop = clock.loop
         self.log_prefix = log_prefix
         self.attempts: AttemptTransport | None = None
-        """Set before the first request."""
+        """Must be set before the first request."""
         self.counter: CounterTransport | None = None
-        """None for a service without a shared counter."""
-        self.pending_requests: dict[
-            int, AwaitedResponse
-        ] = {}  # an entry goes with its response or its client
-        self.request_deadlines: dict[int, Timer] = {}  # an entry goes as its request leaves the lifecycle
-        self._timers: dict[int, asyncio.TimerHandle] = {}  # by timer_id; the engine uses a few
+        """None if the service uses no shared counter."""
+        # By request_id; an entry is removed when its response is sent or its client disconnects.
+        self.pending_requests: dict[int, PendingRequest] = {}
+        # By request_id; an entry is removed when the lifecycle drops its request.
+        self.request_deadlines: dict[int, Timer] = {}
+        self._timers: dict[int, asyncio.TimerHandle] = {}  # by timer_id; few, so never removed
         self._max_mailbox_entries = max_mailbox_entries
         self._mailbox: deque[MailboxEntry] = deque()
         self._is_calling_lifecycle = False
@@ -113,7 +113,7 @@
         }
 
     def close(self) -> None:
-        """Cancels its timers; the event loop may go on with other services."""
+        """Cancels all timers, as the event loop may keep running for other services."""
         for timer in self._timers.values():
             timer.cancel()
         for deadline in self.request_deadlines.values():
@@ -121,41 +121,44 @@
         self._timers.clear()
         self.request_deadlines.clear()
 
-    # Calls of the lifecycle
+    # Calls to the lifecycle
 
     def post(
         self,
         method: Callable[[float, Unpack[Arguments]], list[Command]],
         *arguments: Unpack[Arguments],
     ) -> None:
-        """Calls a method of the lifecycle, now or once the present call is over, and does what it returns."""
+        """Calls a method of the lifecycle, now or after the current call, and executes its commands."""
         self._mailbox.append(MailboxEntry(method, arguments))
-        invariant(len(self._mailbox) <= self._max_mailbox_entries, "the dispatcher's mailbox is bounded")
+        invariant(len(self._mailbox) <= self._max_mailbox_entries, "the mailbox is within its capacity")
         if not self._is_calling_lifecycle:
-            self._empty_mailbox()
+            self._process_mailbox()
 
     def submit(self, request: ClientRequest) -> asyncio.Future[SendResponse]:
-        """Takes a client's request in, and sets its `request_id`.
+        """Starts processing a client's request, and sets its `request_id`.
 
         Returns:
-            The response, often there already as this returns.
+            A future of the response; often completed before this returns.
         """
-        invariant(not self._is_calling_lifecycle, "a request is submitted from a turn of its own")
+        invariant(not self._is_calling_lifecycle, "a request is not submitted from within a lifecycle call")
         response: asyncio.Future[SendResponse] = self.loop.create_future()
         self._is_calling_lifecycle = True
         try:
             request.request_id, commands = self.lifecycle.request_received(
                 self._read_clock(), request.received, self.clock.recent_stall_ms
             )
-            self.pending_requests[request.request_id] = AwaitedResponse(request, response)
+            self.pending_requests[request.request_id] = PendingRequest(request, response)
             self._execute(commands)
         finally:
             self._is_calling_lifecycle = False
-        self._empty_mailbox()
+        self._process_mailbox()
         return response
 
     def client_disconnected(self, request_id: int) -> None:
-        """The client has gone. What has not been sent is withdrawn, also where cancelling is not allowed."""
+        """Handles a client's disconnect.
+
+        Attempts that are not completely written are withdrawn, even if the settings do not allow cancelling.
+        """
         self.pending_requests.pop(request_id, None)
         self.post(self.lifecycle.client_disconnected, request_id)
         in_flight = self.lifecycle.in_flight.get(request_id)
@@ -165,17 +168,17 @@
         self._cancel_deadline_if_finished(request_id)
 
     def log_fault(self, error: Exception, where: str) -> None:
-        """Logs an exception that nobody expected, with its trace."""
+        """Logs an unexpected exception with its traceback."""
         logger.opt(exception=error).error("{}fault in {}: {!r}", self.log_prefix, where, error)
 
-    def _empty_mailbox(self) -> None:
+    def _process_mailbox(self) -> None:
         self._is_calling_lifecycle = True
         try:
             while self._mailbox:
                 entry = self._mailbox.popleft()
                 try:
                     self._execute(entry.method(self._read_clock(), *entry.arguments))
-                except Exception as error:  # the request concerned is answered at its deadline
+                except Exception as error:  # the affected request is answered at its deadline
                     self.log_fault(error, "the request lifecycle")
         finally:
             self._is_calling_lifecycle = False
@@ -189,13 +192,13 @@
         for command in commands:
             try:
                 self._handlers[type(command)](command)
-            except Exception as error:  # the command's request is answered, and the process lives
-                self.log_fault(error, f"carrying out {type(command).__name__}")
+            except Exception as error:  # the request is answered, and the process keeps running
+                self.log_fault(error, f"executing {type(command).__name__}")
                 request_id = getattr(command, "request_id", None)
                 if request_id is not None:
                     self._mailbox.append(MailboxEntry(self.lifecycle.abandon_request, (request_id,)))
 
-    # Carrying out commands
+    # Execution of commands
 
     def _start_attempt(self, command: StartAttempt) -> None:
         assert self.attempts is not None
