--- a/drumgw/gateway/commands.py
+++ b/drumgw/gateway/commands.py
@@ -1,7 +1,8 @@
-"""The commands that the request lifecycle returns, for its surroundings to carry out in their order.
+"""Commands that the request lifecycle returns and its caller executes, in order.
 
-The policy engine's actions `AddToCounter`, `SetTimer` and `LogMessage` are passed on as they are; its other
-actions become the commands defined here. Times are in milliseconds, with fractions, on the gateway's clock.
+The policy engine's actions `AddToCounter`, `SetTimer` and `LogMessage` are passed through unchanged; its
+other actions are translated to the commands defined here. Times are fractional milliseconds on the gateway's
+clock.
 """
 
 from __future__ import annotations
@@ -12,27 +13,27 @@
 from drumgw.model.actions import AddToCounter, LogMessage, SetTimer
 
 STATUS_SUCCEEDED = 200
-"""The endpoint's own response follows."""
+"""The endpoint's response is passed to the client."""
 STATUS_FAILED = 500
-"""The request failed and may have run."""
+"""The request failed, and an endpoint may have executed it."""
 STATUS_REJECTED = 503
-"""Nothing was done: sending the request again is harmless."""
+"""No endpoint executed the request: retrying it is safe."""
 
 
 class StartAttempt(NamedTuple):
-    """Forward a request to an endpoint, and report how the attempt ended."""
+    """Forward a request to an endpoint, and report the outcome of the attempt."""
 
     request_id: int
     attempt: int
     endpoint_id: int
     deadline_ms: float
-    """The endpoint is told that the client waits until then."""
+    """Sent to the endpoint as the time until which the client waits for a response."""
     write_by_ms: float = inf
-    """The attempt's last byte leaves by then, or the attempt ends as not sent."""
+    """If the request is not completely written by then, the attempt ends with `Outcome.NOT_SENT`."""
 
 
 class AbortAttempt(NamedTuple):
-    """Give an attempt up: its connection is closed, and its end is not reported any more."""
+    """Close an attempt's connection; the outcome of the attempt is no longer reported."""
 
     request_id: int
     attempt: int
@@ -45,9 +46,9 @@
     status: int
     """One of the `STATUS_` constants."""
     retry_after_ms: float
-    """When a rejected client may try again; 0 where nothing is known."""
+    """How long a rejected client should wait before it retries; 0 if unknown."""
     response: Any
-    """What the endpoint's client reported as the response; None unless the request succeeded."""
+    """The response as the attempt transport reported it; None unless the request succeeded."""
 
 
 class ScheduleDeadline(NamedTuple):
@@ -56,7 +57,7 @@
     at_ms: float
     request_id: int
     attempt: int | None
-    """The attempt whose deadline it is; None for the request's own."""
+    """The attempt that the deadline applies to; None for the deadline of the request itself."""
 
 
 class ReportFault(NamedTuple):
