--- a/drumgw/gateway/service.py
+++ b/drumgw/gateway/service.py
@@ -1,4 +1,4 @@
-"""All of one gateway but its listener: the policy engine, its dispatcher, and the clients that they use."""
+"""One gateway without its listener: the policy engine, its dispatcher, and their network clients."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from drumgw.policy.engine import PolicyEngine
 
 MAILBOX_ENTRIES_PER_ENDPOINT_CONNECTION = 4
-"""Bounds the dispatcher's mailbox by the attempts that may be in flight."""
-RESERVATION_CHECK_S = 0.005
+"""Sets the capacity of the dispatcher's mailbox in proportion to the maximum number of attempts in flight."""
+RETURN_POLL_INTERVAL_S = 0.005
 
 
 class GatewayService:
-    """One service, from its endpoints to its policy; a host runs many of them in one process.
+    """One service: its policy, endpoints, counter and discovery. A host runs many services in one process.
 
     Args:
         config: the service's configuration.
-        clock: the process's clock.
+        clock: the clock that all services of the process share.
 
     Raises:
-        ConfigError: where the list of known endpoints cannot be read.
+        ConfigError: if the configured list of known endpoints is invalid.
     """
 
     def __init__(self, config: GatewayConfig, clock: StallAwareClock) -> None:
@@ -48,30 +48,30 @@
         self.endpoint_clients.check_before_sending(self.discovery.read_pending_updates)
 
     def start(self) -> None:
-        """Starts the policy engine. It knows no endpoint yet; `discovery.start` brings the list."""
+        """Starts the policy engine with an empty endpoint list, which `discovery.start` fills later."""
         self.dispatcher.post(self.dispatcher.lifecycle.start, EndpointsUpdated(True, ()))
 
     def reconfigure(self, config: GatewayConfig) -> None:
-        """Moves to the discovery and the counter of another configuration.
+        """Switches to the discovery and counter addresses of a new configuration.
 
-        The endpoint list, quota accounts and requests in flight stay as they are; all else that has changed
-        in the configuration needs a restart.
+        The endpoint list, quota accounts and requests in flight are kept. All other configuration changes
+        take effect only after a restart.
         """
         self.discovery.set_address(config.discovery)
         if self.counter is not None and config.counter is not None:
             self.counter.set_address(config.counter)
 
     async def return_reservations(self) -> None:
-        """Returns to the counter what was reserved and not used; waits no longer than for one call.
+        """Returns unused reserved quota to the counter; waits at most the timeout of one counter call.
 
-        Called once no request is in flight.
+        Call it only when no request is in flight.
         """
         if self.counter is None:
             return
         self.dispatcher.post(self.dispatcher.lifecycle.gateway_stopping)
         deadline_ms = self.clock.now() + self.counter.timeout_ms
         while self.counter.calls_in_flight and self.clock.now() < deadline_ms:
-            await asyncio.sleep(RESERVATION_CHECK_S)
+            await asyncio.sleep(RETURN_POLL_INTERVAL_S)
 
     async def close(self) -> None:
         """Cancels timers and closes all connections."""
