--- a/drumgw/gateway/request_parsing.py
+++ b/drumgw/gateway/request_parsing.py
@@ -1,4 +1,4 @@
-"""Reads a client's request: only the fields that decisions need. The rest stays the bytes that came."""
+"""Parses the request fields that policy decisions need; all else is forwarded as the original bytes."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from drumgw.model.settings_reader import NameIndex
 
 METHODS = ("GET", "POST")
-MS_PER_UNIT = {"m": 1.0, "u": 0.001}
-"""Units of Request-Timeout: milliseconds and microseconds."""
+MS_PER_TIMEOUT_UNIT = {"m": 1.0, "u": 0.001}
+"""Milliseconds per unit suffix of Request-Timeout: milliseconds (m) and microseconds (u)."""
 
-# Patterns, as float() also takes nan, inf, 1_0 and numbers of any size
+# Checked before float(), which also accepts nan, inf, 1_0 and numbers of any size.
 DURATION_PATTERN = re.compile(r"([0-9]{1,9}(?:\.[0-9]{1,9})?)([mu])")
 NUMBER_PATTERN = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
-CUSTOMER_PATTERN = re.compile(r"[0-9a-fA-F]{16}")
+CUSTOMER_ID_PATTERN = re.compile(r"[0-9a-fA-F]{16}")
 REQUEST_ID_PATTERN = re.compile(r"[!-~]{1,64}")
-CUSTOMER_LIMIT = 2**33
-"""Customers' numbers are below this."""
+CUSTOMER_ID_LIMIT = 2**33
+"""Exclusive upper bound of customer ids."""
 
 
 class BadRequestError(Exception):
-    """A request that the policy engine never sees.
+    """A request that is refused before it reaches the policy engine.
 
     Attributes:
-        status: The 4xx status of its response; the error's text is the response's one line.
+        status: The 4xx status of the response; the error's text is the response body, one line.
     """
 
     def __init__(self, status: int, line: str) -> None:
@@ -38,34 +38,34 @@
         self.status = status
 
 
-def _has_not_left() -> bool:
+def _not_disconnected() -> bool:
     return False
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's request: what is forwarded as it came, and what was read from it.
+    """A client's request: the bytes to forward, and the fields parsed from it.
 
     Attributes:
         head: Request line and headers, without Request-Timeout, which each attempt adds.
-        body: As it came.
-        received: What the policy engine is told; the request lifecycle sets its number.
-        request_id: That number.
-        client_left: Whether the client has gone; asked before each attempt's first byte.
+        body: The original bytes.
+        received: The event for the policy engine; the request lifecycle sets its `request_id`.
+        request_id: The same id; 0 until the request is submitted.
+        client_left: Returns whether the client has disconnected; called before each attempt's first byte.
     """
 
     head: bytes
     body: bytes
     received: RequestReceived
     request_id: int = 0
-    client_left: Callable[[], bool] = _has_not_left
+    client_left: Callable[[], bool] = _not_disconnected
 
 
 def write_head(method: str, target: str, headers: Iterable[tuple[bytes, bytes]], body: bytes) -> bytes:
-    """The request line and the headers to forward, as the bytes that came.
+    """Builds the forwarded request line and headers from the original bytes.
 
-    Guards requests with an idempotency key: without the client's Idempotency-Key an endpoint cannot tell its
-    retries, and any other header may mean as much to it. So all are forwarded but those of the connection.
+    All headers are forwarded except the hop-by-hop ones: without the client's Idempotency-Key, an endpoint
+    cannot recognise retries, and any other header may be just as important to it.
     """
     all_headers = list(headers)
     not_forwarded = http_headers.NOT_FORWARDED
@@ -82,13 +82,13 @@
 def parse_request(
     names: NameIndex, settings: GatewaySettings, method: str, target: str, headers: Mapping[str, str]
 ) -> RequestReceived:
-    """Reads and checks the fields of a request.
+    """Parses and validates the fields of a request.
 
-    Guards quota accounts and endpoints: a cost beyond the settings' ranges, or that is not a number, would be
-    counted for a customer, and an endpoint that cannot use the request would be taken for an outlier.
+    Without validation, a cost that is out of range or not a number would be charged to the customer's quota,
+    and endpoints that reject the malformed request would be classified as outliers.
 
     Raises:
-        BadRequestError: A field is missing, or means nothing here.
+        BadRequestError: A field is missing, malformed or unknown.
     """
     if method not in METHODS:
         raise BadRequestError(405, "no such method")
@@ -129,7 +129,7 @@
 
 
 class _QuotaInfo(NamedTuple):
-    """What the Quota-Info header says; not checked against the settings yet."""
+    """The Quota-Info header, not yet validated against the settings."""
 
     units: float
     gateway_count: float
@@ -154,7 +154,7 @@
 
 
 def read_number(text: str | bytes | None) -> float | None:
-    """A number that a peer sent; None where it is no finite number."""
+    """Parses a number that a peer sent; returns None if it is not a finite number."""
     try:
         number = float(text or "")
     except ValueError:
@@ -163,7 +163,7 @@
 
 
 def _read_request_class(names: NameIndex, path: str) -> int:
-    """The first segment of the path names the class."""
+    """Looks up the request class, which the first segment of the path names."""
     name = path.split("/", 2)[1] if path.startswith("/") else ""
     request_class = names.request_classes.get(name)
     if request_class is None:
@@ -175,7 +175,7 @@
     match = DURATION_PATTERN.fullmatch(text)
     if match is None:
         raise ValueError(http_headers.REQUEST_TIMEOUT)
-    return float(match[1]) * MS_PER_UNIT[match[2]]
+    return float(match[1]) * MS_PER_TIMEOUT_UNIT[match[2]]
 
 
 def _read_quota_number(text: str) -> float:
@@ -194,7 +194,7 @@
         if not parameter.startswith(http_headers.CUSTOMER_PARAMETER):
             continue
         text = parameter.removeprefix(http_headers.CUSTOMER_PARAMETER)
-        if not CUSTOMER_PATTERN.fullmatch(text) or int(text, 16) >= CUSTOMER_LIMIT:
+        if not CUSTOMER_ID_PATTERN.fullmatch(text) or int(text, 16) >= CUSTOMER_ID_LIMIT:
             raise ValueError("account")
         return int(text, 16)
     raise KeyError("account")
