--- a/drumgw/gateway/response_framing.py
+++ b/drumgw/gateway/response_framing.py
@@ -1,11 +1,11 @@
-"""Cuts the bytes that a peer sends into responses, and bounds them.
+"""Splits a peer's byte stream into HTTP responses, and enforces size limits.
 
-aiohttp's parser reads heads and chunked bodies. Bodies with a length are cut here: aiohttp's own client
-connection reads bodies of any size, loses a good response when noise comes right behind it, and keeps bytes
-that nobody asked for as the next response.
+aiohttp's parser reads heads and chunked bodies; bodies with a length are framed here. aiohttp's client
+connection is not used because it reads bodies of any size, loses a valid response that is directly followed
+by stray bytes, and keeps unsolicited bytes as the next response.
 
-A response is read in two states: while `message` is None its head is awaited, then its body. The body ends at
-its `Content-Length`, with its last chunk, or, where it has neither, with the connection.
+Parsing has two states: while `message` is None, a head is expected, and afterwards its body. A body ends
+after `Content-Length` bytes, with its last chunk, or, if it has neither, when the connection ends.
 """
 
 from __future__ import annotations
@@ -26,25 +26,26 @@
 SWITCHING_PROTOCOLS = 101
 FIRST_FINAL_STATUS = 200
 STATUSES_WITHOUT_BODY = (204, 304)
-CHUNK_BUFFER_BODIES = 64
-"""What aiohttp may buffer of a chunked body, in largest bodies. It is above what one read brings, so aiohttp
-never pauses the connection."""
+CHUNK_BUFFER_FACTOR = 64
+"""Limit on aiohttp's buffer for a chunked body, in multiples of the maximum body size.
+
+It exceeds what a single read returns, so aiohttp never pauses the connection."""
 
 
 class RawResponse(NamedTuple):
-    """A complete response."""
+    """A completely received response."""
 
     message: RawResponseMessage
-    """The head, as aiohttp's parser reads it."""
+    """The head as parsed by aiohttp."""
     body: bytes
 
 
 class ResponseFramer:
-    """Reads the responses that come on one connection.
+    """Frames the responses on one connection.
 
     Attributes:
-        message: The head of the response whose body is being read.
-        reusable: Whether a further response may come on this connection.
+        message: The head of the response whose body is being read; None between responses.
+        reusable: Whether the connection may carry further responses.
     """
 
     def __init__(self, protocol: BaseProtocol, loop: asyncio.AbstractEventLoop, max_body_bytes: int) -> None:
@@ -53,8 +54,8 @@
         self._protocol = protocol
         self._loop = loop
         self._max_body_bytes = max_body_bytes
-        self._buffer = b""  # bounded by a head and a body
-        self._body_length: int | None = 0  # None: to the connection's end, or chunked
+        self._buffer = b""  # size limited to one head and one body
+        self._body_length: int | None = 0  # None: until the connection ends, or chunked
         self._chunk_parser: HttpResponseParser | None = None
         self._chunked_body: aiohttp.StreamReader | None = None
         self._head_parser = HttpResponseParser(
@@ -63,27 +64,27 @@
 
     @property
     def has_data(self) -> bool:
-        """Whether bytes came that belong to no response yet."""
+        """Whether received bytes are waiting to be parsed."""
         return bool(self._buffer)
 
     @property
     def is_within_response(self) -> bool:
-        """Whether a response has begun and is not complete."""
+        """Whether a response has been received in part."""
         return bool(self._buffer) or self.message is not None
 
     def feed(self, data: bytes) -> None:
-        """Takes what came on the connection."""
+        """Adds received bytes to the buffer."""
         self._buffer = self._buffer + data if self._buffer else data
 
     def next_response(self) -> RawResponse | None:
-        """Reads on to the end of the next response.
+        """Parses the next response from the buffer.
 
         Returns:
-            The response; None where more bytes are needed.
+            The response; None if more bytes are needed.
 
         Raises:
-            MalformedResponseError: What came is no response, or larger than it may be.
-            HttpProcessingError: aiohttp's parser cannot read it.
+            MalformedResponseError: The bytes are not an HTTP response, or it exceeds a size limit.
+            HttpProcessingError: aiohttp's parser rejects the response.
         """
         while self._buffer:
             if self.message is None:
@@ -98,7 +99,7 @@
         return None
 
     def end_of_stream(self) -> RawResponse | None:
-        """The peer has ended its side: the response that only this ends, if one was being read."""
+        """Handles the end of the peer's stream; returns the response that it completes, if any."""
         if self.message is None or self._body_length is not None or self._chunk_parser is not None:
             return None
         body = self._buffer
@@ -106,7 +107,7 @@
         return self._complete(body)
 
     def discard(self) -> None:
-        """Drops what was read and belongs to no complete response."""
+        """Discards the bytes and the head of an incomplete response."""
         self._buffer = b""
         self.message = None
 
@@ -115,17 +116,17 @@
         if end < len(HEAD_END):
             too_long = len(self._buffer) > MAX_HEAD_BYTES
             if too_long or not HEAD_START.startswith(self._buffer[: len(HEAD_START)]):
-                raise MalformedResponseError("no head of a response")
+                raise MalformedResponseError("response head is too long or not HTTP/1.x")
             return False
         head = self._buffer[:end]
         self._buffer = self._buffer[end:]
         messages, upgraded, _ = self._head_parser.feed_data(head)
         if len(messages) != 1 or upgraded:
-            raise MalformedResponseError("no head of a response")
+            raise MalformedResponseError("response head is invalid or switches protocols")
         message = messages[0][0]
         if message.code == SWITCHING_PROTOCOLS:
-            raise MalformedResponseError("another protocol")
-        if message.code >= FIRST_FINAL_STATUS:  # behind any other the response is still to come
+            raise MalformedResponseError("response switches protocols (101)")
+        if message.code >= FIRST_FINAL_STATUS:  # a 1xx response precedes the final response
             self._begin_body(message, head)
         return True
 
@@ -137,7 +138,7 @@
             self._body_length = 0
         elif message.chunked:
             self._chunk_parser = HttpResponseParser(
-                self._protocol, self._loop, CHUNK_BUFFER_BODIES * self._max_body_bytes, auto_decompress=False
+                self._protocol, self._loop, CHUNK_BUFFER_FACTOR * self._max_body_bytes, auto_decompress=False
             )
             self._chunked_body = self._chunk_parser.feed_data(head)[0][0][1]
         elif (
@@ -145,7 +146,7 @@
             and not message.should_close
             or (self._body_length or 0) > self._max_body_bytes
         ):
-            raise MalformedResponseError(f"a body of {declared} bytes")
+            raise MalformedResponseError(f"body is unbounded or too large: Content-Length {declared}")
         ends_with_connection = self._body_length is None and self._chunk_parser is None
         if message.should_close or ends_with_connection:
             self.reusable = False
@@ -153,7 +154,7 @@
     def _read_body(self) -> RawResponse | None:
         if self._body_length is None or len(self._buffer) < self._body_length:
             if len(self._buffer) > self._max_body_bytes:
-                raise MalformedResponseError("a body without end")
+                raise MalformedResponseError("response body exceeds the size limit")
             return None
         body = self._buffer[: self._body_length]
         self._buffer = self._buffer[self._body_length :]
@@ -169,9 +170,9 @@
         except HttpProcessingError:
             if not chunked_body.is_eof():
                 raise
-            self.reusable = False  # noise behind the last chunk; the response itself is good
+            self.reusable = False  # stray bytes after the last chunk; the response itself is valid
         if chunked_body.total_bytes > self._max_body_bytes:
-            raise MalformedResponseError("a body without end")
+            raise MalformedResponseError("chunked response body exceeds the size limit")
         if not chunked_body.is_eof():
             return None
         return self._complete(chunked_body.read_nowait())
