--- a/drumgw/gateway/responses.py
+++ b/drumgw/gateway/responses.py
@@ -1,4 +1,4 @@
-"""Responses to clients, written in one piece."""
+"""Complete responses to clients, each written to the transport in a single call."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class LastResponseConnection(Protocol):
-    """A connection that can be closed in order behind its last response."""
+    """A connection that can be closed gracefully after its last response."""
 
     def send_last_response(self, response: bytes) -> None:
-        """Writes the response, and reads and writes nothing more."""
+        """Writes the response and half-closes the connection; nothing more is read or written."""
 
 
 class CompleteResponse(StreamResponse):
-    """A response with only the headers that are needed.
+    """A response with a complete body and only the necessary headers.
 
     Args:
         status: HTTP status.
         body: The complete body.
-        header_lines: Further headers, each with its line end.
+        header_lines: Additional headers, each terminated by CRLF.
     """
 
     def __init__(self, status: int, body: bytes = b"", header_lines: str = "") -> None:
@@ -30,14 +30,14 @@
         self._header_lines = header_lines
 
     async def prepare(self, request: BaseRequest) -> None:
-        """Writes head and body at once; aiohttp calls it.
+        """Writes head and body; called by aiohttp.
 
         Raises:
-            ConnectionResetError: The client has gone.
+            ConnectionResetError: The client has disconnected.
         """
         transport = request.transport
         if transport is None:
-            raise ConnectionResetError("the client has gone")
+            raise ConnectionResetError("client disconnected before the response was written")
         self._keep_alive = self._keep_alive is None and request.keep_alive
         head_end = "\r\n" if self._keep_alive else "Connection: close\r\n\r\n"
         body = self._complete_body
@@ -49,4 +49,4 @@
             cast(LastResponseConnection, request.protocol).send_last_response(message)
 
     async def write_eof(self, data: bytes = b"") -> None:
-        """Does nothing: all was written by `prepare`."""
+        """Does nothing, as `prepare` has written the whole response."""
