--- a/drumgw/gateway/http_headers.py
+++ b/drumgw/gateway/http_headers.py
@@ -1,21 +1,21 @@
-"""The headers that this gateway reads or writes: the HTTP edge, where the platform's names are mapped."""
+"""Names of the HTTP headers and fields that the gateway reads or writes, as the platform defines them."""
 
 from __future__ import annotations
 
-# Of a client's request
+# Request headers sent by clients
 REQUEST_ID = "Request-Id"
 PLAN = "Plan"
 REQUEST_TIMEOUT = "Request-Timeout"
 QUOTA_INFO = "Quota-Info"
 CLIENT_RETRY = "Client-Retry"
 
-# Fields of Quota-Info, and the query parameter that names the customer
+# Fields of Quota-Info, and the query parameter that holds the customer id
 QUOTA_UNITS = "units"
 QUOTA_GATEWAY_COUNT = "spread"
 QUOTA_FIRST_GATEWAY = "first"
 CUSTOMER_PARAMETER = "account="
 
-# Of an endpoint's response
+# Response headers sent by endpoints
 SERVER_LOAD = "Server-Load"
 BILLED_UNITS = "Billed-Units"
 NOT_STARTED = "Not-Started"
@@ -37,4 +37,4 @@
         b"request-timeout",
     )
 )
-"""Headers that concern one connection only (RFC 9110, 7.6.1), and those that each attempt states anew."""
+"""Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that the gateway sets itself when forwarding."""
