--- a/drumgw/gateway/http_server.py
+++ b/drumgw/gateway/http_server.py
@@ -1,6 +1,6 @@
-"""The clients' listener: reads requests, has them forwarded, and shuts down in order.
+"""HTTP listener for clients: reads requests, submits them for forwarding, and shuts down gracefully.
 
-Built on aiohttp's low-level server, which runs the requests of one connection one after another.
+Built on aiohttp's low-level server, which processes the requests of a connection sequentially.
 """
 
 from __future__ import annotations
@@ -28,44 +28,45 @@
 READINESS_PATH = "/health/ready"
 LIVENESS_PATH = "/health/live"
 LISTEN_BACKLOG = 1024
-QUIET_POLLS = 2
-"""How often in succession nothing may be owed before the drain ends: a connection that was accepted in one
-turn of the event loop is known in the next."""
+REQUIRED_IDLE_POLLS = 2
+"""Consecutive polls without pending responses before the drain ends.
+
+More than one, as a connection accepted in one event-loop iteration becomes known only in the next."""
 
 
 class ConnectionServer(Server):
-    """aiohttp's server, with connections of our class."""
+    """An aiohttp server whose connections are `ClientConnection` objects."""
 
     connection_factory: Callable[..., ClientConnection]
 
     def __call__(self) -> ClientConnection:
-        """Makes the handler of a new connection; asyncio calls it."""
+        """Creates the protocol of a new connection; called by asyncio."""
         return self.connection_factory(self, loop=self._loop, **self._kwargs)
 
 
 class ServingService(NamedTuple):
-    """What the listener needs of the service that a request is for."""
+    """The parts of a service that the listener needs to forward a request."""
 
     config: GatewayConfig
     dispatcher: Dispatcher
     open_request_ids: set[str]
-    """Ids of its requests in flight."""
+    """`Request-Id` values of the service's requests in flight."""
 
 
 class HttpServer:
-    """The listener.
+    """The HTTP listener of one gateway.
 
     Args:
-        config: Where to listen, and the names and limits that requests are read by.
-        dispatcher: Where requests go; its clock and log.
-        limits: The bounds on connections; by default those of the configuration.
+        config: The listen address, and the names and limits used to parse requests.
+        dispatcher: Receives the requests; its clock and fault log are used too.
+        limits: Limits on client connections; by default those of `config`.
 
     Attributes:
-        ready: Whether the gateway says that it is ready.
-        is_shutting_down: Whether each connection is closed behind its response.
+        ready: Whether the readiness check succeeds.
+        is_shutting_down: Whether each connection is closed after its response.
         server: aiohttp's server, which holds the connections.
-        open_request_ids: Ids of the requests in flight; an entry goes as its request ends.
-        socket: The listening socket.
+        open_request_ids: `Request-Id` values in flight; an entry is removed when its request ends.
+        socket: The listening socket; None before `bind`.
     """
 
     def __init__(
@@ -83,17 +84,17 @@
             handler_cancellation=True,
             request_factory=self._make_request,
             access_log=None,
-            auto_decompress=False,  # the body passes as the bytes that came
+            auto_decompress=False,  # bodies are forwarded unchanged
             lingering_time=0.0,
             tcp_keepalive=False,
         )
         self.server.connection_factory = partial(ClientConnection, self.limits, dispatcher.log_fault)
 
     async def bind(self) -> None:
-        """Takes the address, and accepts nobody yet: connections are refused, as before the process began.
+        """Binds the listen address without listening: connections are refused until `open`.
 
         Raises:
-            ConfigError: The address cannot be listened at.
+            ConfigError: The address cannot be bound.
         """
         host, port = self.config.listen
         try:
@@ -104,10 +105,10 @@
             raise ConfigError(f"cannot listen at {host}:{port}: {error}") from error
 
     async def open(self) -> tuple[str, int]:
-        """Accepts connections, and says that it is ready.
+        """Starts accepting connections and reports readiness.
 
         Returns:
-            Host and port.
+            The bound host and port.
         """
         assert self.socket is not None
         await self.socket.start_serving()
@@ -119,10 +120,10 @@
     # Requests
 
     async def handle(self, request: BaseRequest) -> CompleteResponse:
-        """Answers one request; aiohttp calls it, and cancels it when the client closes its connection."""
-        target: str = request._message.path  # as it came; the public form is decoded and encoded again
+        """Answers a request; called by aiohttp, which cancels it when the client closes the connection."""
+        target: str = request._message.path  # raw; the public attributes are decoded and re-encoded
         client: ClientConnection = request.protocol  # type: ignore[assignment]
-        is_bad = False
+        is_bad_request = False
         try:
             if target in (READINESS_PATH, LIVENESS_PATH):
                 response = CompleteResponse(200 if self.ready or target == LIVENESS_PATH else 503)
@@ -130,21 +131,22 @@
                 response = await self.serve(request, target, client)
         except BadRequestError as error:
             response = CompleteResponse(error.status, f"{error}\n".encode())
-            is_bad = True  # whatever else this client sends is not read
+            is_bad_request = True  # the connection is closed, and further input is not read
         except Exception as error:
             self.dispatcher.log_fault(error, "the HTTP server")
-            response = CompleteResponse(500)  # an attempt may be in flight
-        if is_bad or self.is_shutting_down and not client._messages:  # what was read is answered first
+            response = CompleteResponse(500)  # not 503, as an attempt may be in flight
+        # During shutdown, pipelined requests that were already read are answered first.
+        if is_bad_request or self.is_shutting_down and not client._messages:
             response.force_close()
         client.enter_state(ConnectionState.IDLE)
         self.limits.close_surplus_idle()
         return response
 
     async def serve(self, request: BaseRequest, target: str, client: ClientConnection) -> CompleteResponse:
-        """Answers a request that is not about health.
+        """Answers a request other than a health check.
 
         Raises:
-            BadRequestError: It goes no further.
+            BadRequestError: The request is refused and not forwarded.
         """
         service = ServingService(self.config, self.dispatcher, self.open_request_ids)
         return await self.forward(request, target, target, client, service)
@@ -157,24 +159,25 @@
         client: ClientConnection,
         service: ServingService,
     ) -> CompleteResponse:
-        """Has a request forwarded by a service, and waits for its final response.
+        """Submits a request to a service, and waits for its final response.
 
         Args:
             request: The request.
-            target: Its target, which endpoints get as it came.
-            path: The target as the request class is read from it.
-            client: Its connection.
-            service: Whose request it is.
+            target: The request target, forwarded to endpoints unchanged.
+            path: The target that the request class and customer are parsed from; on a host, without the
+                prefix of the tenant's route.
+            client: The connection that the request arrived on.
+            service: The service that the request is for.
 
         Raises:
-            BadRequestError: It goes no further.
+            BadRequestError: The request is refused and not forwarded.
         """
         config, dispatcher, open_request_ids = service
         headers = request.headers
         received = parse_request(config.names, config.settings, request.method, path, headers)
         body = await self.read(request)
         request_id = headers[http_headers.REQUEST_ID]
-        if request_id in open_request_ids:  # an endpoint would take it for a retry of that one
+        if request_id in open_request_ids:  # an endpoint would treat it as a retry of the other
             raise BadRequestError(409, "a request with this id is in flight")
         client.enter_state(ConnectionState.IN_FLIGHT)
         head = write_head(request.method, target, request._message.raw_headers, body)
@@ -187,13 +190,13 @@
             raise
         finally:
             open_request_ids.discard(request_id)
-        return _response_of(result)
+        return _to_http_response(result)
 
     async def read(self, request: BaseRequest) -> bytes:
-        """Reads a request's body, as the bytes that came.
+        """Reads a request's body without decoding it.
 
         Raises:
-            BadRequestError: It is too large, broken, or belongs to a GET.
+            BadRequestError: The body is too large or malformed, or the method is GET.
         """
         if not request.body_exists:
             return b""
@@ -216,48 +219,48 @@
     # Graceful shutdown
 
     def withdraw_readiness(self) -> None:
-        """Says that it is not ready, and serves on; each connection is closed behind its response."""
+        """Fails the readiness check but keeps serving; each connection is closed after its response."""
         self.ready = False
         self.is_shutting_down = True
 
     async def drain(self, end_ms: float) -> None:
-        """Accepts nobody any more; returns when no client is owed a response, or at this time."""
-        quiet_polls = 0
-        while quiet_polls < QUIET_POLLS and self.dispatcher.clock.now() < end_ms:
-            quiet_polls = 0 if self.close_idle() else quiet_polls + 1
+        """Stops accepting connections; returns when no response is pending, or at `end_ms` at the latest."""
+        idle_polls = 0
+        while idle_polls < REQUIRED_IDLE_POLLS and self.dispatcher.clock.now() < end_ms:
+            idle_polls = 0 if self.close_idle() else idle_polls + 1
             await asyncio.sleep(CLOSING_POLL_INTERVAL_S)
 
     def close_idle(self) -> int:
-        """Closes the connections whose clients are owed nothing.
+        """Closes the listening socket and all connections without a pending response.
 
-        Guards the shutdown against half a request: its connection is closed too, as its rest would be read
-        after the shutdown.
+        Connections with a partially received request are closed too: the rest would arrive only after the
+        shutdown.
 
         Returns:
-            How many clients are owed a response.
+            The number of connections with a pending response.
         """
         if self.socket is not None:
             self.socket.close()
-        owed_count = 0
+        pending_count = 0
         for client in self.server.connections:
             assert isinstance(client, ClientConnection)
             if client.state is ConnectionState.CLOSING:
                 continue
             if client.is_owed_response():
-                owed_count += 1
+                pending_count += 1
             elif client.is_reading_body():
                 client.abort()
             else:
                 client.send_last_response()
-        return owed_count
+        return pending_count
 
     async def wait_until_closed(self) -> None:
-        """Waits for the CLOSING connections; `ConnectionLimits.close_finished` ends each in time."""
+        """Waits until no connection is CLOSING; `ConnectionLimits.close_finished` bounds the wait."""
         while self.limits.connections[ConnectionState.CLOSING]:
             await asyncio.sleep(CLOSING_POLL_INTERVAL_S)
 
 
-def _response_of(result: SendResponse) -> CompleteResponse:
+def _to_http_response(result: SendResponse) -> CompleteResponse:
     if result.response is not None:
         content_type, body = result.response
         return CompleteResponse(200, body, f"Content-Type: {content_type}\r\n" if content_type else "")
