--- a/drumgw/gateway/invariants.py
+++ b/drumgw/gateway/invariants.py
@@ -1,4 +1,4 @@
-"""Conditions that must hold: asserted in debug runs; counted and logged in optimized ones (`python -O`)."""
+"""Invariant checks: asserted in debug mode, counted and logged in optimized mode (`python -O`)."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from loguru import logger
 
 violations: Counter[str] = Counter()
-"""How often each condition did not hold, by its name in the code. Stays empty in debug runs."""
+"""Number of violations by the description of the invariant. Stays empty in debug mode."""
 
 
-def invariant(holds: bool, what: str) -> None:
-    """Checks a condition that only a defect of this program can break.
+def invariant(condition: bool, description: str) -> None:
+    """Checks a condition that only a bug in this program can violate.
 
     Args:
-        holds: whether it does.
-        what: the condition, in words.
+        condition: the value of the condition.
+        description: a description of the condition, used in messages and as the key in `violations`.
 
     Raises:
-        AssertionError: in debug runs, if it does not hold. Optimized runs go on.
+        AssertionError: in debug mode, if the condition is false. Optimized mode continues.
     """
     if __debug__:
-        assert holds, what
-    elif not holds:
-        violations[what] += 1
-        if _is_power_of_two(violations[what]):  # a violation that repeats must not fill the log
-            logger.error("invariant broken {} times: {}", violations[what], what)
+        assert condition, description
+    elif not condition:
+        violations[description] += 1
+        if _is_power_of_two(violations[description]):  # limits the log volume of a recurring violation
+            logger.error("invariant broken {} times: {}", violations[description], description)
 
 
 def _is_power_of_two(count: int) -> bool:
