--- a/drumgw/policy/back_end.py
+++ b/drumgw/policy/back_end.py
@@ -1,4 +1,4 @@
-"""What this gateway has learnt of the back end, by its endpoint list and by its own attempts."""
+"""This gateway's view of the back end, derived from the endpoint list and from its own attempts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class BackEnd:
-    """The endpoints, and the parts that judge them singly and as a whole."""
+    """The known endpoints, and the detectors and limits that apply to single endpoints and to all of them."""
 
     def __init__(self, context: DecisionContext, settings: GatewaySettings) -> None:
         self.endpoints = EndpointSet(context, settings)
