--- a/drumgw/policy/state_machine.py
+++ b/drumgw/policy/state_machine.py
@@ -1,7 +1,7 @@
-"""Runs state machines that are written as tables of allowed transitions.
+"""Table-driven state machines.
 
-A table maps (state, input) to the next state and an effect. An effect may return a further input, which is
-applied at once. An input without a row in the current state is ignored.
+A transition table maps (state, input) to the next state and an effect. An effect may return another input,
+which is applied immediately. An input that has no entry for the current state is ignored.
 """
 
 from __future__ import annotations
@@ -12,13 +12,16 @@
 
 
 class MachineEnum(Enum):
-    """A state or an input. Hashed by identity: transitions are looked up several times for each request."""
+    """Base of states and inputs.
+
+    Hashed by identity, which is faster: transitions are looked up several times for each request.
+    """
 
     __hash__ = object.__hash__
 
 
 class Stateful(Protocol):
-    """A record that holds its machine's state."""
+    """A record that stores the current state of its state machine."""
 
     state: Any
 
@@ -35,16 +38,23 @@
     transitions: Transitions[StateT, InputT, OwnerT, RecordT],
     owner: OwnerT,
     record: RecordT,
-    given: InputT | None,
+    machine_input: InputT | None,
 ) -> None:
-    """Applies an input, and the inputs that effects return, to a record's state."""
-    while given is not None:
-        transition = transitions.get((record.state, given))
+    """Applies an input to a record's state, then any inputs that the effects return.
+
+    Args:
+        transitions: the table of the state machine.
+        owner: passed to the effects as their first argument.
+        record: holds the state; the effects' second argument.
+        machine_input: None does nothing.
+    """
+    while machine_input is not None:
+        transition = transitions.get((record.state, machine_input))
         if transition is None:
             return
         record.state, effect = transition
-        given = effect(owner, record)
+        machine_input = effect(owner, record)
 
 
 def no_effect(_owner: object, _record: object) -> None:
-    """The effect of a transition that only changes the state."""
+    """Effect of transitions that only change the state."""
