--- a/drumgw/policy/engine.py
+++ b/drumgw/policy/engine.py
@@ -149,7 +149,7 @@
 
     def _timer_fired(self, _event: TimerFired) -> None:
         self.context.actions.append(SetTimer(TICK_MS, TICK_TIMER_ID))
-        self.back_end.endpoints.fade_completions(TICK_MS)
+        self.back_end.endpoints.decay_completions(TICK_MS)
         self.attempts.check_overdue()
         self.back_end.overload.update(TICK_MS)
         if self.context.random.random() < SWEEP_PROBABILITY:
