--- a/drumgw/policy/attempt_tracking.py
+++ b/drumgw/policy/attempt_tracking.py
@@ -56,8 +56,8 @@
         request.account.attempts_in_flight += 1
         request.last_sent_at_ms = now_ms
         request.tried_endpoints.append(endpoint)
-        high_ms = self.latencies[request.class_index].high_ms
-        usual_ms = OVERDUE_QUANTILE_MULTIPLE * high_ms * endpoint.slowness
+        high_quantile_ms = self.latencies[request.class_index].high_quantile_ms
+        usual_ms = OVERDUE_QUANTILE_MULTIPLE * high_quantile_ms * endpoint.slowness
         usual_ms /= self.slow_start.warm_up_fraction(endpoint)
         overdue_after_ms = min(request.request_class.latency_objective_ms, usual_ms)
         endpoint.attempts[request.request_id] = AttemptInFlight(
@@ -92,7 +92,7 @@
             self.limit.record_unloaded_latency(duration_ms)
         latency = self.latencies[attempt.class_index]
         latency.record(duration_ms)
-        update_slowness(self.context, endpoint, duration_ms > endpoint.slowness * latency.high_ms)
+        update_slowness(self.context, endpoint, duration_ms > endpoint.slowness * latency.high_quantile_ms)
         objective_ms = self.request_classes[attempt.class_index].latency_objective_ms
         is_late = duration_ms > LATE_OBJECTIVE_FRACTION * objective_ms
         if not is_late:
