--- a/drumgw/policy/attempt_tracking.py
+++ b/drumgw/policy/attempt_tracking.py
@@ -1,4 +1,4 @@
-"""Follows attempts from start to end, and passes their results to the parts that learn from them."""
+"""Tracks attempts from start to end and reports their results to the latency, limit and health estimators."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from drumgw.policy.retry import RetryPolicy
 
 OVERDUE_QUANTILE_MULTIPLE = 2.0
-"""An attempt is overdue after so many times its endpoint's high latency quantile."""
+"""An attempt is overdue after this multiple of the high latency quantile expected at its endpoint."""
 
 
 class AttemptTracker:
-    """Records how attempts start and end, and finds those that are overdue.
+    """Records the start and end of attempts, and detects overdue ones.
 
-    The records of attempts in flight are kept with their endpoints.
+    Attempts in flight are stored in the state of their endpoint.
     """
 
     def __init__(
@@ -47,26 +47,28 @@
         self.outliers = back_end.outliers
         self.slow_start = back_end.slow_start
         self.retries = retries
-        self.latencies = [ClassLatency(each.latency_objective_ms) for each in settings.request_classes]
+        self.latencies = [
+            ClassLatency(request_class.latency_objective_ms) for request_class in settings.request_classes
+        ]
 
     def start(self, request: PendingRequest, endpoint: EndpointState) -> None:
-        """Records a new attempt of a request at an endpoint."""
+        """Records a new attempt of a request at an endpoint, and sets when it becomes overdue."""
         now_ms = self.context.now_ms
         self.limit.record_start()
         request.account.attempts_in_flight += 1
         request.last_sent_at_ms = now_ms
         request.tried_endpoints.append(endpoint)
         high_quantile_ms = self.latencies[request.class_index].high_quantile_ms
-        usual_ms = OVERDUE_QUANTILE_MULTIPLE * high_quantile_ms * endpoint.slowness
-        usual_ms /= self.slow_start.warm_up_fraction(endpoint)
-        overdue_after_ms = min(request.request_class.latency_objective_ms, usual_ms)
+        expected_ms = OVERDUE_QUANTILE_MULTIPLE * high_quantile_ms * endpoint.slowness
+        expected_ms /= self.slow_start.warm_up_fraction(endpoint)
+        overdue_after_ms = min(request.request_class.latency_objective_ms, expected_ms)
         endpoint.attempts[request.request_id] = AttemptInFlight(
             request.class_index, now_ms, now_ms + overdue_after_ms
         )
         self.endpoints.with_attempts[endpoint.endpoint_id] = endpoint
 
     def end(self, event: AttemptEnded) -> None:
-        """Records how an attempt ended; ends of unknown attempts are ignored."""
+        """Records the end of an attempt; unknown attempts are ignored."""
         endpoint = self.endpoints.by_id.get(event.endpoint_id)
         if endpoint is None:
             return
@@ -85,7 +87,7 @@
     def _record_success(self, endpoint: EndpointState, attempt: AttemptInFlight, event: AttemptEnded) -> None:
         self.limit.record_completion()
         self.endpoints.record_completion()
-        if self.context.is_after_stall:  # its duration is not the endpoint's
+        if self.context.is_after_stall:  # the duration includes the stall
             return
         duration_ms = event.duration_ms
         if self.overload.state is LoadState.SPARE_CAPACITY:
@@ -100,7 +102,7 @@
         self.overload.record_answer(is_late, is_retry=event.attempt > 0)
 
     def check_overdue(self) -> None:
-        """Finds the attempts that have become overdue since the last check."""
+        """Handles the attempts that have become overdue since the last check; called once per tick."""
         now_ms = self.context.now_ms
         for endpoint in self.endpoints.with_attempts.values():
             for request_id, attempt in endpoint.attempts.items():
@@ -108,11 +110,11 @@
                     self._record_overdue(endpoint, request_id, attempt)
 
     def _record_overdue(self, endpoint: EndpointState, request_id: int, attempt: AttemptInFlight) -> None:
-        """Guards against an endpoint that accepts requests and never answers them.
+        """Detects endpoints that accept requests but never answer them.
 
-        It reports no failure, and looks idle; its requests would wait until their deadline. So an overdue
-        attempt counts as a failure, and is cancelled where its request can be sent elsewhere. While answers
-        are late in general the endpoint is not at fault, and further attempts would only add load.
+        Such an endpoint reports no failures and looks idle, while its requests wait until their deadline. An
+        overdue attempt therefore counts as a failure, and is cancelled if its request can be sent elsewhere.
+        While answers are late in general, the endpoint is not at fault and more attempts would only add load.
         """
         attempt.overdue_at_ms = NEVER_MS
         self.limit.record_overdue()
@@ -126,7 +128,7 @@
             self.context.actions.append(CancelAttempt(request_id, len(request.tried_endpoints) - 1))
 
     def _may_cancel(self, attempt: AttemptInFlight) -> bool:
-        """Whether an attempt's request can be sent elsewhere instead."""
+        """Whether an overdue attempt may be cancelled so that its request is sent elsewhere."""
         request_class = self.request_classes[attempt.class_index]
         return (
             self.cancellation_allowed
@@ -135,8 +137,11 @@
             and self.retries.has_budget
         )
 
-    def leave_out_stall(self, stall_ms: float) -> None:
-        """Guards endpoints against this process's stalls: attempts in flight do not age by them."""
+    def exclude_stall(self, stall_ms: float) -> None:
+        """Excludes a stall of this process from the age of all attempts in flight.
+
+        Otherwise they would become overdue and count as failures of their endpoints.
+        """
         for endpoint in self.endpoints.with_attempts.values():
             for attempt in endpoint.attempts.values():
                 attempt.shift(stall_ms)
--- a/drumgw/policy/engine.py
+++ b/drumgw/policy/engine.py
@@ -126,7 +126,7 @@
         stall_ms = now_ms - self.context.now_ms
         self.context.stall_ended_at_ms = now_ms
         self.counter_poller.record_stall(stall_ms)
-        self.attempts.leave_out_stall(stall_ms)
+        self.attempts.exclude_stall(stall_ms)
 
     def _endpoints_updated(self, event: EndpointsUpdated) -> None:
         self.back_end.endpoints.update(event)
