--- a/drumgw/policy/engine.py
+++ b/drumgw/policy/engine.py
@@ -1,8 +1,8 @@
-"""The policy engine: typed events in, typed actions out; every decision of a gateway.
+"""The policy engine: makes all decisions of a gateway, from typed events to typed actions.
 
-The engine maps each event to the parts that handle it, and owns the records of requests and customers. It
-does no I/O and reads no clock, so the same seed, times and events give the same actions. The mechanism is
-described in docs/design.md.
+The engine dispatches each event to the components that handle it, and owns the records of requests and
+customers. It does no I/O and reads no clock, so it is deterministic for a given seed, times and events. The
+design is described in docs/design.md.
 """
 
 from __future__ import annotations
@@ -39,20 +39,22 @@
 from drumgw.policy.retry import RetryPolicy
 
 TICK_MS = 100.0
-"""Time between two updates of rates, limits and overdue attempts."""
+"""Interval at which rates and limits are updated and overdue attempts are detected."""
 TICK_TIMER_ID = 0
 STALL_MS = 300.0
-"""Ticks come more often: without any event for so long, this process did not run."""
+"""A longer gap between events means that this process did not run, as ticks are more frequent."""
 SWEEP_PROBABILITY = 0.02
-"""Odds, at each tick, that idle accounts are dropped."""
+"""Probability, at each tick, that idle accounts are dropped."""
 
 
 class PolicyEngine:
-    """Decides for one gateway. A subclass may name other classes for the parts whose rules it replaces.
+    """Makes the decisions of one gateway.
+
+    A subclass may replace components by overriding the class attributes.
 
     Args:
-        seed: of the random source; the only randomness there is.
-        settings: what the gateway was started with.
+        seed: seed of the random generator, the only source of randomness.
+        settings: the gateway's start-up settings.
     """
 
     admission_class: type[AdmissionControl] = AdmissionControl
@@ -69,9 +71,9 @@
         self.max_request_units = settings.max_request_units
         self.plans = [PlanLimits.from_plan(plan) for plan in settings.plans]
         self.accounts: dict[int, QuotaAccount] = {}
-        """By customer."""
+        """Quota accounts by customer."""
         self.pending: dict[int, PendingRequest] = {}
-        """By request id; those that are owed an answer."""
+        """Requests without a final answer, by request id."""
         self.back_end = BackEnd(context, settings)
         self.retries = RetryPolicy(context, settings, self.back_end.overload)
         self.counter_calls = CounterCalls(context, settings, self.back_end.overload.describe)
@@ -95,20 +97,20 @@
         )
 
     def start(self, now_ms: float) -> list[Action]:
-        """Begins; called once, before any event.
+        """Starts the engine; called once, before the first event.
 
         Returns:
-            The first actions.
+            The initial actions.
         """
         self.context.started_at_ms = now_ms
         return [SetTimer(TICK_MS, TICK_TIMER_ID)]
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Decides on one event.
+        """Handles one event.
 
         Args:
-            now_ms: the current time; it never goes back.
-            event: what happened.
+            now_ms: the current time; never decreases between calls.
+            event: the event to handle.
 
         Returns:
             The actions to take, in order.
@@ -122,7 +124,11 @@
         return context.actions
 
     def _record_stall(self, now_ms: float) -> None:
-        """Guards against a time in which this process did not run: no endpoint is charged with it."""
+        """Handles a time in which this process did not run.
+
+        It is excluded from the age of attempts, as endpoints would otherwise be blamed for it, and requests
+        that could not outlive another such stall no longer wait for the counter.
+        """
         stall_ms = now_ms - self.context.now_ms
         self.context.stall_ended_at_ms = now_ms
         self.counter_poller.record_stall(stall_ms)
@@ -174,7 +180,7 @@
         self.counter_calls.record_reply(event)
 
     def _response_started(self, _event: ResponseStarted) -> None:
-        """No decision depends on it: the response is the client's, and its attempt ends as others do."""
+        """Does nothing: a streamed response cannot be retried, and its attempt ends with `AttemptEnded`."""
 
     def _gateway_stopping(self, _event: GatewayStopping) -> None:
         for account in self.accounts.values():
