--- a/drumgw/policy/endpoint_state.py
+++ b/drumgw/policy/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What is known of one endpoint, and of its attempts in flight."""
+"""State of one endpoint: its health, warm-up, latency and attempts in flight."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 
 
 class HealthState(MachineEnum):
-    """Whether an endpoint is sent requests of one class."""
+    """Whether an endpoint receives requests of one class."""
 
     HEALTHY = "healthy"
     EJECTED = "ejected"
-    """Sent nothing for a time."""
+    """Receives no requests of the class until the ejection ends."""
     HALF_OPEN = "half-open"
-    """Sent one request, whose outcome decides."""
+    """Receives one trial request, whose outcome decides whether it is ejected again."""
 
 
 @dataclass(slots=True, eq=False)
 class ClassHealth:
-    """An endpoint's health for one request class. Written by `OutlierDetector`; lives with its endpoint."""
+    """An endpoint's health for one request class. Written by `OutlierDetector` only."""
 
     state: HealthState = HealthState.HEALTHY
     ejected_until_ms: float = 0.0
     ejection_ms: float = 0.0
-    """Length of the last ejection; 0 after a success."""
+    """Duration of the last ejection, which the next one doubles; 0 after a success."""
     failure_share: float = 0.0
-    """Recent share of attempts that failed."""
+    """Moving average of the share of attempts that failed."""
     last_success_at_ms: float = LONG_AGO_MS
 
 
 @dataclass(slots=True, eq=False)
 class AttemptInFlight:
-    """An attempt that has not ended. Written by `AttemptTracker`, which drops it when the attempt ends."""
+    """An attempt that has not ended. Written by `AttemptTracker`, which removes it when the attempt ends."""
 
     class_index: int
     sent_at_ms: float
     overdue_at_ms: float
-    """When it is counted as overdue; `NEVER_MS` once it is."""
+    """When it will be counted as overdue; `NEVER_MS` once it has been."""
 
     @property
     def is_overdue(self) -> bool:
@@ -48,44 +48,47 @@
         return self.overdue_at_ms == NEVER_MS
 
     def shift(self, stall_ms: float) -> None:
-        """Leaves a stall of this process out of its age."""
+        """Excludes a stall of this process from the attempt's age."""
         self.sent_at_ms += stall_ms
         self.overdue_at_ms += stall_ms
 
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """One endpoint. `EndpointSet` drops it when it is off the list and has no attempt in flight."""
+    """One endpoint. `EndpointSet` removes it once it is no longer listed and has no attempts in flight."""
 
     endpoint_id: int
     zone: int
     cell: int
     started_at_ms: float | None
-    """When it started cold; None for one that was warm when it was first listed."""
+    """When it started cold; None if it was already warm when first listed."""
     hash_key: int
     class_health: list[ClassHealth]
-    """By class index: an endpoint may fail one class and serve the others."""
+    """Health by class index, as an endpoint may fail one class and serve the others."""
     warm_up_tokens: float
-    """Attempts that it may be sent while warming up. Written by `SlowStart` and `RequestFlow`."""
+    """Attempts that it may receive while warming up. Written by `SlowStart` and `RequestFlow`."""
     tokens_at_ms: float
+    """When the tokens were last refilled."""
     last_answer_at_ms: float
+    """When `slowness` was last updated; initially when it was listed."""
     slowness: float = 1.0
-    """Its high latency quantile, as a multiple of all endpoints' one. Written by `latency`."""
+    """Its high latency quantile, as a multiple of that of all endpoints. Written by `latency`."""
     is_listed: bool = True
+    """False once the endpoint list omits it or reports it as draining or removed."""
     attempts: dict[int, AttemptInFlight] = field(default_factory=dict)
-    """By request id."""
+    """Attempts in flight, by request id."""
 
     @classmethod
     def from_info(
         cls, info: EndpointInfo, now_ms: float, class_count: int, warm_up_tokens: float
     ) -> EndpointState:
-        """A newly listed endpoint.
+        """Creates the state of a newly listed endpoint.
 
         Args:
             info: its entry in the endpoint list.
             now_ms: the current time.
             class_count: number of request classes.
-            warm_up_tokens: attempts that it may be sent at once if it is warming up.
+            warm_up_tokens: initial number of attempts that it may receive while warming up.
         """
         return cls(
             endpoint_id=info.endpoint_id,
