--- a/drumgw/policy/request_flow.py
+++ b/drumgw/policy/request_flow.py
@@ -1,4 +1,4 @@
-"""Takes a request from its arrival to its final answer: admits, forwards, retries, finishes."""
+"""Handles requests from arrival to final answer: admission, forwarding, retries and completion."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from drumgw.policy.state_machine import Transitions, advance
 
 MIN_TIME_LEFT_MS = 1.0
-"""With less time left nothing is forwarded any more."""
+"""No attempt is started with less time left until the deadline."""
 
 
 class RequestFlow:
-    """The state machine of requests, and what happens at its transitions."""
+    """The state machine of requests, and the effects of its transitions."""
 
     def __init__(
         self,
@@ -57,7 +57,12 @@
         self.transitions = REQUEST_TRANSITIONS
 
     def receive(self, event: RequestReceived, account: QuotaAccount) -> None:
-        """Handles a new request, whose account has been refilled up to now."""
+        """Handles a new request, which may first wait for a total of the shared counter.
+
+        Args:
+            event: the request as received.
+            account: its customer's account, refilled up to now.
+        """
         class_rank = self.class_ranks[event.request_class]
         request = PendingRequest(
             request_id=event.request_id,
@@ -77,18 +82,18 @@
             self.decide(request)
 
     def resume(self, request: PendingRequest) -> None:
-        """Decides a request that waited for the counter's total, if it still does."""
+        """Decides a request that waited for the counter's total, unless it has ended meanwhile."""
         if request.state is RequestState.NEW and request.request_id in self.pending:
             request.retry_after_ms = self.admission.quota_wait_ms(request)
             self.decide(request)
 
     def decide(self, request: PendingRequest) -> None:
-        """Admits a request or rejects it."""
+        """Admits or rejects a request, by its quota and by the load."""
         self.admission.limit_by_load(request)
         self.advance(request, RequestInput.REJECTED if request.retry_after_ms else RequestInput.ADMITTED)
 
     def attempt_ended(self, event: AttemptEnded) -> None:
-        """Retries a request, or ends it, after an attempt."""
+        """Completes or retries a request whose attempt has ended."""
         request = self.pending.get(event.request_id)
         if request is None:
             return
@@ -106,7 +111,7 @@
         self.advance(request, RequestInput.CLIENT_GONE if event.is_final else RequestInput.ATTEMPT_FAILED)
 
     def client_disconnected(self, request_id: int) -> None:
-        """Ends a request whose client has gone, and cancels its attempt."""
+        """Ends a request whose client has disconnected, and cancels its attempt."""
         request = self.pending.get(request_id)
         if request is None:
             return
@@ -117,14 +122,18 @@
                 self.context.actions.append(CancelAttempt(request.request_id, attempt))
         self.advance(request, RequestInput.CLIENT_GONE)
 
-    def advance(self, request: PendingRequest, given: RequestInput) -> None:
-        """Applies an input to a request's state."""
-        advance(self.transitions, self, request, given)
+    def advance(self, request: PendingRequest, request_input: RequestInput) -> None:
+        """Applies an input to the state machine of a request."""
+        advance(self.transitions, self, request, request_input)
 
-    # Effects of the transitions
+    # Transition effects
 
     def forward(self, request: PendingRequest) -> RequestInput | None:
-        """Starts the next attempt at the endpoint that is chosen for it."""
+        """Starts the next attempt at a selected endpoint.
+
+        Returns:
+            `NO_ENDPOINT` if no attempt may be started, else None.
+        """
         is_retry = len(request.tried_endpoints) > 0
         time_left_ms = request.deadline_ms - self.context.now_ms
         may_start = len(request.tried_endpoints) < self.max_attempts and time_left_ms > MIN_TIME_LEFT_MS
@@ -143,7 +152,10 @@
         return None
 
     def _charge(self, request: PendingRequest) -> None:
-        """Charges the first attempt to the account, and reports it where the counter was to be polled."""
+        """Charges a request to its account at its first attempt.
+
+        A request within its quota that was selected to poll the counter is also reported to the counter.
+        """
         account = request.account
         reservation_units = self.counter_sync.reservation_units(account, request.class_rank)
         account.charge(request.units, request.class_rank, request.is_over_quota)
@@ -151,18 +163,18 @@
             self.counter_sync.report(request.exchange, reservation_units)
 
     def retry(self, request: PendingRequest) -> RequestInput | None:
-        """Forwards a request again where that is allowed."""
+        """Forwards a request again if a retry is allowed."""
         if not self.retries.may_retry(request):
             return RequestInput.NO_ENDPOINT
         return self.forward(request)
 
     def finish(self, request: PendingRequest) -> None:
-        """Gives the final answer to a request that is not served."""
+        """Rejects or fails a request that was not served."""
         self.context.actions.append(self.retries.final_answer(request))
         self.forget(request)
 
     def forget(self, request: PendingRequest) -> None:
-        """Drops a request that is owed nothing any more."""
+        """Removes a request that needs no further answer."""
         del self.pending[request.request_id]
 
 
