--- a/drumgw/policy/slow_start.py
+++ b/drumgw/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how much an endpoint that is warming up may be sent."""
+"""Slow start: limits the attempts sent to endpoints that are warming up."""
 
 from __future__ import annotations
 
@@ -8,16 +8,18 @@
 from drumgw.policy.endpoint_state import EndpointState
 
 BUDGET_FRACTION = 0.4
-"""Part of what a warming endpoint bears that the gateways use together."""
+"""Fraction of the tolerated load of a warming endpoint that all gateways together use."""
 MAX_TOKENS = 1.0
+"""Tokens that an endpoint may accumulate: without bursts, one attempt at a time."""
 MIN_WARM_UP_MS = 1.0
 
 
 class SlowStart:
-    """Guards endpoints that fail when they are sent too much before they are warm.
+    """Token buckets that protect endpoints which fail under too much load before they are warm.
 
-    Such a failure shows as an endpoint that starts and soon serves nothing. The budget is a part of what
-    nearby warm endpoints complete for this gateway, so the sum over all gateways keeps the rule too.
+    Such a failure shows as an endpoint that stops serving requests soon after it starts. The refill rate is a
+    fraction of the rate at which a nearby endpoint completes requests for this gateway, so that the limit
+    also holds for the sum over all gateways.
     """
 
     def __init__(self, context: DecisionContext, settings: GatewaySettings, endpoints: EndpointSet) -> None:
@@ -28,13 +30,13 @@
         self.budget_multiple = BUDGET_FRACTION * settings.warm_up_overload_multiple
 
     def warm_up_fraction(self, endpoint: EndpointState) -> float:
-        """The part of its full capacity that an endpoint has now."""
+        """The fraction of its full capacity that an endpoint has now; 1 once it is warm."""
         started_at_ms = endpoint.started_at_ms
         progress = 1.0 if started_at_ms is None else (self.context.now_ms - started_at_ms) / self.duration_ms
         return min(1.0, self.initial_fraction + (1 - self.initial_fraction) * progress)
 
     def may_send(self, endpoint: EndpointState) -> bool:
-        """Whether an endpoint is warm, or has a token for an attempt; its tokens are refilled up to now."""
+        """Refills an endpoint's tokens; returns whether it is warm or has a token for an attempt."""
         fraction = self.warm_up_fraction(endpoint)
         if fraction >= 1.0:
             return True
