--- a/drumgw/model/__init__.py
+++ b/drumgw/model/__init__.py
@@ -1,5 +1,5 @@
-"""The typed messages and settings that the policy engine and its surroundings share.
+"""Typed events, actions and settings: the interface between the policy engine and its callers.
 
-`events` is what the engine is told, `actions` what it asks for, `settings` what it knows from the start.
-`settings_reader` turns the platform's settings into `settings`; the platform's own names end there.
+`events` are the engine's inputs, `actions` its outputs, and `settings` its start-up configuration.
+`settings_reader` converts the platform's settings, with the platform's names, into `settings`.
 """
