--- a/drumgw/model/actions.py
+++ b/drumgw/model/actions.py
@@ -1,6 +1,7 @@
-"""What the policy engine asks for.
+"""Actions: the outputs of the policy engine, carried out by its caller.
 
-Times are in milliseconds, with fractions; points in time are on the clock that the events are told by.
+Times are in milliseconds, with fractions. Points in time are on the clock whose time is passed to the engine
+with each event.
 """
 
 from __future__ import annotations
@@ -10,18 +11,18 @@
 
 
 class ForwardRequest(NamedTuple):
-    """Start the request's next attempt, at this endpoint."""
+    """Start the request's next attempt at this endpoint."""
 
     request_id: int
     endpoint_id: int
     deadline_ms: float
-    """When the attempt is given up; 0 for the request's own deadline."""
+    """When the attempt is abandoned; 0 for the request's own deadline."""
     write_by_ms: float = inf
-    """The attempt's last byte leaves by then, or the attempt is withdrawn."""
+    """Withdraw the attempt if its last byte has not been written by this time."""
 
 
 class RejectRequest(NamedTuple):
-    """Answer that nothing was done and that the client may try again (503)."""
+    """Answer that the request was not served and may safely be retried by the client (503)."""
 
     request_id: int
     retry_after_ms: float
@@ -34,26 +35,26 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Call an attempt off."""
+    """Cancel an attempt in flight."""
 
     request_id: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
-    """Tell `TimerFired` after this time."""
+    """Deliver a `TimerFired` event after a delay."""
 
     delay_ms: float
     timer_id: int
 
 
 class AddToCounter(NamedTuple):
-    """Add to a value of the shared counter and tell its total; an amount of 0 only reads it."""
+    """Add to a value of the shared counter; an amount of 0 only reads it. `CounterReplied` has the total."""
 
     counter_key: int
     amount: float
     ttl_ms: float
-    """How long the counter keeps a new value."""
+    """Expiry of the value, if this call creates it."""
 
 
 class LogMessage(NamedTuple):
