--- a/drumgw/model/events.py
+++ b/drumgw/model/events.py
@@ -1,7 +1,7 @@
-"""What the policy engine is told.
+"""Events: the inputs of the policy engine.
 
-Times are in milliseconds, with fractions. Requests, endpoints and customers are opaque numbers; a request's
-attempts are numbered from 0.
+Times are in milliseconds, with fractions. Requests, endpoints and customers are identified by opaque numbers;
+the attempts of a request are numbered from 0.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 
     SUCCEEDED = "succeeded"
     FAILED = "failed"
-    """A complete response that reports an error: the request may have run."""
+    """Complete response that reports an error; the request may have run."""
     REJECTED = "rejected"
-    """The peer had no capacity, and says that nothing ran."""
+    """The peer reported that it had no capacity and ran nothing."""
     TIMED_OUT = "timed out"
-    """Given up at its deadline: the request may have run."""
+    """No response before the deadline; the request may have run."""
     UNREACHABLE = "unreachable"
-    """No connection, or it broke before the last byte was written: nothing ran."""
+    """No connection, or it broke before the last byte was written; nothing ran."""
     BROKEN_RESPONSE = "broken response"
-    """No complete, valid response: the request may have run."""
+    """Incomplete or invalid response; the request may have run."""
     CANCELLED = "cancelled"
-    """Called off by this gateway: the request may have run."""
+    """Cancelled by this gateway; the request may have run."""
     NOT_SENT = "not sent"
-    """Withdrawn here before its last byte was written, for no fault of the endpoint's: nothing ran."""
+    """Withdrawn by this gateway before its last byte was written, not due to the endpoint; nothing ran."""
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the endpoint may have run the request: decides about retries and about the answer."""
+        """Whether the endpoint may have run the request; determines retries and the final answer."""
         return self not in (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
 
 
 class EndpointStatus(Enum):
-    """What the endpoint list says of an endpoint."""
+    """Status of an endpoint in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -50,23 +50,23 @@
     zone: int
     cell: int
     machine_type: str
-    """Told by discovery; no decision reads it."""
+    """Provided by discovery; not used in decisions."""
     status: EndpointStatus
     started_at_ms: float | None
-    """When it started cold; None for one that was warm when it was first listed."""
+    """When it started cold; None if it was already warm when first listed."""
     weight: float
-    """Told by discovery; no decision reads it."""
+    """Provided by discovery; not used in decisions."""
 
 
 class EndpointsUpdated(NamedTuple):
-    """The endpoint list, complete, or its changes only."""
+    """An update of the endpoint list: the complete list, or only its changes."""
 
     is_complete: bool
     endpoints: tuple[EndpointInfo, ...]
 
 
 class RequestReceived(NamedTuple):
-    """A client's request has been read."""
+    """A client's request has been read completely."""
 
     request_id: int
     time_left_ms: float
@@ -77,42 +77,42 @@
     """Estimated cost, in units of the customer's quota."""
     is_client_retry: bool
     gateway_count: int
-    """How many gateways this customer's requests come in through, from `first_gateway` on."""
+    """Number of gateways, starting at `first_gateway`, that receive this customer's requests."""
     first_gateway: int
-    """Told by the client; no decision reads it."""
+    """Sent by the client; not used in decisions."""
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt has ended. Told exactly once for each attempt that was started."""
+    """An attempt has ended. Delivered exactly once for each attempt that was started."""
 
     request_id: int
     attempt: int
     endpoint_id: int
     outcome: Outcome
     duration_ms: float
-    """Time since it was started, less what this process stood still."""
+    """Time since the attempt started, excluding stalls of this process."""
     is_final: bool
-    """Whether the client has been answered, or has gone: nothing more is owed."""
+    """Whether the client has been answered or has disconnected, so that no answer is pending."""
     billed_units: float
-    """True cost; 0 where the endpoint did not tell."""
+    """Actual cost; 0 if the endpoint did not report it."""
     load_report: dict[str, float]
-    """What the endpoint reports of its load; no decision reads it."""
+    """Load figures that the endpoint reported; not used in decisions."""
 
 
 class ResponseStarted(NamedTuple):
-    """A streamed response has begun; from now on it belongs to the client. No decision depends on it."""
+    """A streamed response has started, so the request can no longer be retried. Not used in decisions."""
 
     request_id: int
 
 
 class ClientDisconnected(NamedTuple):
-    """The client has gone; nothing is owed for this request any more."""
+    """The client has disconnected; the request needs no answer."""
 
     request_id: int
 
 
 class TimerFired(NamedTuple):
-    """A timer that `SetTimer` asked for has fired."""
+    """A timer started by `SetTimer` has fired."""
 
     timer_id: int
 
@@ -123,12 +123,12 @@
     counter_key: int
     outcome: Outcome
     total: float
-    """The counter's value after the call; only meaningful for SUCCEEDED."""
+    """The counter's value after the call; valid only if the outcome is SUCCEEDED."""
     duration_ms: float
 
 
 class GatewayStopping(NamedTuple):
-    """The gateway has finished its requests and is about to exit: unspent reservations are returned."""
+    """The gateway has finished its requests and is about to exit; unused reservations are returned."""
 
 
 Event = (
