--- a/drumgw/model/settings.py
+++ b/drumgw/model/settings.py
@@ -1,7 +1,7 @@
-"""The settings that a gateway is started with.
+"""Start-up settings of a gateway.
 
-Times are in milliseconds, with fractions. A unit is what quotas are metered in. Request classes, plans and
-zones are known by their index in the settings' own lists.
+Times are in milliseconds, with fractions. Quotas are measured in units. Request classes, plans and zones are
+identified by their index in the lists of the settings.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request that may have run already may be sent again."""
+    """Whether a request that may already have run can be sent again."""
 
     IDEMPOTENT = "idempotent"
     IDEMPOTENT_WITH_KEY = "idempotent with a key"
@@ -19,7 +19,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints share the memory in which a request's idempotency key is looked up."""
+    """Which endpoints share the store of idempotency keys that detects repeated requests."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,71 +28,72 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What holds for all requests of one class."""
+    """Properties of all requests of one class."""
 
     priority_weight: float
-    """Value of a request answered within the latency objective; ranks the classes."""
+    """Value of a request answered within the latency objective; the class with the highest ranks first."""
     latency_objective_ms: float
-    """An answer within this time earns the full value."""
+    """Answers within this time have the full value."""
     deadline_ms: float
-    """The longest time that a client of this class waits."""
+    """Longest time that clients of this class wait for an answer."""
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
-    """Read only for requests that are idempotent with a key."""
+    """Used only if requests are idempotent with a key."""
     idempotency_window_ms: float
-    """How long endpoints remember a key after they first saw it."""
+    """How long endpoints retain a key after its first use."""
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a customer of one plan has bought."""
+    """Quota, concurrency cap and ceiling of the customers of one plan."""
 
     units_per_s: float
     """Rate at which the quota refills; 0 for a plan without a quota."""
     burst_units: float
-    """What the quota holds at most."""
+    """Capacity of the quota."""
     max_concurrent_attempts: int
-    """Attempts in flight at once, over all gateways; 0 for no cap."""
+    """Cap on attempts in flight, over all gateways; 0 for no cap."""
     over_quota_value_share: float
-    """Share of its value that a request beyond the quota earns."""
+    """Value of a request beyond the quota, as a share of its full value."""
     over_quota_cost_share: float
-    """Share of its value that a request beyond the quota costs."""
+    """Cost of a request beyond the quota, as a share of its full value."""
     ceiling_units_per_s: float
-    """Rate of the hard ceiling, which nothing may ever pass; 0 for no ceiling."""
+    """Refill rate of the hard ceiling, which no request may exceed; 0 for no ceiling."""
     ceiling_burst_units: float
+    """Capacity of the hard ceiling."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """What a gateway is told at its start."""
+    """All settings of one gateway."""
 
     ordinal: int
-    """This gateway's number, from 0."""
+    """This gateway's number, starting at 0."""
     gateways: int
-    """How many gateways the platform runs."""
+    """Number of gateways that the platform runs."""
     zone: int
     request_classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     max_request_units: float
-    """No request is larger."""
+    """Cost of the largest possible request."""
     has_counter: bool
-    """Whether there is a counter that all gateways share."""
+    """Whether the gateways share a counter."""
     counter_timeout_ms: float
     cancellation_allowed: bool
-    """Whether an attempt in flight may be called off."""
+    """Whether an attempt in flight may be cancelled."""
     hedging_allowed: bool
     """Whether a second attempt may start while the first is in flight."""
     max_retry_after_ms: float
-    """The longest Retry-After that clients observe; 0 where none is passed on."""
+    """Longest Retry-After that clients observe; 0 if it is not passed on to them."""
     max_attempts: int
-    """Attempts of one request at most, the first included."""
+    """Maximum number of attempts of one request, including the first."""
     warm_up_initial_fraction: float
-    """Share of its capacity that an endpoint has as it starts."""
+    """Fraction of its full capacity that an endpoint has when it starts."""
     warm_up_ms: float
-    """Time from an endpoint's start to its full capacity, in a straight line."""
+    """Time from an endpoint's start to its full capacity, which it approaches linearly."""
     warm_up_overload_multiple: float
-    """A warming endpoint fails when it is sent more than this multiple of what it can do."""
+    """A warming endpoint fails if it receives more than this multiple of its current capacity."""
     cross_zone_fee: float
-    """Cost of an attempt in another zone; above 0 the own zone goes first."""
+    """Cost of an attempt in another zone; if above 0, endpoints of the gateway's zone are preferred."""
     load_report_fields: tuple[str, ...]
-    """Names of the figures that endpoints report with their responses; empty where they report none."""
+    """Names of the load figures that endpoints report with their responses; empty if they report none."""
