--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,6 +1,6 @@
-"""Requests and endpoints as one gateway decides on them: retries, selection, health, load.
+"""The decisions of one gateway about requests and endpoints: retries, selection, health and load.
 
-Each test plays a story and compares the decisions with a trace in `tests/traces/`, kept for reading.
+Most tests play a sequence of events and compare the decisions with a readable trace in `tests/traces/`.
 """
 
 from __future__ import annotations
@@ -17,29 +17,30 @@
 
 
 class RetryTest(TraceCase):
-    """What may be sent again, and the final answer."""
+    """Which requests are retried, and their final answer."""
 
     def test_not_idempotent(self) -> None:
-        """A request that is not idempotent fails at an endpoint, or is given up: it may have run.
+        """Guards against running a non-idempotent request twice.
 
-        Sent again, it might run twice. Only where nothing ran it goes elsewhere, and is rejected in the end.
+        After a failure or a time-out it may have run, so it must fail. If nothing ran, it is retried at other
+        endpoints and finally rejected.
         """
         harness = PolicyHarness(has_counter=False)
-        harness.note("may have run: fails, nothing more")
+        harness.note("may have run: fails without a retry")
         harness.end_attempt(harness.request(TOP), Outcome.FAILED)
-        harness.note("given up at its deadline: fails")
+        harness.note("timed out at its deadline: fails")
         harness.end_attempt(harness.request(TOP, time_left_ms=2000.0), Outcome.TIMED_OUT, 2000.0)
-        harness.note("never ran: elsewhere, at last rejected")
+        harness.note("never ran: retried at other endpoints, finally rejected")
         request = harness.request(TOP)
         for _ in range(3):
             harness.end_attempt(request, Outcome.UNREACHABLE)
         self.assert_trace(harness, "not-idempotent")
 
     def test_keyed_request_stays_in_its_zone_and_window(self) -> None:
-        """A request with an idempotency key may have run, and endpoints of one zone remember its key for 3 s.
+        """Guards against running a request with an idempotency key twice.
 
-        In another zone, or later, a retry would run again; so it stays in the zone, and fails after the
-        window.
+        Only the endpoints of one zone share its key, and only for 3 s. Elsewhere or later a retry would run
+        again; so retries stay in the zone, and the request fails after the window.
         """
         harness = PolicyHarness(
             request_classes=(KEYED_IN_ZONE_CLASS, IDEMPOTENT_CLASS),
@@ -59,9 +60,9 @@
         self.assert_trace(harness, "keyed-in-zone")
 
     def test_client_gone_is_cancelled_and_never_sent_again(self) -> None:
-        """A client disconnects while its request is in flight.
+        """Guards against work for a client that has disconnected.
 
-        Nobody waits for the response any more, so the attempt is cancelled, and not retried when it ends.
+        Nobody waits for the response, so the attempt is cancelled, and not retried when it ends.
         """
         harness = PolicyHarness(has_counter=False)
         request = harness.request(LOWER)
@@ -71,7 +72,7 @@
 
 
 class EndpointListTest(TraceCase):
-    """Which endpoints are used."""
+    """Which endpoints receive requests, as the endpoint list changes."""
 
     def test_no_endpoint_known(self) -> None:
         harness = PolicyHarness(endpoints=0, has_counter=False)
@@ -80,7 +81,7 @@
         self.assert_trace(harness, "no-endpoint")
 
     def used_endpoints(self, harness: PolicyHarness) -> list[int]:
-        """The endpoints that get the requests of five customers."""
+        """Returns the endpoints that receive the requests of five customers."""
         requests = [harness.request(LOWER, 0.1, customer) for customer in range(5)]
         for request in requests:
             harness.end_attempt(request)
@@ -97,9 +98,9 @@
         self.assert_trace(harness, "draining")
 
     def test_an_endpoint_that_warms_up_gets_a_part(self) -> None:
-        """An endpoint starts cold, and would fail under the load of a warm one.
+        """Guards against sending a cold endpoint the load of a warm one, under which it would fail.
 
-        It gets a part of what the others complete, which grows as it warms up.
+        It receives a fraction of what the others complete, which grows as it warms up.
         """
         harness = PolicyHarness(endpoints=3, has_counter=False)
         started = harness.endpoint_info(3, EndpointStatus.READY, harness.now_ms)
@@ -116,9 +117,10 @@
         self.assert_trace(harness, "warm-up")
 
     def test_gateways_share_the_fleet_out(self) -> None:
-        """Fifty gateways get three requests each of one customer, which ranks the fleet alike for all.
+        """Guards against all gateways sending to the same endpoint.
 
-        Without nearby endpoints all would go to the first of that ranking.
+        Fifty gateways receive three requests each from one customer, whose hash gives the same order of
+        endpoints at every gateway. Without nearby subsets, all requests would go to the first of that order.
         """
         harness = PolicyHarness(endpoints=0)
         attempts: dict[int, int] = {}
@@ -130,45 +132,46 @@
                 attempts[endpoint] = attempts.get(endpoint, 0) + 1
                 gateway.end_attempt(request)
         most = max(attempts.values())
-        harness.note(f"150 requests through 50 gateways: {len(attempts)} of 50 endpoints, {most} at most")
+        harness.note(
+            f"150 requests through 50 gateways: {len(attempts)} of 50 endpoints used, at most {most} each"
+        )
         self.assert_trace(harness, "nearby-endpoints")
 
 
 class OutlierTest(TraceCase):
-    """Endpoints that fail."""
+    """Ejection of endpoints that fail, and trial requests."""
 
     def test_silent_endpoint_is_ejected_and_its_requests_go_elsewhere(self) -> None:
-        """An endpoint accepts requests and never answers, so it fails none and looks idle.
+        """Guards against an endpoint that accepts requests but never answers, so it looks idle and healthy.
 
-        An attempt that is overdue is cancelled and sent elsewhere; after the second one the endpoint is
-        ejected.
+        An overdue attempt is cancelled and its request is sent elsewhere; the second one ejects the endpoint.
         """
         harness = PolicyHarness(has_counter=False)
         request = harness.request(LOWER, 0.1, time_left_ms=30000.0)
         harness.advance(2200)
-        harness.note("cancelled; it goes elsewhere, and succeeds")
+        harness.note("cancelled; retried at another endpoint, where it succeeds")
         harness.end_attempt(request, Outcome.CANCELLED)
         harness.end_attempt(request)
-        harness.note("a second one overdue there: the endpoint is ejected for this class")
+        harness.note("second overdue attempt there: the endpoint is ejected for this class")
         harness.request(LOWER, 0.1, time_left_ms=30000.0)
         harness.advance(2200)
         self.assert_trace(harness, "silent-endpoint")
 
     def test_responses_that_break_at_all_endpoints_alike_eject_none(self) -> None:
-        """The network breaks connections, to whichever endpoint they go.
+        """Guards against ejecting the whole fleet when the network breaks connections to all endpoints.
 
-        Each broken response looks like its endpoint's failure; ejecting them one by one would take the whole
-        fleet out. Only an endpoint that breaks more than its fellows is ejected.
+        Each broken response looks like a failure of its endpoint. Only an endpoint with clearly more broken
+        responses than the others is ejected.
         """
         harness = PolicyHarness(has_counter=False)
-        harness.note("one broken response ejects none")
+        harness.note("one broken response: no endpoint is ejected")
         harness.end_attempt(harness.request(TOP, 0.1), Outcome.BROKEN_RESPONSE)
-        harness.note("nor do some in each eight, from whichever endpoint")
+        harness.note("two of every eight responses broken, at any endpoint: none is ejected")
         for number in range(40):
             is_broken = number % 8 < 2
             outcome = Outcome.BROKEN_RESPONSE if is_broken else Outcome.SUCCEEDED
             harness.end_attempt(harness.request(TOP, 0.1, customer=number), outcome)
-        harness.note("one endpoint breaks all it gets: it is ejected")
+        harness.note("all responses of one endpoint broken: it is ejected")
         for number in range(40):
             request = harness.request(TOP, 0.1, customer=number)
             is_broken = harness.attempted_endpoints[request][-1] == 2
@@ -177,9 +180,9 @@
         self.assert_trace(harness, "broken-responses")
 
     def test_an_endpoint_that_fails_one_class_serves_the_other(self) -> None:
-        """An endpoint lacks what one request class needs, and serves the other well.
+        """Guards against ejecting an endpoint for all classes when it fails only one of them.
 
-        It is ejected for that class only; after a time one request of the class tries it again.
+        It is ejected for that class only; when the ejection ends, a single trial request is sent.
         """
         harness = PolicyHarness(endpoints=2, has_counter=False, warm_up_ms=0.0)
         for customer in range(12):
@@ -194,16 +197,16 @@
             harness.end_attempt(request)
         harness.trace = [line for line in harness.trace if "log" in line]
         top, lower = attempts
-        harness.note(f"endpoint 0 fails one class; then to endpoints 0, 1: {top}, the other class {lower}")
+        harness.note(f"endpoint 0 failed the top class; sent to endpoints 0, 1: {top}, lower class {lower}")
         harness.advance(16000)
         requests = [harness.request(TOP, 0.1, customer) for customer in range(6)]
         trials = [harness.attempted_endpoints[request] for request in requests].count([0])
         harness.trace = [line for line in harness.trace if "forward" not in line]
-        harness.note(f"after its ejection it is tried: of 6 requests in flight at once it has {trials}")
+        harness.note(f"its ejection is over: of 6 concurrent requests it receives {trials}")
         self.assert_trace(harness, "class-health")
 
     def attempts_at(self, harness: PolicyHarness, endpoint: int, request_class: int, first: int) -> int:
-        """How many requests of 20 customers, from the first one on, go to an endpoint and succeed."""
+        """Sends one successful request for each of 20 customers; returns how many go to an endpoint."""
         attempts = 0
         for customer in range(first, first + 20):
             request = harness.request(request_class, 0.1, customer)
@@ -212,53 +215,58 @@
         return attempts
 
     def test_requests_that_are_not_idempotent_avoid_an_endpoint_that_failed_another_class(self) -> None:
-        """An endpoint fails a request of the idempotent class, which is retried and lost nothing.
+        """Guards against failing non-idempotent requests at an endpoint that already failed another class.
 
-        A request that is not idempotent cannot be sent again: it keeps away until the other class has
-        tried the endpoint and succeeded.
+        The idempotent request that failed there is retried at no loss, but a non-idempotent one cannot be.
+        These avoid the endpoint until a trial request of the other class has succeeded.
         """
         harness = PolicyHarness(has_counter=False)
         failed = harness.request(LOWER, 0.1)
-        bad = harness.attempted_endpoints[failed][0]
+        failing = harness.attempted_endpoints[failed][0]
         harness.end_attempt(failed, Outcome.FAILED)
         harness.end_attempt(failed)
-        got = self.attempts_at(harness, bad, TOP, first=2)
-        harness.note(f"endpoint {bad} failed an idempotent request; of 20 that are not it got {got}")
+        received = self.attempts_at(harness, failing, TOP, first=2)
+        harness.note(
+            f"endpoint {failing} failed the lower class; it receives {received} of 20 non-idempotent requests"
+        )
         harness.advance(17000)
-        got = self.attempts_at(harness, bad, TOP, first=2)
-        harness.note(f"its ejection is over, and nothing tried it yet: {got}")
-        tried = self.attempts_at(harness, bad, LOWER, first=22) + self.attempts_at(
-            harness, bad, LOWER, first=42
+        received = self.attempts_at(harness, failing, TOP, first=2)
+        harness.note(f"its ejection is over, without a trial yet: {received}")
+        trial_attempts = self.attempts_at(harness, failing, LOWER, first=22) + self.attempts_at(
+            harness, failing, LOWER, first=42
         )
-        self.assertGreater(tried, 0)
-        got = self.attempts_at(harness, bad, TOP, first=2)
-        harness.note(f"a trial succeeded: {got}")
+        self.assertGreater(trial_attempts, 0)
+        received = self.attempts_at(harness, failing, TOP, first=2)
+        harness.note(f"a trial succeeded: {received}")
         harness.trace = [line for line in harness.trace if "--" in line or "ejected" in line]
         self.assert_trace(harness, "not-idempotent-avoids-suspected")
 
     def test_own_stall_is_not_charged_to_endpoints(self) -> None:
-        """This process does not run for 8 s; the responses came in time, and are read late.
+        """Guards against blaming endpoints for a stall of this process.
 
-        They must not count as late, nor their attempts as overdue. From then on only requests that would
-        outlive such a stall wait for the counter.
+        The process does not run for 8 s, so responses that arrived in time are read late. They must not count
+        as late, nor their attempts as overdue. From then on, only requests with enough time left to survive
+        such a stall wait for the counter.
         """
         harness = PolicyHarness(has_counter=False)
         requests = [harness.request(LOWER, 0.1, customer, time_left_ms=30000.0) for customer in range(6)]
-        harness.note("this process stalls for 8 s; the responses are there, late")
+        harness.note("this process stalls for 8 s; the responses are read late")
         harness.now_ms += 8000
         for request in requests:
             harness.end_attempt(request, duration_ms=8000.0)
         harness.advance(200)
         late_share = harness.engine.back_end.overload.late_share
         needed_ms = harness.engine.counter_poller.min_time_left_to_wait_ms
-        harness.note(f"late share {late_share:.2f}; a request waits for a total with {needed_ms:.0f} ms left")
+        harness.note(
+            f"late share {late_share:.2f}; a request waits for a total with over {needed_ms:.0f} ms left"
+        )
         self.assert_trace(harness, "stall")
 
     def test_attempts_in_flight_do_not_age_by_a_stall(self) -> None:
-        """This process does not run for 8 s, and its timer fires before the responses are read.
+        """Guards against cancelling attempts whose responses have arrived but are not read yet.
 
-        By the clock all attempts are overdue then, and their endpoints silent. But the responses are there,
-        unread: nothing may be cancelled, and no endpoint suspected.
+        The process does not run for 8 s, and its timer fires before the responses are read. By the clock all
+        attempts are overdue then, but no attempt may be cancelled and no endpoint may be suspected.
         """
         harness = PolicyHarness(has_counter=False)
         for customer in range(6):
@@ -274,9 +282,9 @@
     """The concurrency limit and load shedding."""
 
     def test_limit_is_wide_while_no_answer_is_late(self) -> None:
-        """Requests of the lower class come at once while endpoints have capacity and answers are early.
+        """Guards against rejecting a burst of the lower class while endpoints have capacity.
 
-        A limit that goes by the pace of completions alone would reject them.
+        A limit derived from the completion rate alone would reject it.
         """
         harness = PolicyHarness(has_counter=False)
         for customer in range(16):
@@ -284,9 +292,10 @@
         self.assert_trace(harness, "limit-without-late-answers")
 
     def test_late_answers_shed_the_lower_class_first(self) -> None:
-        """The back end becomes slow, then recovers.
+        """Guards the top class while the back end is slow.
 
-        While answers are late the lower class is shed, and the top class goes on.
+        The back end slows down, then recovers. While answers are late, more requests of the lower
+        class are rejected than of the top class.
         """
         harness = PolicyHarness(has_counter=False, gateways=10)
         for lower_ms in (100.0, 1900.0, 100.0):
@@ -300,12 +309,12 @@
             lower = self.admitted_of_ten(harness, LOWER, top_ms)
             top = self.admitted_of_ten(harness, TOP, top_ms)
             harness.trace = [line for line in harness.trace if "--" in line or "log: back" in line]
-            text = f"{top} of 10 of the top class are admitted, {lower} of the other"
-            harness.note(f"answers in {lower_ms:.0f} ms: {text}")
+            admitted = f"admitted of 10: top class {top}, lower class {lower}"
+            harness.note(f"answers in {lower_ms:.0f} ms: {admitted}")
         self.assert_trace(harness, "load-shedding")
 
     def admitted_of_ten(self, harness: PolicyHarness, request_class: int, duration_ms: float) -> int:
-        """How many of ten requests at once are admitted."""
+        """Sends ten requests at once; returns how many are admitted."""
         requests = [harness.request(request_class, 0.1, 100 + customer) for customer in range(10)]
         admitted = sum(request in harness.attempted_endpoints for request in requests)
         for request in [r for r in harness.attempted_endpoints if r in harness.engine.pending]:
