--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Slow start over a whole fleet: what many gateways together send an endpoint that warms up."""
+"""Slow start over a whole fleet: the load that many gateways together put on an endpoint that warms up."""
 
 from __future__ import annotations
 
@@ -38,17 +38,18 @@
 INITIAL_FRACTION = 0.19
 WARM_UP_MS = 18000.0
 OVERLOAD_MULTIPLE = 1.5
-"""A strict one: an endpoint that gets more than this multiple of what it can do fails."""
+"""An endpoint fails if it receives more than this multiple of its current capacity; a strict setting."""
 OVERLOAD_WINDOW_MS = 3000.0
+"""Window in which the attempts at the cold endpoint are compared with its budget."""
 COLD_ENDPOINT = 1
-"""Starts in the middle of the run."""
+"""Id of the endpoint that starts cold, at the end of the quiet phase."""
 QUIET_MS = 15000.0
 BURST_MS = 20000.0
 CUSTOMERS = 400
 
 
 class Fleet:
-    """Gateways that share endpoints, on a clock of the test's own; every request is served."""
+    """Simulates gateways that share endpoints, on a virtual clock; every attempt succeeds."""
 
     def __init__(
         self, gateway_count: int, endpoint_count: int, requests_per_s: float, is_uneven: bool
@@ -59,12 +60,12 @@
         self.engines = [self.engine(ordinal, gateway_count) for ordinal in range(gateway_count)]
         self.traffic = [self.random.expovariate(1.0) if is_uneven else 1.0 for _ in self.engines]
         self.events: list[tuple[float, int, int, Event]] = []
-        self.order = itertools.count()
+        self.sequence = itertools.count()
         self.cold_attempts_ms: list[float] = []
 
     @staticmethod
     def engine(ordinal: int, gateway_count: int) -> PolicyEngine:
-        """The policy engine of one gateway."""
+        """Creates the policy engine of one gateway, seeded with its ordinal."""
         settings = gateway_settings(
             plans=(LARGE_PLAN,),
             gateways=gateway_count,
@@ -77,11 +78,11 @@
         return PolicyEngine(ordinal, settings)
 
     def schedule(self, time_ms: float, gateway: int, event: Event) -> None:
-        """Hands an event to a gateway at a time."""
-        heapq.heappush(self.events, (time_ms, next(self.order), gateway, event))
+        """Schedules an event for a gateway."""
+        heapq.heappush(self.events, (time_ms, next(self.sequence), gateway, event))
 
     def endpoint_list(self, cold_started_at_ms: float | None) -> EndpointsUpdated:
-        """The complete list, with the cold endpoint once it has started."""
+        """The complete endpoint list; without the cold endpoint if `cold_started_at_ms` is None."""
         first = COLD_ENDPOINT if cold_started_at_ms else COLD_ENDPOINT + 1
         endpoints = []
         for number in range(first, self.endpoint_count + 1):
@@ -90,12 +91,12 @@
         return EndpointsUpdated(True, tuple(endpoints))
 
     def play(self, start_ms: float, quiet_load: float, burst_load: float) -> float:
-        """A quiet time, then the cold endpoint starts and a burst begins.
+        """Runs a quiet phase, after which the cold endpoint starts and a burst begins.
 
         Args:
             start_ms: when the run starts.
-            quiet_load: requests in the quiet time, as a share of what all endpoints can do.
-            burst_load: the same in the burst.
+            quiet_load: request rate in the quiet phase, as a share of the capacity of all endpoints.
+            burst_load: the same for the burst.
 
         Returns:
             When the cold endpoint started.
@@ -105,8 +106,8 @@
             engine.start(start_ms)
             self.schedule(start_ms, gateway, self.endpoint_list(None))
             self.schedule(start_ms + TICK_MS * self.random.random(), gateway, TimerFired(0))
-            heard_at_ms = cold_started_at_ms + 100.0 * self.random.random()
-            self.schedule(heard_at_ms, gateway, self.endpoint_list(cold_started_at_ms))
+            updated_at_ms = cold_started_at_ms + 100.0 * self.random.random()
+            self.schedule(updated_at_ms, gateway, self.endpoint_list(cold_started_at_ms))
         end_ms = cold_started_at_ms + BURST_MS
         self.schedule_requests(start_ms, cold_started_at_ms, end_ms, quiet_load, burst_load)
         while self.events and self.events[0][0] < end_ms:
@@ -116,7 +117,7 @@
     def schedule_requests(
         self, start_ms: float, burst_ms: float, end_ms: float, quiet_load: float, burst_load: float
     ) -> None:
-        """Requests of random customers, through gateways by their traffic."""
+        """Schedules requests of random customers, distributed over gateways by their traffic."""
         time_ms = start_ms
         for request_id in itertools.count(1):
             load = quiet_load if time_ms < burst_ms else burst_load
@@ -131,8 +132,8 @@
             )
             self.schedule(time_ms, gateway, request)
 
-    def step(self, time_ms: float, _order: int, gateway: int, event: Event) -> None:
-        """Hands one event over, and schedules what follows from the actions."""
+    def step(self, time_ms: float, _sequence: int, gateway: int, event: Event) -> None:
+        """Passes an event to its gateway, and schedules the events that result from the actions."""
         for action in self.engines[gateway].handle(time_ms, event):
             if isinstance(action, SetTimer):
                 self.schedule(time_ms + action.delay_ms, gateway, TimerFired(action.timer_id))
@@ -147,19 +148,22 @@
 
 
 class WarmUpBudgetTest(unittest.TestCase):
-    """A cold endpoint fails under the sum of what all gateways send it.
+    """Guards a cold endpoint against the combined load of all gateways, under which it would fail.
 
-    Each gateway sees only its own requests, so each must keep to a part of the endpoint's budget that holds
-    for the sum, also where traffic is uneven and a burst begins as the endpoint starts.
+    Each gateway sees only its own requests. The sum of what all of them send must stay within the endpoint's
+    budget, even if traffic is uneven and a burst begins as the endpoint starts.
     """
 
-    def most_of_budget(
+    def max_budget_fraction(
         self, gateway_count: int, endpoint_count: int, requests_per_s: float, is_uneven: bool
     ) -> float:
-        """The largest part of what the cold endpoint bears in a window that it was sent."""
+        """Returns the largest fraction of its budget that the cold endpoint received in any window.
+
+        The budget includes a margin for the random variation of the attempts in a window.
+        """
         fleet = Fleet(gateway_count, endpoint_count, requests_per_s, is_uneven)
         started_at_ms = fleet.play(1e6, quiet_load=0.1, burst_load=0.9)
-        most = 0.0
+        max_fraction = 0.0
         for last, sent_at_ms in enumerate(fleet.cold_attempts_ms):
             age_ms = sent_at_ms - started_at_ms
             if age_ms >= WARM_UP_MS:
@@ -167,9 +171,9 @@
             fraction = INITIAL_FRACTION + (1 - INITIAL_FRACTION) * age_ms / WARM_UP_MS
             budget = OVERLOAD_MULTIPLE * fraction * requests_per_s * OVERLOAD_WINDOW_MS / 1000.0
             first = bisect_left(fleet.cold_attempts_ms, sent_at_ms - OVERLOAD_WINDOW_MS)
-            chance = 2 * math.sqrt(budget) + 2
-            most = max(most, (last + 1 - first) / (budget + chance))
-        return most
+            margin = 2 * math.sqrt(budget) + 2
+            max_fraction = max(max_fraction, (last + 1 - first) / (budget + margin))
+        return max_fraction
 
     def test_all_gateways_together_keep_the_budget_under_a_burst(self) -> None:
         for gateway_count, endpoint_count, requests_per_s, is_uneven in (
@@ -180,13 +184,15 @@
             (230, 60, 4.0, True),
         ):
             with self.subTest(gateways=gateway_count, endpoints=endpoint_count, uneven=is_uneven):
-                most = self.most_of_budget(gateway_count, endpoint_count, requests_per_s, is_uneven)
-                self.assertTrue(0.0 < most < 0.75, most)
+                max_fraction = self.max_budget_fraction(
+                    gateway_count, endpoint_count, requests_per_s, is_uneven
+                )
+                self.assertTrue(0.0 < max_fraction < 0.75, max_fraction)
 
     def test_gateways_without_slow_start_pass_the_budget(self) -> None:
-        """The check itself: gateways that take a cold endpoint for a warm one must be found."""
+        """Verifies the check itself: it must detect gateways that treat a cold endpoint as warm."""
         with mock.patch.object(SlowStart, "warm_up_fraction", lambda *_: 1.0):
-            self.assertGreater(self.most_of_budget(30, 4, 40.0, False), 1.0)
+            self.assertGreater(self.max_budget_fraction(30, 4, 40.0, False), 1.0)
 
 
 if __name__ == "__main__":
