--- a/drumgw/policy/slow_start.py
+++ b/drumgw/policy/slow_start.py
@@ -10,7 +10,7 @@
 BUDGET_FRACTION = 0.4
 """Fraction of the tolerated load of a warming endpoint that all gateways together use."""
 MAX_TOKENS = 1.0
-"""Tokens that an endpoint may accumulate: without bursts, one attempt at a time."""
+"""Bucket size: a single token, so that a pause is not followed by a burst of attempts."""
 MIN_WARM_UP_MS = 1.0
 
 
