--- a/drumgw/policy/admission.py
+++ b/drumgw/policy/admission.py
@@ -50,7 +50,7 @@
         if ceiling_rate and request.units > account.ceiling_units:
             lacking = request.units - account.ceiling_units
             return max(MIN_RETRY_AFTER_MS, lacking * account.gateway_count / ceiling_rate)
-        lacking = self._lacking_units(request)
+        lacking = self._shortfall_units(request)
         is_beyond = lacking > 0
         request.is_over_quota = (
             is_beyond and plan.is_soft and self.overload.has_spare_capacity(plan.window_ms)
@@ -60,7 +60,7 @@
         rate = plan.rate_units_per_ms
         return max(MIN_RETRY_AFTER_MS, lacking / rate if rate else self.max_retry_after_ms)
 
-    def _lacking_units(self, request: PendingRequest) -> float:
+    def _shortfall_units(self, request: PendingRequest) -> float:
         """Units that must be refilled before a request fits; 0 or less where it fits.
 
         A request beyond the concurrency cap lacks all of its units.
--- a/drumgw/policy/counter_calls.py
+++ b/drumgw/policy/counter_calls.py
@@ -56,11 +56,11 @@
     epoch: int
     repair_units: int
     """Part of the amount that only puts the total right."""
-    expected_before: float
+    expected_total_before: float
     """The total before this call if no other gateway adds to it."""
 
     @property
-    def own_units(self) -> int:
+    def reported_units(self) -> int:
         """Whole units that this gateway uses or reserves."""
         return math.floor(self.amount) - self.repair_units
 
@@ -111,8 +111,8 @@
         self.last_call_at_ms = context.now_ms
         calls = self.in_flight.setdefault(key, [])
         last_total = account.counter_units if account.counter_epoch == exchange.epoch else 0.0
-        expected_before = last_total + sum(math.floor(call.amount) for call in calls)
-        calls.append(CounterCall(exchange, key, amount, epoch, repair_units, expected_before))
+        expected_total_before = last_total + sum(math.floor(call.amount) for call in calls)
+        calls.append(CounterCall(exchange, key, amount, epoch, repair_units, expected_total_before))
         context.actions.append(AddToCounter(key, amount, COUNTER_TTL_MS))
         return True
 
--- a/drumgw/policy/counter_polling.py
+++ b/drumgw/policy/counter_polling.py
@@ -16,9 +16,9 @@
 
 MIN_TIME_LEFT_TO_WAIT_MS = 2100.0
 """A stall of this process while a request waits would lose it: stalls of up to 2 s are to be expected."""
-TIMEOUTS_TO_SPARE = 2
+MIN_TIMEOUTS_LEFT = 2
 """Counter timeouts that a request must have left, to wait for a total."""
-STALL_MARGIN = 1.25
+STALL_SAFETY_FACTOR = 1.25
 """Multiple of the longest stall seen, to be outlived by a request that waits."""
 
 
@@ -35,7 +35,7 @@
         self.has_counter = settings.has_counter
         self.timeout_ms = settings.counter_timeout_ms
         self.max_retry_after_ms = settings.max_retry_after_ms
-        self.min_time_left_to_wait_ms = max(MIN_TIME_LEFT_TO_WAIT_MS, TIMEOUTS_TO_SPARE * self.timeout_ms)
+        self.min_time_left_to_wait_ms = max(MIN_TIME_LEFT_TO_WAIT_MS, MIN_TIMEOUTS_LEFT * self.timeout_ms)
         """A request with less time left is decided without waiting for the total."""
 
     def record_stall(self, stall_ms: float) -> None:
@@ -44,7 +44,7 @@
         Such a request would miss its deadline without a decision; so from now on one with too little time
         left for a stall like this does not wait. That holds until this process ends.
         """
-        needed_ms = STALL_MARGIN * stall_ms + TIMEOUTS_TO_SPARE * self.timeout_ms
+        needed_ms = STALL_SAFETY_FACTOR * stall_ms + MIN_TIMEOUTS_LEFT * self.timeout_ms
         self.min_time_left_to_wait_ms = max(self.min_time_left_to_wait_ms, needed_ms)
 
     def poll(self, request: PendingRequest, time_left_ms: float) -> bool:
@@ -78,7 +78,7 @@
             return False
         if request.units <= account.reserved_units[request.class_rank]:
             return False
-        total_age_ms = self.context.now_ms - account.counted_at_ms
+        total_age_ms = self.context.now_ms - account.total_received_at_ms
         return not (request.retry_after_ms and total_age_ms < plan.window_ms)
 
     def _charge_or_reject_by_allowance(self, request: PendingRequest) -> None:
@@ -90,7 +90,7 @@
         account = request.account
         if not self.has_counter or account.plan.is_soft:
             return
-        is_unknown = self.context.now_ms - account.counted_at_ms > IDLE_ACCOUNT_MS
+        is_unknown = self.context.now_ms - account.total_received_at_ms > IDLE_ACCOUNT_MS
         is_unpolled = account.is_cap_below_gateways and request.exchange.epoch == NO_EPOCH
         if not (is_unknown or is_unpolled):
             return
--- a/drumgw/policy/counter_repair.py
+++ b/drumgw/policy/counter_repair.py
@@ -68,7 +68,7 @@
         if self.calls.send(exchange, lacking, lacking):
             exchange.refill_lag_units = 0.0
 
-    def take_back(self, call: CounterCall, total: float, level_units: float) -> None:
+    def undo_excess(self, call: CounterCall, total: float, level_units: float) -> None:
         """Takes back what a call added too much.
 
         Use beyond a quota takes nothing from it: left in the total, the other gateways would reject what the
@@ -81,8 +81,8 @@
         """
         exchange = call.exchange
         account = exchange.account
-        beyond_quota = max(0, min(call.own_units, math.floor(level_units - account.plan.quota_units)))
-        added_by_others = math.floor(total - call.expected_before - call.amount + 0.5)
+        beyond_quota = max(0, min(call.reported_units, math.floor(level_units - account.plan.quota_units)))
+        added_by_others = math.floor(total - call.expected_total_before - call.amount + 0.5)
         repaired_twice = min(max(call.repair_units, 0), max(added_by_others, 0))
         repaired_twice += max(min(call.repair_units, 0), min(added_by_others, 0))
         too_much = beyond_quota + repaired_twice
--- a/drumgw/policy/counter_sync.py
+++ b/drumgw/policy/counter_sync.py
@@ -29,7 +29,7 @@
 """A report stands for no more than this part of the quota, however low the poll probability."""
 LOSS_QUOTA_FRACTION = 0.1
 """A total that lacks more than this (and `MIN_LOSS_UNITS`) has lost something."""
-MAX_LEVEL_QUOTAS = 2.0
+MAX_PLAUSIBLE_QUOTAS = 2.0
 """A total that shows more usage than so many quotas cannot be true."""
 
 
@@ -49,7 +49,7 @@
 
     def reservation_units(self, account: QuotaAccount, class_rank: int) -> float:
         """What is reserved with a report: the more, the less often the counter is called."""
-        demand = account.local_pace_units_per_ms[class_rank] * RESERVATION_MS
+        demand = account.local_usage_units_per_ms[class_rank] * RESERVATION_MS
         most = MAX_RESERVATION_QUOTA_FRACTION * account.plan.quota_units
         return (1 - self.calls.poll_probability) * min(most, demand)
 
@@ -104,9 +104,9 @@
         elif succeeded:
             if call.epoch >= account.counter_epoch:  # else its key is not in use any more
                 level_units = self.apply_total(call, event.total)
-                self.repair.take_back(call, event.total, level_units)
+                self.repair.undo_excess(call, event.total, level_units)
         elif event.outcome is not Outcome.TIMED_OUT:  # it was not added, so the report is owed
-            account.reserved_units[exchange.class_rank] -= call.own_units
+            account.reserved_units[exchange.class_rank] -= call.reported_units
 
     def apply_total(self, call: CounterCall, total: float) -> float:
         """Sets an account's usage by a total, unless the total cannot be true.
@@ -127,17 +127,17 @@
         quota = account.plan.quota_units
         refilled = account.refilled_units(exchange.epoch, self.context.now_ms)
         counted, exchange.top_class_fraction = decode_total(total)
-        self._follow_others(call, counted)
+        self._record_total(call, counted)
         exchange.refill_lag_units = max(0.0, refilled - counted)
         pending_units = [math.floor(each.amount) for each in self.calls.pending(call.counter_key)]
         level = max(0.0, counted - refilled + sum(units for units in pending_units if units < 0))
         usage = max(account.local_usage_units, counted - refilled + sum(pending_units))
-        own_units = call.own_units
+        reported_units = call.reported_units
         is_first = total - call.amount < HALF_STEP
-        has_lost = self._has_lost_units(account, counted - own_units - refilled)
+        has_lost = self._has_lost_units(account, counted - reported_units - refilled)
         if has_lost:
-            level = max(level, account.known_level_units + max(0, own_units))
-        is_impossible = level - max(0, own_units) > MAX_LEVEL_QUOTAS * quota
+            level = max(level, account.known_level_units + max(0, reported_units))
+        is_impossible = level - max(0, reported_units) > MAX_PLAUSIBLE_QUOTAS * quota
         if is_impossible:
             level = usage = min(quota, max(sum(account.usage_units), account.local_usage_units))
         account.known_level_units = min(quota, level)
@@ -146,20 +146,20 @@
         self._set_usage(exchange, max(level, usage))
         return level
 
-    def _follow_others(self, call: CounterCall, counted_units: float) -> None:
+    def _record_total(self, call: CounterCall, counted_units: float) -> None:
         """Notes a total, and the pace of the other gateways' usage since the one before."""
         account = call.exchange.account
         now_ms = self.context.now_ms
         if account.counter_epoch == call.exchange.epoch:
             by_others = max(0.0, counted_units - account.counter_units - math.floor(call.amount))
-            elapsed_ms = max(1.0, now_ms - account.counted_at_ms)
+            elapsed_ms = max(1.0, now_ms - account.total_received_at_ms)
             step = min(1.0, elapsed_ms / RATE_MEMORY_MS)
-            account.others_pace_units_per_ms += step * (
-                by_others / elapsed_ms - account.others_pace_units_per_ms
+            account.remote_usage_units_per_ms += step * (
+                by_others / elapsed_ms - account.remote_usage_units_per_ms
             )
         account.counter_units = counted_units
         account.counter_epoch = call.exchange.epoch
-        account.counted_at_ms = now_ms
+        account.total_received_at_ms = now_ms
 
     @staticmethod
     def _has_lost_units(account: QuotaAccount, level_before_units: float) -> bool:
--- a/drumgw/policy/overload.py
+++ b/drumgw/policy/overload.py
@@ -12,7 +12,7 @@
 LATE_SHARE_STEP = 0.1
 MAX_LATE_SHARE = 0.3
 """With more late answers than this the back end is slow as a whole."""
-LATE_SHARE_FADE_MS = 18000.0
+LATE_SHARE_DECAY_MS = 18000.0
 OVERLOADED_UTILIZATION = 0.7
 SPARE_UTILIZATION = 0.4
 UTILIZATION_STEP = 0.3
@@ -88,7 +88,7 @@
             elapsed_ms: time since the last update.
         """
         self.limit.update(self.is_late, self.late_share / MAX_LATE_SHARE, elapsed_ms)
-        self.late_share *= 1 - elapsed_ms / LATE_SHARE_FADE_MS
+        self.late_share *= 1 - elapsed_ms / LATE_SHARE_DECAY_MS
         self._update_shed_level()
         self.utilization += UTILIZATION_STEP * (self.limit.utilization - self.utilization)
         advance(LOAD_TRANSITIONS, self, self, self._load_input())
--- a/drumgw/policy/quota_account.py
+++ b/drumgw/policy/quota_account.py
@@ -87,7 +87,7 @@
     window_usage_units: list[float]
     """Spent here since the window began."""
     last_window_usage_units: list[float]
-    local_pace_units_per_ms: list[float]
+    local_usage_units_per_ms: list[float]
     """Recent pace of spending here."""
     reserved_units: list[float]
     """Reported to the counter ahead of their use; below 0 where a report is owed."""
@@ -106,14 +106,14 @@
     """Whole units of the last total."""
     counter_epoch: int = -1
     """Epoch of the last total."""
-    counted_at_ms: float = LONG_AGO_MS
+    total_received_at_ms: float = LONG_AGO_MS
     """When the last total came."""
     known_level_units: float = 0.0
     """Usage that the last totals showed, less what has been refilled since: a lower bound."""
     local_usage_units: float = 0.0
     """Usage by this gateway alone, less what has been refilled: no total makes it forget this."""
     repaired_at_ms: float = LONG_AGO_MS
-    others_pace_units_per_ms: float = 0.0
+    remote_usage_units_per_ms: float = 0.0
     """Pace of the other gateways' usage between the last totals."""
     attempts_in_flight: int = 0
 
@@ -148,7 +148,7 @@
             usage_units=[0.0] * class_count,
             window_usage_units=[0.0] * class_count,
             last_window_usage_units=[0.0] * class_count,
-            local_pace_units_per_ms=[0.0] * class_count,
+            local_usage_units_per_ms=[0.0] * class_count,
             reserved_units=[0.0] * class_count,
             ceiling_units=_refilled_ceiling_units(plan, gateways, context),
             is_cap_below_gateways=plan.is_cap_below(gateways),
@@ -181,14 +181,14 @@
         self.allowance_units = min(self.max_allowance_units, allowance)
         # Between totals the others' usage is guessed, but never as much as includes this gateway's own part
         most_per_ms = plan.rate_units_per_ms * (1 - 1 / gateways)
-        self.usage_units[-1] += min(self.others_pace_units_per_ms, most_per_ms) * elapsed_ms
+        self.usage_units[-1] += min(self.remote_usage_units_per_ms, most_per_ms) * elapsed_ms
         remembered = max(0.0, 1 - elapsed_ms / RATE_MEMORY_MS)
-        self.local_pace_units_per_ms = [pace * remembered for pace in self.local_pace_units_per_ms]
-        self._shrink_usage(refilled)
+        self.local_usage_units_per_ms = [pace * remembered for pace in self.local_usage_units_per_ms]
+        self._reduce_usage(refilled)
         if now_ms - self.window_started_at_ms >= plan.window_ms:
             self._roll_window(now_ms)
 
-    def _shrink_usage(self, refilled: float) -> None:
+    def _reduce_usage(self, refilled: float) -> None:
         total = sum(self.usage_units) + sum(units for units in self.reserved_units if units > 0)
         if total <= 0:
             return
@@ -213,7 +213,7 @@
         self.window_usage_units[class_rank] += units
         self.reserved_units[class_rank] -= units
         self.local_usage_units = min(self.plan.quota_units, self.local_usage_units + units)
-        self.local_pace_units_per_ms[class_rank] += units / RATE_MEMORY_MS
+        self.local_usage_units_per_ms[class_rank] += units / RATE_MEMORY_MS
 
     def correct_usage(self, class_rank: int, estimated_units: float, billed_units: float) -> None:
         """Replaces the estimate that was charged by the true cost."""
--- a/drumgw/stable_hash.py
+++ b/drumgw/stable_hash.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-WORD = 2**64 - 1
+WORD_MASK = 2**64 - 1
 MULTIPLIER, INCREMENT = 0x9E3779B97F4A7C15, 0x632BE59BD9B4E019
 SECOND_MULTIPLIER = 0xBF58476D1CE4E5B9
 
@@ -11,7 +11,7 @@
     """Mixes the parts into a number below 2**63; gateways use it to agree without a message."""
     state = 0
     for part in parts:
-        state = ((state ^ part & WORD) * MULTIPLIER + INCREMENT) & WORD
-        state = (state ^ state >> 29) * SECOND_MULTIPLIER & WORD
+        state = ((state ^ part & WORD_MASK) * MULTIPLIER + INCREMENT) & WORD_MASK
+        state = (state ^ state >> 29) * SECOND_MULTIPLIER & WORD_MASK
         state ^= state >> 32
     return state >> 1
