--- a/drumgw/policy/quota_account.py
+++ b/drumgw/policy/quota_account.py
@@ -1,7 +1,7 @@
-"""What this gateway knows of one customer's quota: usage, refill, reservations, ceiling.
+"""Per-customer quota accounting at one gateway: usage, refill, reservations and the ceiling.
 
-A quota is a store of units that refills at the plan's rate. Usage is what has been taken from it and not
-refilled yet. All units by class are lists indexed by class rank.
+A quota is a token bucket that refills at the plan's rate. Usage is the number of units taken from the bucket
+and not yet refilled. Per-class figures are lists indexed by class rank.
 """
 
 from __future__ import annotations
@@ -14,35 +14,37 @@
 from drumgw.stable_hash import stable_hash
 
 EPOCH_MS = 50000.0
-"""How long a customer's counter key is used before the next one takes its place."""
+"""Lifetime of a customer's counter key; each epoch uses a new key."""
 IDLE_ACCOUNT_MS = 20000.0
-"""An account unused for so long is dropped; docs/quota-bounds.md depends on it."""
+"""Accounts idle for this long are dropped. The bounds in docs/quota-bounds.md depend on this value."""
 UNLIMITED_UNITS = float("inf")
 WINDOW_WITHOUT_QUOTA_MS = 1000.0
+"""Usage window of plans without a quota, which have no refill time to derive it from."""
 MAX_GATEWAYS_PER_CAPPED_ATTEMPT = 4
-"""With more gateways to each attempt of a concurrency cap, none can keep the cap alone."""
+"""With more gateways than this per attempt that a concurrency cap allows, the cap cannot be divided among
+them: a gateway's part is at least one attempt."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlanLimits:
-    """The figures of a plan that decisions use."""
+    """Limits of a plan, converted to the units that decisions use."""
 
     rate_units_per_ms: float
     """0 for a plan without a quota."""
     quota_units: float
     window_ms: float
-    """The time in which an empty quota refills."""
+    """Time in which a fully used quota refills."""
     max_concurrent_attempts: int
-    """Over all gateways; 0 for no cap."""
+    """Summed over all gateways; 0 for no cap."""
     is_soft: bool
-    """Whether a request beyond the quota earns more than it costs."""
+    """Whether requests beyond the quota are worth more than they cost, so that they may be admitted."""
     ceiling_units_per_ms: float
     """0 for no ceiling."""
     ceiling_burst_units: float
 
     @classmethod
     def from_plan(cls, plan: Plan) -> PlanLimits:
-        """Works the limits out from a plan's settings."""
+        """Derives the limits from a plan's settings, which are per second."""
         rate = plan.units_per_s / 1000.0
         has_quota = plan.units_per_s > 0
         return cls(
@@ -56,11 +58,15 @@
         )
 
     def is_cap_below(self, gateways: int) -> bool:
-        """Whether the concurrency cap is too small for each gateway to keep a part of it."""
+        """Whether the concurrency cap is too small to be divided among this many gateways."""
         return 0 < self.max_concurrent_attempts * MAX_GATEWAYS_PER_CAPPED_ATTEMPT < gateways
 
     def usable_quota_units(self, gateways: int, max_request_units: float) -> float:
-        """The quota, or less where only small bursts keep a small concurrency cap."""
+        """The quota, reduced where the concurrency cap cannot be divided among the gateways.
+
+        There the quota's burst size is what limits concurrency: it is reduced to as many of the largest
+        requests as the cap allows.
+        """
         if not self.is_cap_below(gateways):
             return self.quota_units
         return min(self.quota_units, self.max_concurrent_attempts * max_request_units)
@@ -68,53 +74,56 @@
 
 @dataclass(slots=True, eq=False)
 class QuotaAccount:
-    """A customer's account here. The engine drops it after `IDLE_ACCOUNT_MS` without a request.
+    """One customer's account at this gateway. The engine drops it after `IDLE_ACCOUNT_MS` without a request.
 
-    Its methods write usage, refill and ceiling; `CounterSync` and `CounterRepair` write what totals of the
-    shared counter say, `CounterPoller` the allowance. `AttemptTracker` counts attempts in flight up,
-    `RequestFlow` counts them down. Plan and gateway count stay those of the request that opened it.
+    The account's own methods update usage, refill and ceiling. `CounterSync` and `CounterRepair` write the
+    fields that come from totals of the shared counter, and `CounterPoller` writes the allowance.
+    `AttemptTracker` increments the attempts in flight and `RequestFlow` decrements them. The plan and the
+    gateway count are those of the first request and do not change while the account exists.
     """
 
     plan: PlanLimits
     customer: int
     hash_key: int
     gateway_count: int
-    """Gateways that this customer's requests come in through."""
+    """Number of gateways that receive this customer's requests."""
     updated_at_ms: float
     window_started_at_ms: float
     usage_units: list[float]
-    """Of all gateways, as far as known here, without what is reserved here."""
+    """Estimated usage through all gateways, without the units reserved here. By class."""
     window_usage_units: list[float]
-    """Spent here since the window began."""
+    """Units charged at this gateway since the window began. By class."""
     last_window_usage_units: list[float]
+    """Units charged at this gateway in the previous window; 0 if that did not directly precede this one."""
     local_usage_units_per_ms: list[float]
-    """Recent pace of spending here."""
+    """Recent rate of usage at this gateway. By class."""
     reserved_units: list[float]
-    """Reported to the counter ahead of their use; below 0 where a report is owed."""
+    """Units reported to the counter before use; negative for units used but not yet reported. By class."""
     ceiling_units: float
-    """What the ceiling leaves to this gateway now."""
+    """Units that this gateway's part of the ceiling currently allows."""
     is_cap_below_gateways: bool
-    """Whether the concurrency cap is too small for each gateway to keep its own part."""
+    """Whether the concurrency cap is too small to be divided among the gateways."""
     usable_quota_units: float
-    """The quota, or less where only small bursts keep a small concurrency cap."""
+    """The quota, reduced where the concurrency cap cannot be divided among the gateways."""
     max_allowance_units: float
     allowance_units: float
-    """What may be sent without ever having heard a total of this customer."""
+    """Units that may be admitted without a recent total; at most the larger one of this gateway's part of the
+    quota and the largest request."""
     epoch_phase_ms: int
-    """Offset of this customer's epochs, so that not all customers' keys change at once."""
+    """Offset of this customer's epochs, so that the keys of all customers do not change at the same time."""
     counter_units: float = 0.0
     """Whole units of the last total."""
     counter_epoch: int = -1
     """Epoch of the last total."""
     total_received_at_ms: float = LONG_AGO_MS
-    """When the last total came."""
+    """When the last total was received."""
     known_level_units: float = 0.0
-    """Usage that the last totals showed, less what has been refilled since: a lower bound."""
+    """Lower bound of usage through all gateways: what the last totals showed, less the refill since."""
     local_usage_units: float = 0.0
-    """Usage by this gateway alone, less what has been refilled: no total makes it forget this."""
+    """Usage through this gateway alone, less refill. Not reset by totals, so a wrong total cannot hide it."""
     repaired_at_ms: float = LONG_AGO_MS
     remote_usage_units_per_ms: float = 0.0
-    """Pace of the other gateways' usage between the last totals."""
+    """Smoothed rate of usage through the other gateways, measured between totals."""
     attempts_in_flight: int = 0
 
     @classmethod
@@ -126,14 +135,14 @@
         class_count: int,
         max_request_units: float,
     ) -> QuotaAccount:
-        """An account for a customer that is not known here.
+        """Creates the account of a customer that has none at this gateway.
 
         Args:
             plan: the customer's plan.
-            event: the first request.
-            context: tells the time, and when this gateway started.
+            event: the customer's first request.
+            context: provides the current time and the start time of this gateway.
             class_count: number of request classes.
-            max_request_units: the largest request.
+            max_request_units: units of the largest request allowed.
         """
         gateways = max(1, event.gateway_count)
         hash_key = stable_hash(event.customer)
@@ -159,15 +168,15 @@
         )
 
     def epoch_at(self, now_ms: float) -> int:
-        """The epoch whose counter key is in use at this time."""
+        """The epoch whose counter key is in use at the given time."""
         return int((now_ms + self.epoch_phase_ms) // EPOCH_MS)
 
     def refilled_units(self, epoch: int, now_ms: float) -> float:
-        """What the quota has refilled since an epoch began."""
+        """Units that the refill rate yields from the start of an epoch on, even while the quota is full."""
         return self.plan.rate_units_per_ms * (now_ms + self.epoch_phase_ms - epoch * EPOCH_MS)
 
     def refill(self, now_ms: float) -> None:
-        """Brings the account up to this time: the quota refills, so usage and reservations shrink."""
+        """Advances the account to the given time: refill reduces usage and reservations."""
         plan = self.plan
         gateways = self.gateway_count
         elapsed_ms = now_ms - self.updated_at_ms
@@ -179,25 +188,26 @@
         self.ceiling_units = min(plan.ceiling_burst_units / gateways, ceiling)
         allowance = self.allowance_units + refilled / gateways
         self.allowance_units = min(self.max_allowance_units, allowance)
-        # Between totals the others' usage is guessed, but never as much as includes this gateway's own part
-        most_per_ms = plan.rate_units_per_ms * (1 - 1 / gateways)
-        self.usage_units[-1] += min(self.remote_usage_units_per_ms, most_per_ms) * elapsed_ms
-        remembered = max(0.0, 1 - elapsed_ms / RATE_MEMORY_MS)
-        self.local_usage_units_per_ms = [pace * remembered for pace in self.local_usage_units_per_ms]
+        # Between totals, remote usage is extrapolated, at most at the other gateways' part of the refill rate
+        max_remote_per_ms = plan.rate_units_per_ms * (1 - 1 / gateways)
+        self.usage_units[-1] += min(self.remote_usage_units_per_ms, max_remote_per_ms) * elapsed_ms
+        decay = max(0.0, 1 - elapsed_ms / RATE_MEMORY_MS)
+        self.local_usage_units_per_ms = [rate * decay for rate in self.local_usage_units_per_ms]
         self._reduce_usage(refilled)
         if now_ms - self.window_started_at_ms >= plan.window_ms:
             self._roll_window(now_ms)
 
     def _reduce_usage(self, refilled: float) -> None:
+        """Scales usage and reservations down by the refill, and to the quota where they exceed it."""
         total = sum(self.usage_units) + sum(units for units in self.reserved_units if units > 0)
         if total <= 0:
             return
-        kept = max(0.0, min(1 - refilled / total, self.plan.quota_units / total))
-        self.usage_units = [units * kept for units in self.usage_units]
-        self.reserved_units = [units * kept for units in self.reserved_units]
+        scale = max(0.0, min(1 - refilled / total, self.plan.quota_units / total))
+        self.usage_units = [units * scale for units in self.usage_units]
+        self.reserved_units = [units * scale for units in self.reserved_units]
 
     def _roll_window(self, now_ms: float) -> None:
-        """Begins a new window; one that ended a whole window ago is not the last one any more."""
+        """Starts a new window. If the old one ended a full window ago, the window in between was idle."""
         class_count = len(self.window_usage_units)
         is_last_window = now_ms - self.window_started_at_ms < 2 * self.plan.window_ms
         self.last_window_usage_units = self.window_usage_units if is_last_window else [0.0] * class_count
@@ -205,7 +215,7 @@
         self.window_started_at_ms = now_ms
 
     def charge(self, units: float, class_rank: int, is_over_quota: bool) -> None:
-        """Takes a request's units; a request beyond a soft quota takes them from the ceiling only."""
+        """Charges a request's units; if admitted beyond a soft quota, it is charged to the ceiling only."""
         self.ceiling_units -= units
         if is_over_quota:
             return
@@ -216,15 +226,15 @@
         self.local_usage_units_per_ms[class_rank] += units / RATE_MEMORY_MS
 
     def correct_usage(self, class_rank: int, estimated_units: float, billed_units: float) -> None:
-        """Replaces the estimate that was charged by the true cost."""
+        """Replaces the estimated units of a request by those that the back end billed."""
         self.usage_units[class_rank] = max(0.0, self.usage_units[class_rank] + billed_units - estimated_units)
 
 
 def _refilled_ceiling_units(plan: PlanLimits, gateways: int, context: DecisionContext) -> float:
-    """A new account's part of the ceiling.
+    """Initial ceiling units of a new account.
 
-    What was spent before this gateway started, or before an idle account was dropped, is not known: so it
-    holds only what has been refilled since, for as long as accounts are kept at most.
+    Usage before the gateway started, or before an idle account was dropped, is not known. A new account
+    therefore starts with the units refilled since the gateway's start, for at most `IDLE_ACCOUNT_MS`.
     """
     refilled_ms = min(IDLE_ACCOUNT_MS, context.now_ms - context.started_at_ms)
     return plan.ceiling_units_per_ms * refilled_ms / gateways
