--- a/drumgw/policy/counter_sync.py
+++ b/drumgw/policy/counter_sync.py
@@ -1,8 +1,8 @@
-"""Keeps quota accounts in step with the totals of the shared counter.
+"""Synchronizes quota accounts with the totals of the shared counter.
 
-A customer's total counts all units that gateways have used or reserved since its epoch began; less what has
-been refilled since, it is the quota's level of usage. A gateway reports what it forwards together with a
-reservation for the next requests, and takes each total that comes back over into the account.
+A customer's total counts all units that gateways have used or reserved since its epoch began. The total minus
+the units refilled since then is the usage level of the quota. A gateway reports the units of forwarded
+requests together with a reservation for further requests, and applies each returned total to the account.
 """
 
 from __future__ import annotations
@@ -23,18 +23,19 @@
 from drumgw.policy.request_state import CounterExchange
 
 RESERVATION_MS = 1000.0
-"""A reservation covers so much of the demand here, at most."""
+"""Time for which a reservation covers this gateway's demand, at most."""
 MAX_RESERVATION_QUOTA_FRACTION = 0.2
+"""Upper limit of a reservation, as a fraction of the quota."""
 MAX_REPORT_QUOTA_FRACTION = 0.5
-"""A report stands for no more than this part of the quota, however low the poll probability."""
+"""Upper limit of the units that a report extrapolates for unreported requests, as a fraction of the quota."""
 LOSS_QUOTA_FRACTION = 0.1
-"""A total that lacks more than this (and `MIN_LOSS_UNITS`) has lost something."""
+"""A total that is too low by this fraction of the quota, and by `MIN_LOSS_UNITS`, has lost units."""
 MAX_PLAUSIBLE_QUOTAS = 2.0
-"""A total that shows more usage than so many quotas cannot be true."""
+"""A total that shows more usage than this multiple of the quota is implausible and is not applied."""
 
 
 class CounterSync:
-    """Decides what is reported and reserved, and what a total means."""
+    """Reports usage and reservations to the counter, and derives an account's usage from totals."""
 
     def __init__(
         self,
@@ -48,20 +49,24 @@
         self.repair = CounterRepair(context, calls)
 
     def reservation_units(self, account: QuotaAccount, class_rank: int) -> float:
-        """What is reserved with a report: the more, the less often the counter is called."""
+        """Units to reserve with a report.
+
+        Grows as the poll probability falls, because more requests are then served between two polls.
+        """
         demand = account.local_usage_units_per_ms[class_rank] * RESERVATION_MS
-        most = MAX_RESERVATION_QUOTA_FRACTION * account.plan.quota_units
-        return (1 - self.calls.poll_probability) * min(most, demand)
+        max_units = MAX_RESERVATION_QUOTA_FRACTION * account.plan.quota_units
+        return (1 - self.calls.poll_probability) * min(max_units, demand)
 
     def report(self, exchange: CounterExchange, reservation_units: float) -> None:
         """Reports an admitted request and a reservation.
 
-        A report stands for the requests that are not reported, by the poll probability. It also adds the
-        units that the total lags behind the refill, as a quota that is full does not refill further.
+        Only polled requests are reported, so the units are divided by the poll probability to account for
+        the others. The report also adds the units by which the total lags behind the refill: refill of a
+        full quota is lost, so the usage level in the total must not stay below 0.
 
         Args:
-            exchange: the request's, with its units already charged to the account.
-            reservation_units: what to reserve for the class.
+            exchange: the request's exchange; its units have already been charged to the account.
+            reservation_units: units to reserve for the request's class.
         """
         account = exchange.account
         class_rank = exchange.class_rank
@@ -79,11 +84,14 @@
             account.reserved_units[class_rank] = reservation_units
 
     def _round_at_random(self, value: float) -> int:
-        """Rounds up as often as the fraction says: small reports are right on average."""
+        """Rounds up with a probability equal to the fraction, so that reports are right on average."""
         return math.floor(value + self.context.random.random())
 
     def return_reservations(self, account: QuotaAccount) -> None:
-        """Guards customers through restarts: a reservation left behind would count as used until refilled."""
+        """Returns the reservations of an account when the gateway stops.
+
+        Otherwise the customer could not use the reserved units until the quota has refilled them.
+        """
         account.refill(self.context.now_ms)
         unspent = math.floor(sum(units for units in account.reserved_units if units > 0))
         if unspent < 1 or account.counter_epoch != account.epoch_at(self.context.now_ms):
@@ -94,7 +102,7 @@
         self.calls.send(exchange, -unspent)
 
     def apply_reply(self, call: CounterCall, event: CounterReplied) -> None:
-        """Takes the reply to a call over into its account, which has been refilled up to now."""
+        """Applies the reply to a call. The caller has refilled the account up to the current time."""
         exchange = call.exchange
         account = exchange.account
         succeeded = event.outcome is Outcome.SUCCEEDED
@@ -102,74 +110,78 @@
             refilled = account.refilled_units(call.epoch, self.context.now_ms)
             self.repair.carry_over(exchange, max(0.0, event.total - refilled) if succeeded else 0.0)
         elif succeeded:
-            if call.epoch >= account.counter_epoch:  # else its key is not in use any more
+            if call.epoch >= account.counter_epoch:  # Older epochs' keys are no longer in use
                 level_units = self.apply_total(call, event.total)
                 self.repair.undo_excess(call, event.total, level_units)
-        elif event.outcome is not Outcome.TIMED_OUT:  # it was not added, so the report is owed
+        elif event.outcome is not Outcome.TIMED_OUT:  # The amount was not added: report it again
             account.reserved_units[exchange.class_rank] -= call.reported_units
 
     def apply_total(self, call: CounterCall, total: float) -> float:
-        """Sets an account's usage by a total, unless the total cannot be true.
+        """Sets an account's usage from a total, unless the total is implausible.
 
-        Guards quotas and customers against a counter that lost units (a total lower than refilling explains)
-        or adds units up (more usage than any quota holds): the account then goes by what is known here, and
-        the total is put right. Usage is never less than this gateway's own, whatever the total says.
+        A counter may lose units (its total fell by more than the refill) or accumulate too many (it shows
+        more usage than a quota can hold). In both cases the account keeps to what this gateway knows, so
+        that neither the quota nor the customer suffers, and the total is repaired. Usage is never set below
+        this gateway's own usage, whatever the total says.
 
         Args:
-            call: the call that was answered.
-            total: the total after it.
+            call: the call that the reply belongs to.
+            total: the total after the call.
 
         Returns:
-            The quota's level of usage that the total shows, or that is known where it cannot be true.
+            The quota's usage level according to the total, or as known locally if the total is implausible.
         """
         exchange = call.exchange
         account = exchange.account
         quota = account.plan.quota_units
         refilled = account.refilled_units(exchange.epoch, self.context.now_ms)
-        counted, exchange.top_class_fraction = decode_total(total)
-        self._record_total(call, counted)
-        exchange.refill_lag_units = max(0.0, refilled - counted)
+        total_units, exchange.top_class_fraction = decode_total(total)
+        self._record_total(call, total_units)
+        exchange.refill_lag_units = max(0.0, refilled - total_units)
         pending_units = [math.floor(each.amount) for each in self.calls.pending(call.counter_key)]
-        level = max(0.0, counted - refilled + sum(units for units in pending_units if units < 0))
-        usage = max(account.local_usage_units, counted - refilled + sum(pending_units))
+        level = max(0.0, total_units - refilled + sum(units for units in pending_units if units < 0))
+        usage = max(account.local_usage_units, total_units - refilled + sum(pending_units))
         reported_units = call.reported_units
         is_first = total - call.amount < HALF_STEP
-        has_lost = self._has_lost_units(account, counted - reported_units - refilled)
+        has_lost = self._has_lost_units(account, total_units - reported_units - refilled)
         if has_lost:
             level = max(level, account.known_level_units + max(0, reported_units))
-        is_impossible = level - max(0, reported_units) > MAX_PLAUSIBLE_QUOTAS * quota
-        if is_impossible:
+        is_implausible = level - max(0, reported_units) > MAX_PLAUSIBLE_QUOTAS * quota
+        if is_implausible:
             level = usage = min(quota, max(sum(account.usage_units), account.local_usage_units))
         account.known_level_units = min(quota, level)
-        if has_lost or is_impossible or (is_first and refilled < quota):
+        if has_lost or is_implausible or (is_first and refilled < quota):
             self.repair.start_repair(exchange, is_first)
         self._set_usage(exchange, max(level, usage))
         return level
 
-    def _record_total(self, call: CounterCall, counted_units: float) -> None:
-        """Notes a total, and the pace of the other gateways' usage since the one before."""
+    def _record_total(self, call: CounterCall, total_units: float) -> None:
+        """Stores a total, and updates the rate of remote usage from its change since the previous total."""
         account = call.exchange.account
         now_ms = self.context.now_ms
         if account.counter_epoch == call.exchange.epoch:
-            by_others = max(0.0, counted_units - account.counter_units - math.floor(call.amount))
+            remote_units = max(0.0, total_units - account.counter_units - math.floor(call.amount))
             elapsed_ms = max(1.0, now_ms - account.total_received_at_ms)
             step = min(1.0, elapsed_ms / RATE_MEMORY_MS)
             account.remote_usage_units_per_ms += step * (
-                by_others / elapsed_ms - account.remote_usage_units_per_ms
+                remote_units / elapsed_ms - account.remote_usage_units_per_ms
             )
-        account.counter_units = counted_units
+        account.counter_units = total_units
         account.counter_epoch = call.exchange.epoch
         account.total_received_at_ms = now_ms
 
     @staticmethod
     def _has_lost_units(account: QuotaAccount, level_before_units: float) -> bool:
-        """Whether a total is lower than refilling explains: a new key, or a counter that forgot."""
+        """Whether a total fell by more than the refill: the key is new, or the counter lost units."""
         known = account.known_level_units
         tolerance = max(MIN_LOSS_UNITS, LOSS_QUOTA_FRACTION * account.plan.quota_units)
         return known >= MIN_LOSS_UNITS and known - level_before_units >= tolerance
 
     def _set_usage(self, exchange: CounterExchange, usage_units: float) -> None:
-        """Splits usage over the classes: the highest by the total's decimals, the others by their shares."""
+        """Divides usage among the classes.
+
+        The total's decimals give the highest class's part; the lower classes get the rest by their shares.
+        """
         account = exchange.account
         lower_shares = self.class_shares[1:]
         top = exchange.top_class_fraction if lower_shares else 1.0
