--- a/drumgw/policy/counter_repair.py
+++ b/drumgw/policy/counter_repair.py
@@ -1,8 +1,9 @@
-"""Puts totals of the shared counter right: after a new epoch, a loss, a split, or use beyond the quota.
+"""Repairs totals of the shared counter after a new epoch, lost units, a split, or usage beyond the quota.
 
-A total cannot fall faster than its quota refills, and cannot stand far above the quota. One that does has
-a new key, or comes from a counter that is empty, older, split or another. What is put right is added with an
-ordinary call; the counter's order of calls tells who was first, and the others take theirs back.
+A usage level cannot fall faster than the quota refills, and cannot rise far above the quota. A total that
+shows such a level belongs to a new key, or comes from a counter that was emptied, restored from an older
+state, split or replaced. Corrections are added with ordinary calls. Several gateways may repair the same
+total at once: the counter's order of calls shows whose repair was first, and the others undo theirs.
 """
 
 from __future__ import annotations
@@ -15,28 +16,30 @@
 from drumgw.stable_hash import stable_hash
 
 MIN_LOSS_UNITS = 2.0
+"""Smaller differences are not treated as lost units, and are not repaired."""
 REPAIR_INTERVAL_MS = 1000.0
-"""Between two repairs of one customer's total."""
+"""Minimum time between two repairs of one customer's total."""
 MAX_REPAIR_UNITS = 10**8
-"""With one call, however wrong a total is."""
+"""Upper limit of a correction by one call, in case a total is wrong by an arbitrary amount."""
 
 
 class CounterRepair:
-    """Sends the calls that put totals right."""
+    """Sends the calls that repair totals."""
 
     def __init__(self, context: DecisionContext, calls: CounterCalls) -> None:
         self.context = context
         self.calls = calls
 
     def start_repair(self, exchange: CounterExchange, is_first: bool) -> None:
-        """Starts to put a total right that lost what it held, or holds more than a quota can.
+        """Starts the repair of a total that lost units, or holds more than a quota can.
 
-        At random and once in a while, so that not all gateways do it. Who finds a new epoch's key empty is
-        the first there, so it alone reads what the last epoch's key held.
+        Repairs are sampled by the poll probability and limited by `REPAIR_INTERVAL_MS`, so that not all
+        gateways repair the same total. The gateway that finds a new epoch's key empty is the first to use
+        it, so it alone reads the total of the previous epoch's key.
 
         Args:
-            exchange: whose total it is.
-            is_first: whether nothing was in the total before this gateway's call.
+            exchange: the exchange whose account and epoch the total belongs to.
+            is_first: whether the total was 0 before this gateway's call.
         """
         account = exchange.account
         now_ms = self.context.now_ms
@@ -49,43 +52,47 @@
         self.carry_over(exchange, 0.0)
 
     def carry_over(self, exchange: CounterExchange, level_units: float) -> None:
-        """Adds what the total lacks.
+        """Corrects a total to the known usage level; the correction may be negative.
 
         Args:
-            exchange: whose total it is.
-            level_units: usage that the last epoch's key held; what is known here counts if that is more.
+            exchange: the exchange whose account and epoch the total belongs to.
+            level_units: usage level according to the previous epoch's key, 0 if not read. The level known
+                at this gateway is used instead if it is higher.
         """
         account = exchange.account
         known_units = max(min(account.plan.quota_units, level_units), account.known_level_units)
         refilled = account.refilled_units(exchange.epoch, self.context.now_ms)
         counter_key = stable_hash(account.customer, exchange.epoch)
-        lacking = math.floor(known_units - account.counter_units + refilled)
-        lacking -= sum(call.repair_units for call in self.calls.pending(counter_key))
-        is_repairable = known_units >= MIN_LOSS_UNITS or lacking < 0
-        lacking = max(lacking, -MAX_REPAIR_UNITS) if is_repairable else 0
-        if abs(lacking) < MIN_LOSS_UNITS or account.counter_epoch != exchange.epoch:
+        correction_units = math.floor(known_units - account.counter_units + refilled)
+        correction_units -= sum(call.repair_units for call in self.calls.pending(counter_key))
+        is_repairable = known_units >= MIN_LOSS_UNITS or correction_units < 0
+        correction_units = max(correction_units, -MAX_REPAIR_UNITS) if is_repairable else 0
+        if abs(correction_units) < MIN_LOSS_UNITS or account.counter_epoch != exchange.epoch:
             return
-        if self.calls.send(exchange, lacking, lacking):
+        if self.calls.send(exchange, correction_units, correction_units):
             exchange.refill_lag_units = 0.0
 
     def undo_excess(self, call: CounterCall, total: float, level_units: float) -> None:
-        """Takes back what a call added too much.
+        """Subtracts the units that a call added in excess.
 
-        Use beyond a quota takes nothing from it: left in the total, the other gateways would reject what the
-        quota still holds. A repair that other gateways had made before stands twice.
+        Two kinds of units are in excess. Usage beyond the quota does not consume quota: left in the total,
+        it would make other gateways reject requests that still fit. And a repair is duplicated if another
+        gateway's repair of the same total came first.
 
         Args:
-            call: the call that was answered.
-            total: the total after it.
-            level_units: the usage that the total shows.
+            call: the call that the reply belongs to.
+            total: the total after the call.
+            level_units: the usage level that the total shows.
         """
         exchange = call.exchange
         account = exchange.account
-        beyond_quota = max(0, min(call.reported_units, math.floor(level_units - account.plan.quota_units)))
-        added_by_others = math.floor(total - call.expected_total_before - call.amount + 0.5)
-        repaired_twice = min(max(call.repair_units, 0), max(added_by_others, 0))
-        repaired_twice += max(min(call.repair_units, 0), min(added_by_others, 0))
-        too_much = beyond_quota + repaired_twice
-        if too_much and self.calls.send(exchange, -too_much):
+        over_quota_units = max(
+            0, min(call.reported_units, math.floor(level_units - account.plan.quota_units))
+        )
+        remote_units = math.floor(total - call.expected_total_before - call.amount + 0.5)
+        duplicate_units = min(max(call.repair_units, 0), max(remote_units, 0))
+        duplicate_units += max(min(call.repair_units, 0), min(remote_units, 0))
+        excess_units = over_quota_units + duplicate_units
+        if excess_units and self.calls.send(exchange, -excess_units):
             reserved = max(0.0, account.reserved_units[exchange.class_rank])
-            account.reserved_units[exchange.class_rank] -= min(beyond_quota, reserved)
+            account.reserved_units[exchange.class_rank] -= min(over_quota_units, reserved)
