--- a/drumgw/policy/counter_polling.py
+++ b/drumgw/policy/counter_polling.py
@@ -1,7 +1,7 @@
-"""Whether a new request polls the shared counter, and waits for the total.
+"""Decides whether a new request polls the shared counter and waits for the total.
 
-A request that a reservation covers needs no poll. Without a total it is decided by what is known here, and an
-unknown customer has only this gateway's part of its quota.
+A request covered by a reservation needs no poll. Without a total, the local account decides. A customer whose
+total is unknown or too old is limited to this gateway's part of its quota.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from drumgw.policy.retry import MIN_RETRY_AFTER_MS
 
 MIN_TIME_LEFT_TO_WAIT_MS = 2100.0
-"""A stall of this process while a request waits would lose it: stalls of up to 2 s are to be expected."""
+"""A request that waits while this process stalls may miss its deadline; expects stalls of up to 2 s."""
 MIN_TIMEOUTS_LEFT = 2
-"""Counter timeouts that a request must have left, to wait for a total."""
+"""A request waits for a total only with at least this many counter timeouts left until its deadline."""
 STALL_SAFETY_FACTOR = 1.25
-"""Multiple of the longest stall seen, to be outlived by a request that waits."""
+"""A request waits only if its time left exceeds the longest stall observed by this factor."""
 
 
 class CounterPoller:
-    """Decides which requests poll the counter, and which of them wait."""
+    """Decides which requests poll the counter, and which of those wait for the reply."""
 
     def __init__(
         self, context: DecisionContext, settings: GatewaySettings, calls: CounterCalls, back_end: BackEnd
@@ -36,26 +36,30 @@
         self.timeout_ms = settings.counter_timeout_ms
         self.max_retry_after_ms = settings.max_retry_after_ms
         self.min_time_left_to_wait_ms = max(MIN_TIME_LEFT_TO_WAIT_MS, MIN_TIMEOUTS_LEFT * self.timeout_ms)
-        """A request with less time left is decided without waiting for the total."""
+        """Requests with less time left are decided without waiting. Only ever raised, by `record_stall`."""
 
     def record_stall(self, stall_ms: float) -> None:
-        """Guards requests that wait for a total while this process stalls.
+        """Raises the time that a request must have left to wait for a total.
 
-        Such a request would miss its deadline without a decision; so from now on one with too little time
-        left for a stall like this does not wait. That holds until this process ends.
+        A request that waits while this process stalls may miss its deadline without a decision. After a
+        stall, requests without enough time left for another one of this length no longer wait. This holds
+        for the rest of the process's life.
         """
         needed_ms = STALL_SAFETY_FACTOR * stall_ms + MIN_TIMEOUTS_LEFT * self.timeout_ms
         self.min_time_left_to_wait_ms = max(self.min_time_left_to_wait_ms, needed_ms)
 
     def poll(self, request: PendingRequest, time_left_ms: float) -> bool:
-        """Polls the total for a new request where that is of use, at random where the counter is crowded.
+        """Polls the total for a new request where that can affect the decision.
+
+        Polls are sampled by the poll probability, which falls while the counter is overloaded.
 
         Args:
-            request: judged by what is known here already; may be rejected here, by its customer's allowance.
-            time_left_ms: until the client gives up.
+            request: already checked against the local account. May be marked as rejected here if the
+                customer's allowance does not cover it.
+            time_left_ms: time until the client's deadline.
 
         Returns:
-            Whether the request waits for the total. If not, it is decided by what is known here.
+            Whether the request waits for the total. If not, the caller decides it by the local account.
         """
         if not self._is_poll_useful(request):
             return False
@@ -73,8 +77,8 @@
         plan = account.plan
         if not (plan.rate_units_per_ms and self.endpoints.preferred):
             return False
-        is_crowded = self.calls.poll_probability < 1
-        if plan.is_soft and is_crowded and self.overload.has_spare_capacity(plan.window_ms):
+        is_counter_congested = self.calls.poll_probability < 1
+        if plan.is_soft and is_counter_congested and self.overload.has_spare_capacity(plan.window_ms):
             return False
         if request.units <= account.reserved_units[request.class_rank]:
             return False
@@ -82,10 +86,11 @@
         return not (request.retry_after_ms and total_age_ms < plan.window_ms)
 
     def _charge_or_reject_by_allowance(self, request: PendingRequest) -> None:
-        """Guards the quota of a customer without a total: each gateway admits its part of it only.
+        """Limits a customer without a recent total to this gateway's part of the quota.
 
-        A client's retry is rejected even where the allowance covers it: another gateway has most likely
-        rejected it before, as the quota is used up.
+        A client's retry is rejected even if the allowance covers it: another gateway has most likely
+        rejected the request before because the quota is used up. If the concurrency cap cannot be divided
+        among the gateways, every request decided without a poll, or without a recent total, is rejected.
         """
         account = request.account
         if not self.has_counter or account.plan.is_soft:
