--- a/drumgw/policy/counter_calls.py
+++ b/drumgw/policy/counter_calls.py
@@ -1,6 +1,6 @@
-"""The calls to the shared counter: which are in flight, how often to poll, and whether it answers at all.
+"""Calls to the shared counter: those in flight, the poll probability, and the counter's availability.
 
-Calls on one key are answered in the order in which they were sent.
+Relies on replies for one key arriving in the order in which the calls were sent.
 """
 
 from __future__ import annotations
@@ -18,55 +18,57 @@
 from drumgw.stable_hash import stable_hash
 
 COUNTER_TTL_MS = 60000.0
-"""Longer than an epoch, so that the last epoch's total can still be read in the next."""
+"""Longer than an epoch, so that an epoch's total can still be read at the start of the next."""
 INITIAL_POLLING_GATEWAYS = 100.0
-"""The gateways of a larger fleet start with a probability at which so many of them poll."""
+"""In larger fleets the initial poll probability is such that this many gateways poll on average."""
 MIN_POLL_PROBABILITY = 0.1
 POLL_PROBABILITY_INCREASE = 0.04
+"""Added after a prompt reply."""
 POLL_PROBABILITY_BACKOFF = 0.8
-"""Factor after a call that was slow or failed."""
+"""Factor applied after a slow or failed call."""
 PROMPT_REPLY_TIMEOUT_FRACTION = 0.3
+"""Replies within this fraction of the counter timeout are prompt."""
 MAX_FAILED_CALLS = 3
-"""In a row; with so many the counter counts as unavailable."""
+"""After this many consecutive failures the counter is considered unavailable."""
 PROBE_INTERVAL_MS = 100.0
-"""Between calls to an unavailable counter, at a poll probability of 1."""
+"""Time between calls to an unavailable counter; divided by the poll probability."""
 
 
 class CounterState(MachineEnum):
-    """Whether the shared counter answers."""
+    """Availability of the shared counter."""
 
     AVAILABLE = "available"
     UNAVAILABLE = "unavailable"
 
 
 class CounterInput(MachineEnum):
-    """What changes the counter's availability."""
+    """Inputs that change the counter's availability."""
 
     REPLIED = "replied"
     MISSED_REPLIES = "missed replies"
 
 
 class CounterCall(NamedTuple):
-    """A call in flight. Dropped with its reply."""
+    """A call in flight; removed when its reply arrives."""
 
     exchange: CounterExchange
     counter_key: int
     amount: float
-    """Whole units of all classes; its two decimals count steps of the highest class's units."""
+    """Whole units of all classes; the two decimals count steps of the highest class. May be negative."""
     epoch: int
     repair_units: int
-    """Part of the amount that only puts the total right."""
+    """Part of the amount that only corrects the total, and is not usage."""
     expected_total_before: float
-    """The total before this call if no other gateway adds to it."""
+    """Expected total before this call if no other gateway adds to the key in the meantime."""
 
     @property
     def reported_units(self) -> int:
-        """Whole units that this gateway uses or reserves."""
+        """Whole units of usage and reservations in the amount, without repairs."""
         return math.floor(self.amount) - self.repair_units
 
 
 class CounterCalls:
-    """Sends calls and keeps them until their replies, in the order of each key."""
+    """Sends calls and matches replies to them, in order for each key."""
 
     def __init__(
         self, context: DecisionContext, settings: GatewaySettings, describe_load: Callable[[], str]
@@ -77,28 +79,28 @@
         self.state = CounterState.AVAILABLE
         self.poll_probability = min(1.0, INITIAL_POLLING_GATEWAYS / settings.gateways)
         self.failed_calls = 0
-        """In a row."""
+        """Consecutive failures."""
         self.last_call_at_ms = LONG_AGO_MS
         self.in_flight: dict[int, list[CounterCall]] = {}
         """By counter key, oldest first."""
 
     def draw_poll(self) -> bool:
-        """Draws whether to call now, with `poll_probability`."""
+        """Returns True with `poll_probability`."""
         return self.context.random.random() < self.poll_probability
 
     def send(
         self, exchange: CounterExchange, amount: float, repair_units: int = 0, epochs_back: int = 0
     ) -> bool:
-        """Adds to a customer's total and reads it.
+        """Adds an amount to a customer's total and requests the new total.
 
         Args:
-            exchange: whose account, and in which epoch.
+            exchange: gives the account and the epoch.
             amount: whole units, with the highest class's steps as decimals; 0 only reads.
-            repair_units: part of the amount that puts the total right.
-            epochs_back: how many epochs before the exchange's own the key is from.
+            repair_units: part of the amount that only corrects the total.
+            epochs_back: how many epochs before the exchange's epoch to take the key from.
 
         Returns:
-            Whether a call was sent: a counter that is unavailable is called seldom.
+            Whether a call was sent. An unavailable counter is only called at the probe interval.
         """
         context = self.context
         if self.state is CounterState.UNAVAILABLE:
@@ -121,7 +123,7 @@
         return self.in_flight.get(counter_key, ())
 
     def take(self, counter_key: int) -> CounterCall | None:
-        """Removes the call that a reply belongs to; None where none is known."""
+        """Removes and returns the oldest call in flight on a key; None if there is none."""
         calls = self.in_flight.get(counter_key)
         if calls is None:
             return None
@@ -133,8 +135,9 @@
     def record_reply(self, event: CounterReplied) -> None:
         """Updates the poll probability and the counter's availability.
 
-        Guards a counter with more calls than it can take, which shows as slow replies: each gateway polls
-        less by what it sees itself. A reply after a stall of this process says nothing.
+        Slow replies indicate an overloaded counter, so each gateway independently lowers its poll
+        probability. Replies handled right after a stall of this process are left out, as their duration
+        includes the stall.
         """
         succeeded = event.outcome is Outcome.SUCCEEDED
         if not self.context.is_after_stall:
@@ -151,7 +154,7 @@
             advance(COUNTER_TRANSITIONS, self, self, CounterInput.MISSED_REPLIES)
 
     def log_state(self, _record: CounterCalls) -> None:
-        """Writes the state that was entered to the log."""
+        """Logs the new availability with the figures of the load; called on each transition."""
         text = f"counter {self.state.value}: {self.failed_calls} calls failed in a row, "
         self.context.actions.append(LogMessage(text + self.describe_load()))
 
