--- a/drumgw/policy/admission.py
+++ b/drumgw/policy/admission.py
@@ -1,7 +1,7 @@
-"""Admission: whether a request fits its customer's quota, and whether it is shed.
+"""Admission control: whether a request fits its customer's quota, and whether it is shed.
 
-Each class owns a share of the quota. It may borrow what the other classes leave, except for the floors of the
-classes above it that use theirs.
+Each class has a share of the quota. Beyond its share it may borrow units that other classes do not use,
+except for the floors reserved for higher classes that are in use.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from drumgw.policy.retry import MIN_RETRY_AFTER_MS
 
 MIN_SHED_RETRY_AFTER_FRACTION = 0.3
-"""Shed requests come back after this part of the longest Retry-After, or later."""
+"""Lower limit of the Retry-After of shed requests, as a fraction of the maximum."""
 
 
 class AdmissionControl:
-    """Judges requests by quota, and by load."""
+    """Checks requests against the customer's quota and against the load of the back end."""
 
     def __init__(
         self,
@@ -39,50 +39,51 @@
         self.max_retry_after_ms = settings.max_retry_after_ms
 
     def quota_wait_ms(self, request: PendingRequest) -> float:
-        """How long until a request fits its customer's quota; 0 where it fits now.
+        """Returns the time until a request fits its customer's ceiling and quota; 0 if it fits now.
 
-        Notes on the request whether it is admitted beyond a soft plan's quota. Such a plan passes its
-        concurrency cap as well, while the back end has spare capacity.
+        Sets `is_over_quota` on the request if a soft plan admits it beyond its quota. While the back end has
+        spare capacity, a soft plan may exceed its concurrency cap as well.
         """
         account = request.account
         plan = account.plan
         ceiling_rate = plan.ceiling_units_per_ms
         if ceiling_rate and request.units > account.ceiling_units:
-            lacking = request.units - account.ceiling_units
-            return max(MIN_RETRY_AFTER_MS, lacking * account.gateway_count / ceiling_rate)
-        lacking = self._shortfall_units(request)
-        is_beyond = lacking > 0
+            shortfall = request.units - account.ceiling_units
+            return max(MIN_RETRY_AFTER_MS, shortfall * account.gateway_count / ceiling_rate)
+        shortfall = self._shortfall_units(request)
+        exceeds_quota = shortfall > 0
         request.is_over_quota = (
-            is_beyond and plan.is_soft and self.overload.has_spare_capacity(plan.window_ms)
+            exceeds_quota and plan.is_soft and self.overload.has_spare_capacity(plan.window_ms)
         )
-        if not is_beyond or request.is_over_quota:
+        if not exceeds_quota or request.is_over_quota:
             return 0.0
         rate = plan.rate_units_per_ms
-        return max(MIN_RETRY_AFTER_MS, lacking / rate if rate else self.max_retry_after_ms)
+        return max(MIN_RETRY_AFTER_MS, shortfall / rate if rate else self.max_retry_after_ms)
 
     def _shortfall_units(self, request: PendingRequest) -> float:
-        """Units that must be refilled before a request fits; 0 or less where it fits.
+        """Units that must be refilled before a request fits; 0 or less if it fits.
 
-        A request beyond the concurrency cap lacks all of its units.
+        For a request beyond the concurrency cap the shortfall is at least all of its units.
         """
         account = request.account
         plan = account.plan
         units = request.units
         class_rank = request.class_rank
-        spare = account.usable_quota_units - sum(account.usage_units)
-        lacking = units - spare
+        available = account.usable_quota_units - sum(account.usage_units)
+        shortfall = units - available
         cap = plan.max_concurrent_attempts
         if cap and account.attempts_in_flight >= max(1, cap // account.gateway_count):
-            return max(lacking, units)
+            return max(shortfall, units)
         own_share = self.class_shares[class_rank] * plan.quota_units
-        if lacking <= 0 and account.usage_units[class_rank] + units > own_share:
-            return units - (spare - self._reserved_for_higher_classes(account, class_rank))
-        return lacking
+        if shortfall <= 0 and account.usage_units[class_rank] + units > own_share:
+            return units - (available - self._reserved_for_higher_classes(account, class_rank))
+        return shortfall
 
     def _reserved_for_higher_classes(self, account: QuotaAccount, class_rank: int) -> float:
-        """What a class may not borrow: unused floors of the classes above, as far as they use theirs.
+        """Units that a class may not borrow: the unused parts of the higher classes' floors.
 
-        A class above is expected to use as much as in the last or the running window, and a reservation.
+        A floor counts only up to the expected usage of its class: the larger one of the last and the current
+        window, plus a reservation.
         """
         reserved = []
         for rank in range(class_rank):
@@ -93,16 +94,16 @@
         return sum(reserved)
 
     def limit_by_load(self, request: PendingRequest) -> None:
-        """Rejects a request that fits its quota, but not the concurrency limit or what the back end can do.
+        """Rejects a request that fits its quota if the concurrency limit is reached or load is being shed.
 
-        Guards the higher classes while answers are late: the lower ones yield first. For those an overdue
-        attempt still counts as in flight then.
+        Lower classes are rejected first, to protect the latency of the higher ones. While answers are late,
+        overdue attempts count as in flight for all classes but the highest.
         """
         random = self.context.random
         class_rank = request.class_rank
         counts_overdue = self.overload.is_late and class_rank > 0
         in_flight = self.limit.in_flight - (0 if counts_overdue else self.limit.overdue)
-        # Drawn for requests that the quota has rejected as well: the order of draws does not depend on quotas
+        # Drawn before the check for a quota rejection, so that the random sequence does not depend on quotas
         is_full = in_flight + random.random() > self.limit.max_in_flight_for(class_rank)
         if request.retry_after_ms:
             return
