--- a/drumgw/policy/retry.py
+++ b/drumgw/policy/retry.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent again, and its final answer where it may not."""
+"""Retry policy: whether a request may be sent again, and the final answer if it may not."""
 
 from __future__ import annotations
 
@@ -9,21 +9,23 @@
 from drumgw.policy.request_state import PendingRequest
 
 BUDGET_PER_FIRST_ATTEMPT = 0.15
-"""Retries that each first attempt pays for."""
+"""Retries that each first attempt adds to the budget."""
 MAX_BUDGET = 20.0
+"""Most retries that the budget can accumulate; also its initial value."""
 MIN_RETRY_AFTER_MS = 1.0
-"""Of a request that is rejected by quota or load."""
+"""Lower limit of the Retry-After of requests rejected by quota or load, as 0 means not rejected."""
 DEFAULT_RETRY_AFTER_MS = 1000.0
-"""Where nothing else tells when a retry may succeed."""
+"""Retry-After of requests that failed for other reasons than quota or load."""
 MAX_RETRY_AFTER_JITTER = 1.2
-"""Clients that were rejected together come back spread over a fifth of the time."""
+"""Maximum factor of the Retry-After jitter, so that clients rejected together return at different times."""
 RETRY_AFTER_WINDOW_FRACTION = 0.5
-"""A client comes again within this part of what is left of the idempotency window."""
+"""Upper limit of Retry-After as a fraction of the time left in the idempotency window."""
 MIN_WINDOW_LEFT_MS = 1.0
+"""With less time left in the idempotency window, a client's retry is not considered safe."""
 
 
 class RetryPolicy:
-    """Keeps retries within a budget, and within what is safe to repeat."""
+    """Limits retries to a budget and to requests that are safe to repeat."""
 
     def __init__(
         self, context: DecisionContext, settings: GatewaySettings, overload: OverloadDetector
@@ -35,19 +37,20 @@
 
     @property
     def has_budget(self) -> bool:
-        """Whether the budget allows a retry."""
+        """Whether the budget covers at least one retry."""
         return self.budget >= 1
 
     def record_attempt(self, is_retry: bool) -> None:
-        """First attempts fill the budget, retries use it."""
+        """Updates the budget: first attempts add to it, and each retry uses 1."""
         change = -1.0 if is_retry else BUDGET_PER_FIRST_ATTEMPT
         self.budget = max(0.0, min(MAX_BUDGET, self.budget + change))
 
     def may_retry(self, request: PendingRequest) -> bool:
         """Whether a request may be sent again.
 
-        One that never ran always may while answers are in time; else the budget must allow it. One that may
-        have run must be idempotent, and its key still known to the endpoints.
+        A request that cannot have run is always retried while answers are in time; otherwise the budget must
+        cover the retry. A request that may have run must be idempotent, and the endpoints must still hold its
+        idempotency key.
         """
         may_have_run = request.may_have_run_on is not None
         if not self.has_budget and (may_have_run or self.overload.is_late):
@@ -57,10 +60,10 @@
         return self.context.now_ms < self.idempotent_until_ms(request)
 
     def idempotent_until_ms(self, request: PendingRequest) -> float:
-        """When endpoints forget the idempotency key of a request that may have run.
+        """Returns when endpoints drop the idempotency key of a request that may have run, else `NEVER_MS`.
 
-        Guards against a second effect: a retry whose last byte arrives later runs again, however early it
-        was decided. So it goes with each attempt as the time to write it by.
+        A retry whose last byte arrives after that time would run a second time, however early it was
+        decided. Each attempt therefore carries this time as the deadline for writing it.
         """
         may_have_run = request.may_have_run_on is not None
         if may_have_run and request.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
@@ -68,7 +71,7 @@
         return NEVER_MS
 
     def final_answer(self, request: PendingRequest) -> RejectRequest | FailRequest:
-        """Rejects where a client may safely try again, else fails the request."""
+        """Returns a rejection if the client may safely retry, otherwise a failure."""
         window_left_ms = self.idempotent_until_ms(request) - self.context.now_ms
         jitter = self.context.random.uniform(1.0, MAX_RETRY_AFTER_JITTER)
         retry_after_ms = min(
@@ -82,7 +85,11 @@
 
     @staticmethod
     def _is_safe_to_repeat(request: PendingRequest, window_left_ms: float) -> bool:
-        """A client's retry may come through any gateway, so all endpoints must share the memory of keys."""
+        """Whether a client may safely retry a request that may have run.
+
+        The retry may reach any endpoint through any gateway, so with an idempotency key all endpoints must
+        share deduplication.
+        """
         request_class = request.request_class
         if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
             is_shared = request_class.deduplication_scope is DeduplicationScope.ALL
