--- a/drumgw/policy/request_state.py
+++ b/drumgw/policy/request_state.py
@@ -1,4 +1,4 @@
-"""A request from its arrival to its final answer, and the states it goes through."""
+"""Records of pending requests, with their states from arrival to the final answer."""
 
 from __future__ import annotations
 
@@ -10,36 +10,37 @@
 from drumgw.policy.state_machine import MachineEnum
 
 NO_EPOCH = -1
+"""Epoch of an exchange that does not call the counter."""
 
 
 class RequestState(MachineEnum):
-    """Where a request stands."""
+    """State of a request."""
 
     NEW = "new"
-    """Not decided yet; it may be waiting for a total of the shared counter."""
+    """Not yet decided; may be waiting for a total of the shared counter."""
     IN_FLIGHT = "in flight"
     DONE = "done"
 
 
 class RequestInput(MachineEnum):
-    """What moves a request from one state to the next."""
+    """Inputs of the request state machine."""
 
     ADMITTED = "admitted"
     REJECTED = "rejected"
     NO_ENDPOINT = "no endpoint"
-    """No endpoint may be sent a further attempt."""
+    """No further attempt is possible or allowed."""
     ATTEMPT_FAILED = "attempt failed"
     SUCCEEDED = "succeeded"
     CLIENT_GONE = "client gone"
-    """Nothing is owed to the client any more."""
+    """The client has been answered or has disconnected; no answer is due."""
 
 
 @dataclass(slots=True, eq=False)
 class CounterExchange:
-    """What one request, or the end of the gateway, has to do with the shared counter.
+    """State shared by the counter calls of one request, or of a gateway that is stopping.
 
-    Written by `CounterPoller` (the epoch), `CounterSync` and `CounterRepair` (the total's figures); dropped
-    with the last counter call that names it.
+    `CounterPoller` writes the epoch; `CounterSync` and `CounterRepair` write the figures of the total. Kept
+    alive by the request and by the counter calls that refer to it.
     """
 
     account: QuotaAccount
@@ -47,19 +48,19 @@
     units: float
     request: PendingRequest | None = None
     epoch: int = NO_EPOCH
-    """The epoch whose key is polled and reported to; `NO_EPOCH` where the counter is not called."""
+    """Epoch of the key that is polled and reported to; `NO_EPOCH` if the counter is not called."""
     refill_lag_units: float = 0.0
-    """How far the counter's total lags behind what has been refilled."""
+    """Units by which the counter's total is below the units refilled since the epoch began."""
     top_class_fraction: float = 0.0
-    """The highest class's part of the total."""
+    """Fraction of the total that belongs to the highest class."""
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that is owed an answer.
+    """A request that has not been answered.
 
-    `RequestFlow` owns it, moves its state and drops it at its final answer. `AdmissionControl` and
-    `CounterPoller` write whether it fits, `AttemptTracker` writes its attempts.
+    `RequestFlow` owns it, updates its state and removes it with the final answer. `AdmissionControl` and
+    `CounterPoller` write whether it is admitted; `AttemptTracker` records its attempts.
     """
 
     request_id: int
@@ -73,13 +74,13 @@
     exchange: CounterExchange
     state: RequestState = RequestState.NEW
     retry_after_ms: float = 0.0
-    """0 while nothing speaks against admitting it."""
+    """Greater than 0 if the request is rejected; 0 if it may be admitted."""
     is_over_quota: bool = False
-    """Admitted beyond a soft plan's quota: takes no units."""
+    """Admitted beyond a soft plan's quota, so not charged to the quota."""
     tried_endpoints: list[EndpointState] = field(default_factory=list)
-    """One for each attempt."""
+    """The endpoint of each attempt, in order."""
     last_sent_at_ms: float = 0.0
     may_have_run_on: EndpointState | None = None
-    """The first endpoint that may have run it."""
+    """Endpoint of the first attempt that may have run; None if no attempt can have run."""
     may_have_run_at_ms: float = 0.0
-    """When the attempt was sent that may have run first."""
+    """Time at which the first attempt that may have run was sent."""
