--- a/drumgw/stable_hash.py
+++ b/drumgw/stable_hash.py
@@ -1,4 +1,4 @@
-"""A hash of whole numbers that is the same in every process, unlike Python's own."""
+"""Integer hash that is the same in every process, which Python's built-in `hash` does not guarantee."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def stable_hash(*parts: int) -> int:
-    """Mixes the parts into a number below 2**63; gateways use it to agree without a message."""
+    """Hashes the parts to a number below 2**63. Lets gateways derive equal keys without communicating."""
     state = 0
     for part in parts:
         state = ((state ^ part & WORD_MASK) * MULTIPLIER + INCREMENT) & WORD_MASK
