--- a/drumgw/policy/__init__.py
+++ b/drumgw/policy/__init__.py
@@ -1,5 +1,5 @@
-"""Every decision of a gateway: what to admit, where to send it, when to retry, when to give up.
+"""Decision logic of a gateway: admission, endpoint selection, retries and final answers.
 
-`engine` takes typed events and returns typed actions; the modules beside it hold one rule or one record
-each. Nothing here does I/O or reads a clock. The mechanism is described in docs/design.md.
+`engine` takes typed events and returns typed actions; each of the other modules implements one rule or one
+kind of record. The package does no I/O and reads no clock. docs/design.md describes the mechanism.
 """
