--- a/tests/test_policy_counter.py
+++ b/tests/test_policy_counter.py
@@ -1,4 +1,4 @@
-"""The shared counter as one gateway uses it: polls, reports, reservations, repairs."""
+"""Use of the shared counter by one gateway: polls, reports, reservations and repairs."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class CounterTotalTest(TraceCase):
-    """What a total says, and what is reported."""
+    """Decisions by totals, and what is reported."""
 
-    def test_the_total_decides_and_tells_the_classes_apart(self) -> None:
+    def test_total_decides_by_usage_of_each_class(self) -> None:
         harness = PolicyHarness(hold_counter=True)
-        harness.note("others took 16 units, none of the top class: its floor keeps the lower class out")
+        harness.note("16 units used elsewhere, none by the top class: its floor excludes the lower class")
         harness.request(TOP, 2.0)
         harness.reply_from_counter(0.0)
-        harness.reply_from_counter(0.0)  # what the last epoch's key held
+        harness.reply_from_counter(0.0)  # total of the previous epoch's key
         harness.reply_from_counter(2.0)
         harness.request(LOWER, 3.0)
         harness.reply_from_counter(16.0)
@@ -22,89 +22,94 @@
         harness.reply_from_counter(16.0)
         harness.reply_from_counter(19.01)
         other = PolicyHarness(hold_counter=True)
-        other.note("another gateway, 16 units, all of them the top class's: its need is met, and it fits")
+        other.note(
+            "another gateway; all 16 units used by the top class: its floor is used up, the request fits"
+        )
         other.request(LOWER, 3.0)
         other.reply_from_counter(16.02)
         harness.trace += other.trace
         self.assert_trace(harness, "counter-totals")
 
-    def test_a_request_waits_for_the_total_only_with_time_to_spare(self) -> None:
+    def test_request_waits_for_total_only_if_it_can_outlast_a_stall(self) -> None:
         """A request that waits for the counter while this process stalls may miss its deadline.
 
-        One without the time to outlive a stall is decided at once by what is known, and still reported.
+        A request without enough time left for a stall is decided at once by the local account, and still
+        reported.
         """
         harness = PolicyHarness(hold_counter=True)
         harness.request(LOWER, 6.0)
-        harness.note("waits until the total comes")
+        harness.note("waits for the total")
         harness.reply_from_counter()
-        harness.note("too little time left to outlive a stall: decided at once, and reported")
+        harness.note("too little time left for a stall: decided at once, and reported")
         harness.request(LOWER, 6.0, time_left_ms=2000.0)
-        harness.note("no total ever came for this customer: quota / gateways, then no more")
+        harness.note("no total received for this customer: limited to quota / gateways")
         for _ in range(3):
             harness.request(LOWER, 6.0, customer=2, time_left_ms=2000.0)
         self.assert_trace(harness, "wait-for-total")
 
-    def test_reservations_that_were_not_spent_are_returned_at_the_end(self) -> None:
+    def test_unused_reservations_are_returned_when_the_gateway_stops(self) -> None:
         """A gateway is restarted while it holds reservations.
 
-        They count as used in the customers' totals. If it did not return them, its customers would miss
-        them until the quota has refilled.
+        Reservations count as used in the customers' totals. If they were not returned, the customers could
+        not use these units until the quota has refilled them.
         """
         harness = PolicyHarness(gateways=400)
         harness.advance(20000)
         while not self.reserved_units(harness):
             harness.end_attempt(harness.request(LOWER, 1.0, time_left_ms=2000.0))
-        harness.note("of the reservation that was reported just now nothing is spent")
+        harness.note("nothing of the reservation reported last has been used")
         harness.play(GatewayStopping())
-        harness.note("that was all")
+        harness.note("nothing is left to return")
         harness.play(GatewayStopping())
         self.assert_trace(harness, "reservations-returned")
 
     def reserved_units(self, harness: PolicyHarness) -> int:
-        """Whole units that are reserved here."""
+        """Whole units that the gateway has reserved; 0 without an account."""
         account = harness.engine.accounts.get(CUSTOMER)
         return int(max(0.0, *account.reserved_units)) if account else 0
 
 
 class CounterRepairTest(TraceCase):
-    """Totals that must be put right."""
+    """Totals that must be corrected."""
 
-    def test_a_total_that_lags_behind_the_refill_is_put_right(self) -> None:
-        """A customer is idle until its quota is full, and refill beyond that is lost.
+    def test_total_that_lags_behind_the_refill_is_corrected(self) -> None:
+        """A customer is idle until its quota is full; further refill is lost.
 
-        The total does not know: its level would fall below empty, and the customer could use more than its
-        quota at once. So the next report adds what was refilled in vain.
+        The total does not change meanwhile, so its usage level would fall below 0 and the customer could use
+        more than its quota at once. The next report therefore adds the lost refill.
         """
         harness = PolicyHarness()
         harness.end_attempt(harness.request(LOWER, 3.0))
-        harness.note("ten seconds refill 20 units, but only 3 lacked: the other 17 are added with the report")
+        harness.note("ten seconds refill 20 units, but only 3 were used: the report adds the other 17")
         harness.advance(10000)
         harness.request(LOWER, 3.0)
         self.assert_trace(harness, "counter-lags-refill")
 
-    def test_what_was_reported_beyond_the_quota_is_taken_back(self) -> None:
+    def test_units_reported_beyond_the_quota_are_subtracted(self) -> None:
         """Two gateways use the last units of a quota at the same time.
 
-        What goes beyond the quota takes nothing from it. Left in the total, it would have the other gateways
-        reject requests that the quota still holds, so who reported it takes it back.
+        Usage beyond the quota does not consume quota. Left in the total, it would make other gateways reject
+        requests that still fit, so the gateway that reported the excess subtracts it.
         """
         harness = PolicyHarness(hold_counter=True)
-        harness.note("too late to wait; others took 18 of 20 units, 0.2 refilled: of its 6, 3 are beyond")
+        harness.note(
+            "no time to wait; 18 of 20 units used elsewhere, 0.2 refilled: 3 of the 6 units are in excess"
+        )
         harness.request(LOWER, 6.0, time_left_ms=2000.0)
         harness.reply_from_counter(24.0)
         harness.reply_from_counter(20.0)
         other = PolicyHarness(hold_counter=True)
-        other.note("another gateway, 6 units reported beside 14 of the others': nothing is taken back")
+        other.note("another gateway; 6 units reported, 14 used elsewhere: nothing is subtracted")
         other.request(LOWER, 6.0, time_left_ms=2000.0)
         other.reply_from_counter(20.0)
         harness.trace += other.trace
         self.assert_trace(harness, "beyond-quota-taken-back")
 
-    def test_a_new_epoch_takes_over_what_the_last_one_held(self) -> None:
-        """A customer's counter key changes each 50 s, and the new key's total is 0.
+    def test_new_epoch_carries_over_the_usage_of_the_last(self) -> None:
+        """A customer's counter key changes every 50 s, and the new key's total is 0.
 
-        If nobody carried the usage over, each customer had a whole quota anew with each epoch. The gateway
-        that finds the new key empty does it, whether or not it knows the customer.
+        If usage were not carried over, each customer would get a full quota with each epoch. The gateway
+        that finds the new key empty carries it over, whether or not it has an account of the customer.
         """
         harness = PolicyHarness()
         harness.advance(49000)
@@ -113,34 +118,34 @@
         harness.request(TOP, 2.0)
         harness.counter_totals[harness.counter_key()] += 8.0
         harness.advance(1400)
-        harness.note(
-            "the new key is empty: the last one is read, and what it held and has not refilled added"
-        )
+        harness.note("the new key is empty: the previous key is read, and its usage less the refill is added")
         harness.request(TOP, 2.0)
         harness.request(TOP, 6.0)
         self.assert_trace(harness, "epoch-change")
 
-    def test_a_counter_that_comes_back_empty_is_filled_again(self) -> None:
+    def test_totals_of_an_emptied_counter_are_restored(self) -> None:
         """The counter restarts empty, or with an older state, so its totals are too low.
 
-        A total cannot fall faster than the quota refills. A gateway that sees one do so goes by what it
-        knew, and adds what lacks with one call at a time; of two that do so, one takes its part back.
+        A usage level cannot fall faster than the quota refills. A gateway that sees this keeps to the level
+        it knew and adds the difference, one call at a time; if two gateways do so, one undoes its repair.
         """
         harness = PolicyHarness(hold_counter=True)
         harness.advance(20000)
         harness.request(TOP, 5.0)
         harness.reply_from_counter(53.0)  # 40.2 refilled
         harness.reply_from_counter(58.0)
-        harness.note("it knows nothing of 17.8 units used: 2 just fit, and the others are put back")
+        harness.note(
+            "the 17.8 units used are missing from the total: 2 more just fit, and the usage is restored"
+        )
         harness.request(TOP, 2.0)
         harness.reply_from_counter(0.0)
-        harness.note("another gateway had put 57 back just before: ours are taken back")
+        harness.note("another gateway had just added 57 units: this gateway undoes its repair")
         harness.reply_from_counter(115.0)
         harness.reply_from_counter(117.0)
         harness.reply_from_counter(60.0)
         harness.request(TOP, 1.0)
         harness.advance(2000)
-        harness.note("an older state, by 10 units")
+        harness.note("restored from an older state that lacks 10 units")
         harness.request(TOP, 2.0)
         harness.reply_from_counter(50.0)
         while harness.counter_calls:
@@ -149,14 +154,13 @@
 
 
 class CounterAvailabilityTest(TraceCase):
-    """A counter with more calls than it can take, or without replies."""
+    """An overloaded counter, or one that does not reply."""
 
-    def test_a_slow_or_unavailable_counter_is_called_less(self) -> None:
-        """The counter's replies come late, then not at all, then promptly again.
+    def test_slow_or_unavailable_counter_is_called_less(self) -> None:
+        """The counter's replies are slow, then time out, then are prompt again.
 
-        Late replies show that it has more calls than it can take, so the gateway calls it less by each.
-        After three calls without a reply it counts as unavailable, and is only called now and then, until it
-        replies.
+        Slow replies indicate an overloaded counter, so each one lowers the poll probability. After three
+        consecutive failures the counter is unavailable and is only probed until it replies.
         """
         harness = PolicyHarness(hold_counter=True)
         for duration_ms, outcome in (
@@ -171,7 +175,7 @@
         self.assert_trace(harness, "counter-unavailable")
 
     def calls_for_40_requests(self, harness: PolicyHarness, duration_ms: float, outcome: Outcome) -> int:
-        """Plays a request of another customer each 100 ms, and counts the calls before the first reply."""
+        """Sends a new customer's request every 100 ms, and counts the calls sent before any reply."""
         calls = 0
         for number in range(40):
             harness.request(LOWER, 1.0, customer=10 * number + round(duration_ms))
