--- a/tests/test_policy_quotas.py
+++ b/tests/test_policy_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas as one gateway keeps them: shares, soft plans, billed units, ceilings, concurrency caps."""
+"""Quota enforcement by one gateway: shares, soft plans, billed units, ceilings and concurrency caps."""
 
 from __future__ import annotations
 
@@ -9,27 +9,29 @@
 
 
 class QuotaTest(TraceCase):
-    """What fits a customer's quota."""
+    """Requests that fit a customer's quota, and requests that do not."""
 
     def test_shares_floors_and_borrowing(self) -> None:
         harness = PolicyHarness()
         harness.note(
-            "the top class takes 8 of 20 units; the lower one its share, and borrows above the floor"
+            "the top class uses 8 of 20 units; the lower one uses its share and borrows beyond the floor"
         )
         for _ in range(4):
             harness.serve(harness.request(TOP, 2.0))
         for _ in range(6):
             harness.serve(harness.request(LOWER, 2.0))
-        harness.note("the quota is used: the top class is rejected too, and a rejected request not reported")
+        harness.note(
+            "the quota is used up: the top class is rejected too; rejected requests are not reported"
+        )
         for _ in range(3):
             harness.serve(harness.request(TOP, 2.0))
         self.assert_trace(harness, "class-shares")
 
-    def test_soft_plan_passes_its_quota_until_an_endpoint_has_no_capacity(self) -> None:
+    def test_soft_plan_exceeds_its_quota_until_an_endpoint_has_no_capacity(self) -> None:
         harness = PolicyHarness(plans=(SOFT_PLAN,))
         for _ in range(3):
             harness.end_attempt(harness.request(LOWER, 10.0))
-        harness.note("past the quota; now an endpoint rejects an attempt for lack of capacity")
+        harness.note("beyond the quota; an endpoint rejects an attempt for lack of capacity")
         request = harness.request(LOWER, 10.0)
         harness.end_attempt(request, Outcome.REJECTED)
         harness.end_attempt(request)
@@ -38,7 +40,7 @@
 
     def test_billed_units_replace_the_estimate(self) -> None:
         harness = PolicyHarness(has_counter=False, gateways=1)
-        harness.note("12 units estimated, 2 billed: another 12 fit; 12 billed: no more do")
+        harness.note("12 units estimated, 2 billed: another 12 fit; then 12 billed: no more fit")
         harness.end_attempt(harness.request(LOWER, 12.0, gateway_count=1), billed_units=2.0)
         harness.end_attempt(harness.request(LOWER, 12.0, gateway_count=1), billed_units=12.0)
         harness.request(LOWER, 12.0, gateway_count=1)
@@ -46,39 +48,43 @@
 
 
 class CeilingTest(TraceCase):
-    """The hard limit that holds without the counter."""
+    """The hard limit, which does not depend on the counter."""
 
-    def test_ceiling_is_held_by_each_gateway_alone(self) -> None:
-        """The counter loses its totals, so quotas are passed for a while.
+    def test_ceiling_holds_when_the_counter_loses_totals(self) -> None:
+        """The counter loses its totals, so quotas can be exceeded for a time.
 
-        A ceiling must hold all the same: each gateway keeps its even part of it without a call.
+        A ceiling must still hold: each gateway enforces an even part of it without calling the counter.
         """
         harness = PolicyHarness(plans=(CEILING_PLAN,))
-        harness.note("a new gateway starts from nothing: the ceiling refills here at 20 / 2 a second, to 20")
+        harness.note(
+            "a new gateway starts with 0 units: the ceiling refills here at 20 / 2 per second, up to 20"
+        )
         harness.request(TOP, 4.0)
         harness.advance(500)
         harness.request(TOP, 4.0)
         harness.request(TOP, 4.0)
-        harness.note("a total that was lost changes nothing")
+        harness.note("the loss of a total changes nothing")
         harness.counter_totals.clear()
         harness.request(TOP, 4.0)
         self.assert_trace(harness, "ceiling")
 
-    def test_a_customer_seen_late_has_its_whole_part_of_the_ceiling(self) -> None:
-        """Customers of many gateways come to each of them seldom.
+    def test_new_account_starts_with_the_refilled_part_of_the_ceiling(self) -> None:
+        """Customers that are served by many gateways reach each of them rarely.
 
-        Their accounts are new, or were dropped as idle, at nearly each request. If a new account began from
-        an empty ceiling, most of their requests were rejected; so it begins with what has refilled since the
-        gateway started, up to the time after which accounts are dropped.
+        Their accounts are new, or were dropped as idle, at nearly every request. If new accounts started with
+        an empty ceiling, most of these requests would be rejected. New accounts therefore start with the
+        units refilled since the gateway's start, for at most the time after which idle accounts are dropped.
         """
         plan = replace(CEILING_PLAN, units_per_s=100.0, burst_units=200.0)
         harness = PolicyHarness(plans=(plan,), has_counter=False)
         harness.advance(1500)
-        harness.note("1.6 s after the start: 16 of the 20 units that the ceiling may hold here have refilled")
+        harness.note("1.6 s after the start: 16 of at most 20 units of the ceiling have refilled here")
         for _ in range(3):
             harness.serve(harness.request(LOWER, 6.0, customer=2))
         harness.advance(30000)
-        harness.note("the account was dropped as idle: the part is full again, and holds no more than that")
+        harness.note(
+            "the account was dropped as idle: the ceiling's part is full again, and not more than full"
+        )
         self.assertNotIn(2, harness.engine.accounts)
         for _ in range(4):
             harness.serve(harness.request(LOWER, 6.0, customer=2))
@@ -86,9 +92,9 @@
 
 
 class ConcurrencyCapTest(TraceCase):
-    """A plan's limit on attempts in flight over all gateways."""
+    """A plan's limit on attempts in flight, summed over all gateways."""
 
-    def test_cap_is_split_over_the_gateways(self) -> None:
+    def test_cap_is_divided_among_the_gateways(self) -> None:
         harness = PolicyHarness(has_counter=False, plans=(CAPPED_PLAN,))
         first = harness.request(LOWER)
         harness.request(LOWER)
@@ -97,15 +103,16 @@
         self.assert_trace(harness, "concurrency-cap")
 
     def test_cap_smaller_than_the_number_of_gateways(self) -> None:
-        """A cap of 2 attempts, for a customer of 40 gateways: one attempt at each would be 40.
+        """A customer has a cap of 2 attempts and 40 gateways; one attempt per gateway would be 40.
 
-        So the customer's quota allows small bursts only, and a request that no total covers is rejected.
+        The customer's quota is therefore reduced to small bursts, and requests decided without a total are
+        rejected.
         """
         harness = PolicyHarness(plans=(CAPPED_PLAN,))
-        harness.note("2 attempts at once through 40 gateways: the quota holds 12 units, not 20")
+        harness.note("2 concurrent attempts and 40 gateways: the quota is reduced from 20 to 12 units")
         for _ in range(3):
             harness.serve(harness.request(LOWER, 5.0, gateway_count=40))
-        harness.note("a request that is not polled for is not forwarded")
+        harness.note("a request decided without a poll is not forwarded")
         harness.engine.counter_calls.poll_probability = 0.0
         harness.request(LOWER, 5.0, customer=2, gateway_count=40)
         self.assert_trace(harness, "concurrency-cap-below-gateways")
