--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -1,8 +1,8 @@
-"""How far a customer's quota can be passed while the shared counter is lost, split or replaced.
+"""Bounds on usage beyond a customer's quota while the shared counter is lost, split or replaced.
 
-The bound that `drumgw.config.quota_bounds` declares is checked against random interleavings of one customer's
-gateways, and against short runs of the testbed. Engines that break a rule on purpose show that the checks
-find it.
+The bound computed by `drumgw.config.quota_bounds` is checked against random interleavings of one customer's
+gateways, and against short runs of the testbed. Engines with a deliberate fault verify that the checks detect
+violations.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 
 class TrustingCounterSync(CounterSync):
-    """Takes every total for what was sent, whatever is known here."""
+    """Applies every total without regard to the usage that this gateway knows of."""
 
     def apply_total(self, call: CounterCall, total: float) -> float:
-        """Forgets what this gateway knows before it takes a total over."""
+        """Clears the locally known usage, so that the total is applied unchecked."""
         account = call.exchange.account
         account.known_level_units = 0.0
         account.local_usage_units = 0.0
@@ -36,14 +36,14 @@
 
 
 class TrustingEngine(PolicyEngine):
-    """An engine that believes every total."""
+    """An engine that applies every total unchecked."""
 
     counter_sync_class = TrustingCounterSync
 
 
-def plan(**figures: Any) -> PlanSection:
-    """A plan of an operator's file."""
-    return PlanSection(**{"name": "p", "units_per_s": 2.0, "burst_units": 12.0, **figures})
+def plan(**fields: Any) -> PlanSection:
+    """Returns a plan section of an operator's file, with the given fields replaced."""
+    return PlanSection(**{"name": "p", "units_per_s": 2.0, "burst_units": 12.0, **fields})
 
 
 CEILING_PLAN = plan(units_per_s=10.0, burst_units=20.0, ceiling_per_s=12.0, ceiling_burst=30.0)
@@ -53,14 +53,13 @@
 
 
 class LostCounterTest(unittest.TestCase):
-    """The counter is lost after a time, and gateways restart meanwhile.
+    """The counter is lost after some time, and gateways restart meanwhile.
 
-    Each gateway decides by what it knows itself then. All together must not send more than the declared
-    bound.
+    Each gateway then decides by its own account. Together they must not send more than the declared bound.
     """
 
     def largest_share(self, engine_class: type[PolicyEngine] = PolicyEngine) -> float:
-        """The largest share of the bound, over all seeds and moments."""
+        """Returns the largest fraction of the bound that was used, over all seeds and steps."""
         largest = 0.0
         for seed in range(SEEDS):
             gateways = CustomerGateways(PLANS[seed % len(PLANS)], 1 + seed % 6, seed, engine_class)
@@ -72,23 +71,23 @@
                 largest = max(largest, gateways.share_of_bound())
         return largest
 
-    def test_no_interleaving_passes_the_declared_bound(self) -> None:
+    def test_no_interleaving_exceeds_the_declared_bound(self) -> None:
         largest = self.largest_share()
         self.assertLessEqual(largest, 1.0)
-        self.assertGreater(largest, 0.3)  # it is no bound that nothing comes near
+        self.assertGreater(largest, 0.3)  # the bound is not so loose that usage never comes near it
 
-    def test_an_engine_without_quota_accounts_passes_it(self) -> None:
+    def test_engine_that_ignores_quotas_exceeds_the_bound(self) -> None:
         self.assertGreater(self.largest_share(NoQuotasEngine), 1.0)
 
 
 class ReplacedCounterTest(unittest.TestCase):
-    """The counter answers throughout, and is split, emptied and replaced, again and again.
+    """The counter keeps answering, but is repeatedly split, emptied and replaced.
 
-    Totals are too low then, or too high. What a gateway sent itself no total may make it forget.
+    Totals are then too low or too high. A gateway must not reduce its own usage because of a total.
     """
 
     def largest_share(self, engine_class: type[PolicyEngine] = PolicyEngine) -> float:
-        """The largest share of the bound, over all seeds and moments."""
+        """Returns the largest fraction of the bound that was used, over all seeds and steps."""
         largest = 0.0
         for seed in range(SEEDS):
             gateways = CustomerGateways(PLANS[seed % len(PLANS)], 1 + seed % 6, seed, engine_class)
@@ -103,30 +102,30 @@
         return largest
 
     def make_unreliable(self, gateways: CustomerGateways) -> None:
-        """Replies get lost or are noise, gateways restart, and their clocks differ."""
+        """Enables lost replies, random totals, gateway restarts and clock skew."""
         gateways.lost_reply_share = 0.1
         gateways.noise_share = 0.05
         gateways.restart_probability = 0.2
         gateways.clock_skews_ms = [gateways.random.uniform(0.0, 3000.0) for _ in gateways.clock_skews_ms]
         gateways.engines = [gateways.new_engine(number) for number in range(gateways.gateway_count)]
 
-    def test_no_interleaving_passes_the_bound_of_a_lost_counter(self) -> None:
-        """The bound has no term for replacements."""
+    def test_no_interleaving_exceeds_the_bound_of_a_lost_counter(self) -> None:
+        """The bound for a lost counter holds for replacements too; it has no separate term for them."""
         largest = self.largest_share()
         self.assertLessEqual(largest, 1.0)
         self.assertGreater(largest, 0.3)
 
-    def test_an_engine_that_believes_every_total_passes_it(self) -> None:
+    def test_engine_that_trusts_every_total_exceeds_the_bound(self) -> None:
         self.assertGreater(self.largest_share(TrustingEngine), 1.0)
 
-    def test_who_stays_inside_its_quota_is_served_throughout(self) -> None:
+    def test_customer_within_its_quota_is_never_rejected(self) -> None:
         """A customer uses a quarter of its rate, through random gateways.
 
-        Whatever the counter forgets, splits or adds up, none of its requests may be rejected.
+        None of its requests may be rejected, whether the counter loses units, is split or merged.
         """
         for seed in range(24):
-            within = plan(units_per_s=20.0, burst_units=60.0)
-            gateways = CustomerGateways(within, 1 + seed % 6, seed, PolicyEngine)
+            customer_plan = plan(units_per_s=20.0, burst_units=60.0)
+            gateways = CustomerGateways(customer_plan, 1 + seed % 6, seed, PolicyEngine)
             for _ in range(400):
                 gateways.now_ms += 100.0 * gateways.random.expovariate(1.0) * MAX_REQUEST_UNITS
                 gateways.request(gateways.random.randrange(gateways.gateway_count))
@@ -143,7 +142,7 @@
     def levels_after_loss(
         self, engine_class: type[PolicyEngine], gateway_count: int, seed: int
     ) -> tuple[float, float]:
-        """The counter's level and the true one, once it came back empty and each gateway polled it twice."""
+        """Levels in the counter and in truth, after it was emptied and each gateway sent two requests."""
         large = plan(units_per_s=2.0, burst_units=600.0)
         gateways = CustomerGateways(large, gateway_count, seed, engine_class)
         for _ in range(200):
@@ -158,10 +157,10 @@
         refilled = account.refilled_units(epoch, gateways.now_ms)
         return total - refilled, gateways.true_level_units()
 
-    def test_what_gateways_know_is_put_back_once(self) -> None:
-        """The counter comes back empty, and all gateways know what it held.
+    def test_lost_usage_is_restored_once(self) -> None:
+        """The counter restarts empty, and all gateways know the lost usage.
 
-        If each put it back, the customer would be rejected; if none did, it would have its quota anew.
+        If each of them restored it, the customer would be rejected; if none did, it would get a full quota.
         """
         for gateway_count in (1, 2, 4, 8):
             for seed in range(6):
@@ -174,15 +173,15 @@
 
 
 class DeclaredBoundTest(unittest.TestCase):
-    """The figures that operators are told."""
+    """The bounds that are shown to operators."""
 
-    def test_figures(self) -> None:
-        for gateway_count, seconds, more, max_units, ratio in (
+    def test_bounds_of_sample_plans(self) -> None:
+        for gateway_count, seconds, options, max_units, ratio in (
             (1, 10, {}, 32, 1.0),
             (4, 10, {}, 128, 4.0),
             (4, 10, {"restarts": 1}, 176, 5.5),
         ):
-            bound = sending_bound(plan(), gateway_count, seconds, **more)
+            bound = sending_bound(plan(), gateway_count, seconds, **options)
             assert bound
             self.assertEqual((bound.max_units, bound.ratio_to_quota), (max_units, ratio))
         by_ceiling = sending_bound(CEILING_PLAN, 6, 10.0)
@@ -191,25 +190,25 @@
         self.assertEqual(figures, (150.0, "its ceiling", True))
         self.assertIsNone(sending_bound(plan(units_per_s=0.0, burst_units=0.0), 3, 10.0))
 
-    def test_accounts_that_are_dropped_before_their_quota_is_full_count(self) -> None:
+    def test_bound_includes_accounts_dropped_before_their_quota_is_full(self) -> None:
         bound = sending_bound(SLOW_PLAN, 2, 20.0)
         assert bound
         self.assertEqual(bound.max_units, 2 * (60.0 + 60.0 * 20.0 / (IDLE_ACCOUNT_MS / 1000.0)))
 
-    def test_where_no_useful_bound_can_be_had_it_says_so(self) -> None:
-        large, small = sending_bound(plan(), 10, 10.0), sending_bound(CEILING_PLAN, 10, 10.0)
-        assert large and small
-        self.assertIn("no useful bound", describe_bound(large, 10, 10.0))
-        self.assertNotIn("no useful bound", describe_bound(small, 10, 10.0))
+    def test_description_says_when_a_bound_is_not_useful(self) -> None:
+        without_ceiling, with_ceiling = sending_bound(plan(), 10, 10.0), sending_bound(CEILING_PLAN, 10, 10.0)
+        assert without_ceiling and with_ceiling
+        self.assertIn("no useful bound", describe_bound(without_ceiling, 10, 10.0))
+        self.assertNotIn("no useful bound", describe_bound(with_ceiling, 10, 10.0))
 
 
 class TestbedBoundTest(unittest.TestCase):
-    """Runs of the testbed beside the bound."""
+    """Usage in testbed runs, compared with the bound."""
 
-    def test_a_scenario_with_the_counter_lost_stays_within_it(self) -> None:
-        """The counter is silent, or refuses connections, for 3 s, while customers ask twice their quota.
+    def test_scenario_with_a_lost_counter_stays_within_the_bound(self) -> None:
+        """The counter is silent, or refuses connections, for 3 s while customers request twice their quota.
 
-        What each customer's gateways sent must be within its bound at any moment.
+        The units sent by each customer's gateways must stay within its bound.
         """
         for kind in ("silent", "refuses"):
             fault = f'kind = "counter {kind}"; at_s = 1; for_s = 3'
