--- a/drumgw/gateway/client_connections.py
+++ b/drumgw/gateway/client_connections.py
@@ -1,17 +1,17 @@
-"""One client's connection and its states.
+"""A client's connection and its states.
 
     from       to         when
-    NEW        IN_FLIGHT  its first request was read as a whole and goes on
-    NEW        IDLE       its first request was answered here: health, or a bad request
-    IDLE       READING    bytes came
-    READING    IN_FLIGHT  the request was read as a whole and goes on
-    READING    IDLE       the request was answered here
-    IDLE       IN_FLIGHT  a request that was read together with the last one goes on
-    IN_FLIGHT  IDLE       its response is on its way
-    any        CLOSING    its last response, if one is owed, is written
-
-A connection leaves each state at once if its client closes it. `ConnectionLimits` keeps the connections by
-state and closes those that say nothing.
+    NEW        IN_FLIGHT  the first request has been read completely and is forwarded
+    NEW        IDLE       the first request was answered locally: health check or bad request
+    IDLE       READING    bytes of a further request arrived
+    READING    IN_FLIGHT  the request has been read completely and is forwarded
+    READING    IDLE       the request was answered locally
+    IDLE       IN_FLIGHT  a pipelined request, read together with the previous one, is forwarded
+    IN_FLIGHT  IDLE       the response is complete and is about to be written
+    any        CLOSING    the last response, if any, is written
+
+If the client closes the connection, it is removed at once, whatever its state. `ConnectionLimits` tracks the
+connections by state and closes those that are inactive for too long.
 """
 
 from __future__ import annotations
@@ -33,45 +33,46 @@
 
 
 class ConnectionState(Enum):
-    """Where a client's connection is."""
+    """The states of a client's connection; the module's docstring lists the transitions."""
 
     NEW = "no complete request yet"
-    READING = "a further request has begun"
+    READING = "a further request is being read"
     IN_FLIGHT = "a request is in flight"
     IDLE = "between requests"
-    CLOSING = "nothing more is read; it is closed once its client has ended its side"
+    CLOSING = "reading has stopped; closed once the client has shut down its side"
 
 
 class ConnectionRegistry(Protocol):
-    """What a connection reports its states to."""
+    """Receives the state changes of client connections."""
 
     clock: StallAwareClock
 
     def opened(self, client: ClientConnection) -> None:
-        """It is open, and NEW."""
+        """Adds a connection that was just accepted, in state NEW."""
 
     def change_state(self, client: ClientConnection, state: ConnectionState) -> bool:
-        """Enters it under another state; False where it was closed meanwhile."""
+        """Moves a connection to another state; returns False if it is no longer registered."""
 
     def forget(self, client: ClientConnection) -> None:
-        """It is about to be closed."""
+        """Removes a connection that is about to be closed."""
 
     def closed(self, client: ClientConnection) -> None:
-        """It is closed."""
+        """Removes a connection that was closed."""
 
-    def watch_closing(self) -> None:
-        """A connection is CLOSING."""
+    def schedule_close_check(self) -> None:
+        """Starts polling the CLOSING connections; called whenever one enters that state."""
 
 
 class ClientConnection(RequestHandler):
-    """A client's connection.
+    """aiohttp's handler of one client connection, extended by a state.
 
     Attributes:
-        state: Where it is.
-        state_since_ms: Since when.
-        tenant_key: The tenant of its last request, where a listener serves several.
-        socket_transport: Its transport; aiohttp forgets its own before that is closed.
-        was_spared: Whether it was left open once in this state, for bytes that lay unread.
+        state: The current state.
+        state_since_ms: When the connection entered the current state.
+        tenant_key: The tenant of its last request if the listener serves several tenants, else empty.
+        socket_transport: The transport. aiohttp drops its own reference before the transport is closed.
+        close_was_deferred: Whether, in the current state, the connection was already kept open once because
+            of unread bytes.
     """
 
     __slots__ = (
@@ -79,7 +80,7 @@
         "state_since_ms",
         "tenant_key",
         "socket_transport",
-        "was_spared",
+        "close_was_deferred",
         "_registry",
         "_log_fault",
     )
@@ -96,39 +97,44 @@
         self.state_since_ms = registry.clock.now()
         self.tenant_key = ""
         self.socket_transport: asyncio.Transport | None = None
-        self.was_spared = False
+        self.close_was_deferred = False
         self._registry = registry
         self._log_fault = log_fault
 
     def enter_state(self, state: ConnectionState) -> None:
-        """Changes its state, unless it was closed meanwhile."""
+        """Changes the state; has no effect once the connection is closed."""
         if self._registry.change_state(self, state):
             self.state = state
             self.state_since_ms = self._registry.clock.now()
-            self.was_spared = False
+            self.close_was_deferred = False
 
-    # Closing it
+    # Closing the connection
 
     def abort(self) -> None:
-        """Closes it at once: nothing is owed on it, and a client that does not read must not keep it."""
+        """Closes the connection at once, without flushing.
+
+        Used if no response is owed. The transport is aborted because a client that does not read would
+        otherwise keep the connection open.
+        """
         self._registry.forget(self)
         self.force_close()
         if self.socket_transport is not None:
             self.socket_transport.abort()
 
     def send_last_response(self, response: bytes = b"") -> None:
-        """Writes its last response, if one is owed, and ends this side; nothing more is read.
+        """Writes the last response, if any, shuts down the sending side and stops reading.
 
-        It is closed once the client has ended its side too (`ConnectionLimits.close_finished`). Guards
-        responses: a close over unread bytes is a reset, which takes with it what the client has not got yet.
-        Guards requests: one that is read here would be dropped; one that is not read is the client's to send
-        again.
+        The connection is closed once the client has shut down its side too
+        (`ConnectionLimits.close_finished`). Closing it with unread bytes in the socket would send a reset,
+        and the client would lose the part of the response that it has not received yet. Reading stops because
+        a request that is read from here on would be dropped; one that is left unread can be sent again by the
+        client.
         """
         transport = self.socket_transport
         if transport is None or transport.is_closing():
             return
         self._pause_transport_reading()
-        self._force_close = True  # aiohttp's loop ends, and leaves the socket to us
+        self._force_close = True  # ends aiohttp's request loop without closing the socket
         self.enter_state(ConnectionState.CLOSING)
         if response:
             transport.write(response)
@@ -136,60 +142,63 @@
             transport.write_eof()
         if self._waiter is not None:
             self._waiter.cancel()
-        self._registry.watch_closing()
+        self._registry.schedule_close_check()
 
-    # What is known of its socket
+    # State of the socket
 
-    def has_unsent(self) -> bool:
-        """Whether a part of a response has not left."""
+    def has_unsent_data(self) -> bool:
+        """Whether part of a response is still in the transport's write buffer."""
         transport = self.socket_transport
         return (
             transport is not None and not transport.is_closing() and bool(transport.get_write_buffer_size())
         )
 
-    def has_unread(self) -> bool:
-        """Whether bytes lie unread in its socket; the event loop may not have got round to them."""
+    def has_unread_data(self) -> bool:
+        """Whether the socket holds bytes that the event loop has not read yet."""
         return self._poll_socket(select.POLLIN)
 
     def client_has_ended(self) -> bool:
-        """Whether its client has ended its side, or reset it; the event loop may not know yet."""
+        """Whether the client has shut down or reset the connection; the event loop may not know yet."""
         return self._poll_socket(CLIENT_ENDED_EVENTS)
 
-    def spare_if_unread(self) -> bool:
-        """Whether to leave it open for now, once in each state.
+    def defer_close_if_unread(self) -> bool:
+        """Whether to postpone closing because of unread bytes; True at most once per state.
 
-        Guards a request, or the rest of one, that lies unread: it is read in the event loop's next turn.
+        The unread bytes may be a request or the rest of one; the event loop reads them in its next iteration.
         """
-        if self.was_spared or not self.has_unread():
+        if self.close_was_deferred or not self.has_unread_data():
             return False
-        self.was_spared = True
+        self.close_was_deferred = True
         return True
 
     def client_left(self) -> bool:
-        """Whether its client has closed it, as the system knows; then it is closed here too.
+        """Whether the client has closed the connection according to the kernel; if so, closes it here too.
 
-        Guards endpoints against attempts for nobody. The event loop may be behind by more than 0.1 s, and
-        while many requests of this connection wait, aiohttp reads no further and would not find the close.
+        Prevents attempts whose client is gone. The event loop may lag by more than 0.1 s, and aiohttp stops
+        reading while many pipelined requests of the connection wait, so it would not notice the close.
         """
         transport = self.socket_transport
         if transport is not None and not transport.is_closing() and not self.client_has_ended():
             return False
-        self.abort()  # its handlers are cancelled in the event loop's next turn, paused or not
+        self.abort()  # the event loop cancels the handlers in its next iteration, even if reading is paused
         return True
 
     def is_owed_response(self) -> bool:
-        """Whether a complete request of it was read and is not answered yet, or may lie unread."""
+        """Whether a complete request was read and not answered yet, or may be unread in the socket."""
         if self.state is ConnectionState.IN_FLIGHT or self._messages:
             return True
-        if self._waiter is not None and not self._waiter.done():  # aiohttp waits for its next request
-            return self.spare_if_unread()
+        if self._waiter is not None and not self._waiter.done():  # aiohttp waits for the next request
+            return self.defer_close_if_unread()
         request = self._current_request
-        if request is None:  # a moment of aiohttp's between two steps
+        if request is None:  # aiohttp is about to start a request or has just finished one
             return True
-        return request._payload.is_eof() or self.spare_if_unread()
+        return request._payload.is_eof() or self.defer_close_if_unread()
 
     def is_reading_body(self) -> bool:
-        """Whether a handler waits for the rest of a request."""
+        """Whether a handler has a request; meaningful once `is_owed_response` has returned False.
+
+        The rest of that request's body has not arrived then.
+        """
         return self._current_request is not None
 
     def _poll_socket(self, events: int) -> bool:
@@ -203,18 +212,18 @@
     # Called by asyncio and aiohttp
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Enters itself in the registry."""
+        """Registers the connection."""
         super().connection_made(transport)
         self.socket_transport = transport  # type: ignore[assignment]
         self._registry.opened(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Leaves the registry."""
+        """Removes the connection from the registry."""
         self._registry.closed(self)
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Notes that a request has begun."""
+        """Enters READING if the connection was idle, then lets aiohttp parse the bytes."""
         if self.state is ConnectionState.IDLE:
             self.enter_state(ConnectionState.READING)
         super().data_received(data)
@@ -226,15 +235,15 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> CompleteResponse:
-        """Answers what aiohttp's parser cannot read; without a line in the log, as there may be many."""
+        """Answers a request that aiohttp cannot parse. Not logged: clients could flood the log with them."""
         response = CompleteResponse(status)
         response.force_close()
         return response
 
     def log_exception(self, *args: Any, exc_info: Any = None, **kwargs: Any) -> None:
-        """Logs a fault inside aiohttp as one of this program's."""
+        """Reports an error that aiohttp logs for this connection through the gateway's own log."""
         error = exc_info if isinstance(exc_info, Exception) else RuntimeError(*args)
-        self._log_fault(error, "a client")
+        self._log_fault(error, "a client connection")
 
     def _resume_transport_reading(self) -> None:
         if self.state is not ConnectionState.CLOSING:
--- a/drumgw/gateway/connection_limits.py
+++ b/drumgw/gateway/connection_limits.py
@@ -1,7 +1,8 @@
-"""Bounds on clients' connections: how many, and for how long one may say nothing.
+"""Limits on client connections: how many may be open, and for how long one may be inactive.
 
-Bad clients connect by the hundred and say nothing, send half a request, or send one and stay. Usual clients
-keep connections between requests. Where one must go, the one that is missed least is closed.
+Misbehaving clients open hundreds of connections without sending anything, send half a request, or send one
+request and stay connected. Well-behaved clients keep connections open between requests. If a connection has
+to be closed, the one whose loss does least harm is selected.
 """
 
 from __future__ import annotations
@@ -15,30 +16,30 @@
 
 SWEEP_INTERVAL_S = CLIENT_IDLE_TIMEOUT_MS / 8.0 / MS_PER_S
 CLOSING_TIMEOUT_MS = CLIENT_IDLE_TIMEOUT_MS / 8.0
-"""A client that has read its last response ends its side within a round trip. One that has not read it yet
-has `CLIENT_IDLE_TIMEOUT_MS`."""
+"""How long a client may take to shut down its side after its last response was sent. A client that has read
+the response needs one round trip. While part of it is unsent, `CLIENT_IDLE_TIMEOUT_MS` applies instead."""
 CLOSING_POLL_INTERVAL_S = 0.01
 
 
 class ConnectionBounds(Protocol):
-    """The figures that are kept to; a part of the configuration."""
+    """The part of the configuration that limits client connections."""
 
     @property
     def max_client_connections(self) -> int:
-        """How many connections clients may hold."""
+        """How many client connections may be open."""
 
     @property
     def max_requesting_clients(self) -> int:
-        """How many of them may have sent a request."""
+        """How many of the open connections may have sent a request."""
 
 
 class ConnectionLimits:
-    """Clients' connections by state, and which of them is closed when.
+    """Tracks client connections by state and closes those that exceed the limits.
 
     Attributes:
-        bounds: The figures that are kept to.
-        clock: The process's time.
-        connections: By state, the one that is in it for longest first; emptied as they close.
+        bounds: The configured limits.
+        clock: The clock that states are timed with; it also tells whether this process was stalled.
+        connections: The open connections by state, those longest in the state first.
     """
 
     def __init__(self, bounds: ConnectionBounds, clock: StallAwareClock) -> None:
@@ -47,22 +48,22 @@
         self.connections: dict[ConnectionState, dict[ClientConnection, None]] = {
             state: {} for state in ConnectionState
         }
-        self._watches_closing = False
+        self._close_check_scheduled = False
 
     # Called by the connections
 
     def opened(self, client: ClientConnection) -> None:
-        """Takes a new connection in.
+        """Adds a new connection.
 
-        Guards usual clients against those that connect by the hundred and say nothing: at the limit another
-        connection goes.
+        At the limit it closes one connection first, so clients that open hundreds of connections without
+        sending anything cannot lock out others.
         """
         if self.count() >= self.bounds.max_client_connections:
-            self.choose_to_close(client).abort()
+            self.select_for_closing(client).abort()
         self.connections[ConnectionState.NEW][client] = None
 
     def change_state(self, client: ClientConnection, state: ConnectionState) -> bool:
-        """Enters a connection under another state; False where it was closed meanwhile."""
+        """Moves a connection to another state; returns False if it is no longer registered."""
         connections = self.connections[client.state]
         if client not in connections:
             return False
@@ -71,48 +72,49 @@
         return True
 
     def forget(self, client: ClientConnection) -> None:
-        """Counts a connection no more: it is about to be closed."""
+        """Removes a connection that is about to be closed, so that it no longer counts."""
         self.connections[client.state].pop(client, None)
 
     def closed(self, client: ClientConnection) -> None:
-        """Counts a connection no more: it is closed."""
+        """Removes a connection that was closed, if `forget` has not done so already."""
         self.forget(client)
 
-    def watch_closing(self) -> None:
-        """Closes CLOSING connections in time, for as long as there are any."""
-        if not self._watches_closing:
-            self._watches_closing = True
+    def schedule_close_check(self) -> None:
+        """Schedules `close_finished`, which reschedules itself as long as any connection is CLOSING."""
+        if not self._close_check_scheduled:
+            self._close_check_scheduled = True
             self.clock.loop.call_later(CLOSING_POLL_INTERVAL_S, self.close_finished)
 
-    # Too many
+    # Limits on the number of connections
 
     def count(self) -> int:
-        """How many are open."""
+        """How many connections are open, in any state."""
         return sum(map(len, self.connections.values()))
 
     def requesting_count(self) -> int:
-        """How many are open and have sent a request."""
+        """How many connections have sent a request and are not CLOSING."""
         new = len(self.connections[ConnectionState.NEW])
         return self.count() - new - len(self.connections[ConnectionState.CLOSING])
 
-    def choose_to_close(self, newcomer: ClientConnection) -> ClientConnection:
-        """The connection that is missed least, if need be the newcomer.
+    def select_for_closing(self, newcomer: ClientConnection) -> ClientConnection:
+        """Selects the connection to close at the limit; the new connection itself if there is no other.
 
-        In this order: one whose last response has left; a silent one; the longest idle; one that reads a
-        request. Guards newcomers where many clients send one request and stay, and idle clients where
-        hundreds connect and say nothing: a silent connection goes if it had its turn to be read, or if there
-        are more silent than idle ones.
+        In this order: one whose last response has been sent; one that has sent nothing; the longest idle; one
+        whose request is being read. One that has sent nothing is selected only if the event loop has had time
+        to read it, or if there are more such connections than idle ones. That protects new connections if
+        many clients send one request and stay connected, and idle ones if hundreds connect without sending
+        anything.
         """
         new = self.connections[ConnectionState.NEW]
         idle = self.connections[ConnectionState.IDLE]
         closing = self.connections[ConnectionState.CLOSING]
-        finished = next((client for client in closing if not client.has_unsent()), None)
+        finished = next((client for client in closing if not client.has_unsent_data()), None)
         if finished is not None:
             return finished
         silent = next(iter(new), None)
         if silent is not None:
-            had_its_turn = newcomer.state_since_ms - silent.state_since_ms > STALL_THRESHOLD_MS
-            if had_its_turn or len(new) > len(idle):
+            could_be_read = newcomer.state_since_ms - silent.state_since_ms > STALL_THRESHOLD_MS
+            if could_be_read or len(new) > len(idle):
                 return silent
         longest_idle = self.longest_idle()
         if longest_idle is not None:
@@ -120,30 +122,41 @@
         return next(iter(self.connections[ConnectionState.READING]), newcomer)
 
     def longest_idle(self) -> ClientConnection | None:
-        """The longest idle connection; None if its response may not be written yet."""
+        """The longest idle connection; None if there is none or it cannot be closed safely yet.
+
+        `select_for_closing` and `close_surplus_idle` close what this returns; a subclass may choose another.
+        """
         client = next(iter(self.connections[ConnectionState.IDLE]), None)
         return client if client is not None and self.is_resting(client) else None
 
     def is_resting(self, client: ClientConnection) -> bool:
-        """Whether an idle connection had its turn to be read, and nothing is on its way in or out."""
+        """Whether an idle connection can be closed: the loop had time to read it and no data is pending."""
         idle_ms = self.clock.now() - client.state_since_ms
-        return idle_ms > STALL_THRESHOLD_MS and not client.has_unsent() and not client.spare_if_unread()
+        return (
+            idle_ms > STALL_THRESHOLD_MS
+            and not client.has_unsent_data()
+            and not client.defer_close_if_unread()
+        )
 
     def close_surplus_idle(self) -> None:
-        """Guards usual clients against those that send one request and stay: all share what may be held."""
+        """Closes one idle connection if more connections than allowed have sent a request.
+
+        Clients that send one request and stay connected would otherwise use up the connections of all.
+        """
         if self.requesting_count() <= self.bounds.max_requesting_clients:
             return
         idle = self.longest_idle()
         if idle is not None:
             idle.send_last_response()
 
-    # Too long
+    # Limits on inactivity
 
     def sweep(self) -> None:
-        """Closes what says nothing or never ends, again and again.
+        """Closes connections that exceeded `CLIENT_IDLE_TIMEOUT_MS`, and schedules the next sweep.
 
-        Idle connections are closed only where they are more than half of what may be held. After a stall of
-        this process none is: what they sent may lie unread.
+        Idle connections are closed only as far as the connections that have sent a request exceed half of
+        `max_requesting_clients`. After a stall of this process nothing is closed: bytes that clients sent
+        meanwhile may still be unread.
         """
         self.clock.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         timed_out_before_ms = self.clock.now() - CLIENT_IDLE_TIMEOUT_MS
@@ -158,7 +171,7 @@
         for client in list(islice(self.connections[state], limit)):
             if client.state_since_ms >= before_ms:
                 break
-            if client.spare_if_unread():
+            if client.defer_close_if_unread():
                 continue
             if state is ConnectionState.IDLE:
                 client.send_last_response()
@@ -166,12 +179,12 @@
                 client.abort()
 
     def close_finished(self) -> None:
-        """Closes those whose last response is written: at their client's end, or when it had time for it."""
-        self._watches_closing = False
+        """Closes CLOSING connections whose client has shut down its side or has exceeded its timeout."""
+        self._close_check_scheduled = False
         now_ms = self.clock.now()
         for client in list(self.connections[ConnectionState.CLOSING]):
-            timeout_ms = CLIENT_IDLE_TIMEOUT_MS if client.has_unsent() else CLOSING_TIMEOUT_MS
+            timeout_ms = CLIENT_IDLE_TIMEOUT_MS if client.has_unsent_data() else CLOSING_TIMEOUT_MS
             if now_ms - client.state_since_ms > timeout_ms or client.client_has_ended():
                 client.abort()
         if self.connections[ConnectionState.CLOSING]:
-            self.watch_closing()
+            self.schedule_close_check()
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -55,7 +55,7 @@
             self.assertEqual(await line.read_to_end(), b"")
             await asyncio.sleep(0.02)
             (client,) = self.gateway.http_server.limits.connections[ConnectionState.CLOSING]
-            self.assertTrue(client.has_unread())  # it lies where it came
+            self.assertTrue(client.has_unread_data())  # it lies where it came
             line.close()
             await wait_until(lambda: not self.gateway.http_server.limits.count())
         self.assertEqual((len(endpoint.requests), self.gateway.dispatcher.lifecycle.received_count), (1, 1))
