--- a/drumgw/gateway/connection_pool.py
+++ b/drumgw/gateway/connection_pool.py
@@ -1,8 +1,8 @@
-"""The connections to one kind of peer, kept alive and used by one exchange at a time.
+"""A pool of keep-alive connections to one kind of peer; each carries one exchange at a time.
 
-Built on aiohttp's connector and parser, without its session. That tells neither whether a request was
-written nor when a cancelled request's connection is closed, and may send a request twice. Here the bytes go
-out as they are given, once.
+Built on aiohttp's connector and parser, without `aiohttp.ClientSession`. The session tells neither whether a
+request was written nor when the connection of a cancelled request is closed, and it may send a request twice.
+The pool writes the given bytes unchanged, at most once.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 from drumgw.gateway.response_framing import RawResponse
 
 REUSE_DELAY_MS = 10.0
-"""How long a connection rests after a response before it is used again: bytes that a peer sends beyond its
-response come some milliseconds late."""
+"""How long a connection stays unused after a response: surplus bytes that a peer sends after its response
+arrive some milliseconds later."""
 
 
 class ConnectionPool:
-    """The connections to one kind of peer.
+    """Connections to one kind of peer: the endpoints, the shared counter or discovery.
 
     Attributes:
-        connections: Those that are open.
+        connections: The open connections.
         before_write: Called before the first byte of each exchange; it may close that exchange.
         max_connections: How many connections may be open.
-        connector: aiohttp's connector, which opens connections and keeps them alive.
+        connector: The aiohttp connector that opens connections and keeps them alive.
     """
 
     def __init__(
@@ -45,9 +45,16 @@
         clock: StallAwareClock,
         max_body_bytes: int = MAX_BODY_BYTES,
     ) -> None:
-        """With a `keep_alive_ms` of 0 no time is known for which a connection is safe to keep: none is kept.
+        """Creates the pool without opening a connection.
 
-        `connect_timeout_ms` also bounds the rest of a response that has begun; None bounds neither.
+        Args:
+            max_connections: How many connections may be open.
+            keep_alive_ms: How long an unused connection is kept. 0 means that no safe time is known: each
+                connection is closed after its exchange.
+            connect_timeout_ms: Limits connecting, and also the time from the first byte of a response to its
+                last. None limits neither.
+            clock: The clock for deadlines and timers.
+            max_body_bytes: Longest body of a response.
         """
         self.loop = clock.loop
         self.clock = clock
@@ -66,21 +73,21 @@
         )
 
     def peer(self, address: str, owner: str | None = None) -> aiohttp.ClientRequest:
-        """What the connector knows a peer by.
+        """Returns the request object by which the connector identifies a peer; it is never sent.
 
         Args:
             address: host:port.
-            owner: Whose connections these are; another owner at the same address gets none of them.
+            owner: Separates connections to the same address: they are reused only for the same owner.
         """
         return aiohttp.ClientRequest("GET", URL(f"http://{address}"), loop=self.loop, server_hostname=owner)
 
     async def connect(
         self, peer: aiohttp.ClientRequest
     ) -> tuple[aiohttp.connector.Connection, PeerConnection]:
-        """A kept connection to the peer, or a new one.
+        """Returns a kept connection to the peer, or opens a new one.
 
         Raises:
-            CONNECTION_ERRORS: No connection came up.
+            CONNECTION_ERRORS: No connection could be established.
         """
         is_full = len(self.connections) >= self.max_connections
         if is_full and peer.connection_key not in self.connector._conns:
@@ -93,24 +100,24 @@
         return handle, connection
 
     def close_idle(self, key: object) -> None:
-        """Closes the kept connections to a peer: it has gone, or descriptors are short."""
+        """Closes the unused connections to a peer that was removed, or to free room for other peers."""
         for connection, _ in self.connector._conns.pop(key, ()):  # type: ignore[call-overload]
             connection.close()
 
     async def send(self, peer: aiohttp.ClientRequest, request: bytes, exchange: Exchange) -> RawResponse:
-        """Sends a request once and waits for its response.
+        """Sends a request at most once and waits for its response.
 
-        Where it raises or is cancelled the connection is closed, and `exchange.written` says whether the
-        request may have run.
+        If it raises or is cancelled, the connection is closed and `exchange.written` tells whether the peer
+        may have processed the request.
 
         Raises:
-            CONNECTION_ERRORS: No connection, it broke, or what came is no response.
-            WriteDeadlineError: The last byte would have left after `exchange.write_by_ms`.
+            CONNECTION_ERRORS: Connecting failed, the connection broke or the response is malformed.
+            WriteDeadlineError: The last byte would have been sent after `exchange.write_by_ms`.
         """
         exchange.connection, connection = await self.connect(peer)
         self.before_write()
         exchange.before_write()
-        if exchange.connection is None:  # a hook closed it
+        if exchange.connection is None:  # closed by one of the two callbacks
             raise asyncio.CancelledError
         try:
             response = await self._write(connection, request, exchange)
@@ -128,13 +135,13 @@
         return response
 
     async def close(self) -> None:
-        """Closes all connections."""
+        """Closes all connections, also those in use."""
         await self.connector.close()
 
     def _write(
         self, connection: PeerConnection, request: bytes, exchange: Exchange
     ) -> asyncio.Future[RawResponse]:
-        if not connection.is_usable():  # what is written on it would vanish
+        if not connection.is_usable():  # the transport would drop what is written
             raise aiohttp.ServerDisconnectedError
         if self.clock.now() >= exchange.write_by_ms:
             raise WriteDeadlineError
@@ -142,7 +149,7 @@
         connection.on_response = partial(_set_result, response)
         connection.on_error = partial(_set_exception, response)
         connection.send_request(request)
-        if not connection.is_usable():  # the system did not take it
+        if not connection.is_usable():  # the write failed and closed the transport
             raise aiohttp.ServerDisconnectedError
         exchange.written = True
         if exchange.write_by_ms < inf and connection.writing_paused:
@@ -150,10 +157,11 @@
         return response
 
     def _stop_writing(self, connection: PeerConnection) -> None:
-        """Guards the idempotency window of a retry.
+        """Aborts a request that is not fully sent by its write deadline.
 
-        An endpoint that reads slowly would get the last byte after it has forgotten the first attempt, and
-        would run the request twice. While a part of the request is still here, it has not run.
+        The deadline is the end of a retry's idempotency window. An endpoint that reads slowly would receive
+        the last byte after it has discarded the first attempt's idempotency key, and would process the
+        request twice. While part of the request is still buffered here, it cannot have been processed.
         """
         if connection.writing_paused:
             connection.abort_with(WriteDeadlineError())
@@ -161,9 +169,10 @@
     def _release_later(
         self, peer: aiohttp.ClientRequest, handle: aiohttp.connector.Connection, connection: PeerConnection
     ) -> None:
-        """Guards the next request: a second response to the last one would be taken for its own.
+        """Returns a connection to the connector after `REUSE_DELAY_MS`.
 
-        Until the connection is released nobody waits for a response on it, and one that comes ends it.
+        A second response to the last request would otherwise be taken for the response to the next one. Until
+        the connection is released no response is expected on it, and one that arrives closes it.
         """
         if REUSE_DELAY_MS and not connection.should_close:
             self.loop.call_later(REUSE_DELAY_MS / 1000.0, self._release, peer, handle, connection)
@@ -176,7 +185,7 @@
         handle.release()
         kept = self.connector._conns.get(peer.connection_key)
         if kept and kept[-1][0] is connection:
-            kept.rotate(1)  # the last used is used next: the longer one is kept, the likelier it is dead
+            kept.rotate(1)  # reuse the most recently used one first: it is the least likely to be dead
 
     def _start_response_timer(self, on_timeout: Callable[[], None]) -> Timer | None:
         if not self._connect_timeout_ms:
