--- a/drumgw/gateway/peer_errors.py
+++ b/drumgw/gateway/peer_errors.py
@@ -1,8 +1,9 @@
-"""What can go wrong with a peer: an endpoint, the shared counter or discovery.
+"""Errors of an exchange with a peer: an endpoint, the shared counter or discovery.
 
-aiohttp and the operating system raise errors of their own for a connection that cannot be opened or breaks;
-`CONNECTION_ERRORS` holds those and ours. Whether a request may have run is not told by the class of the error
-but by `Exchange.written`: before the last byte was written, nothing ran.
+aiohttp and the operating system raise errors of their own if a connection cannot be opened or breaks;
+`CONNECTION_ERRORS` covers those and the errors defined here. Whether the peer may have processed a request
+does not follow from the class of the error but from `Exchange.written`: until its last byte is written, the
+request cannot have been processed.
 """
 
 from __future__ import annotations
@@ -12,16 +13,16 @@
 
 
 class PeerError(aiohttp.ClientError):
-    """An exchange with a peer failed, for a reason that was found here."""
+    """An exchange with a peer failed for a reason that the gateway detected itself."""
 
 
 class MalformedResponseError(PeerError):
-    """What came is no response, or none that was asked for: the connection cannot be used any more."""
+    """The peer sent a malformed or unsolicited response; the connection cannot be used any more."""
 
 
 class WriteDeadlineError(PeerError):
-    """The request's last byte would leave after its deadline: it was not sent as a whole."""
+    """The write deadline passed before the request's last byte was sent; the rest is not sent."""
 
 
 CONNECTION_ERRORS = (aiohttp.ClientError, HttpProcessingError, OSError, TimeoutError)
-"""All that opening a connection, writing to it and reading from it raise; `PeerError` is an aiohttp error."""
+"""Everything that connecting, writing and reading can raise. `PeerError` is an `aiohttp.ClientError`."""
