--- a/drumgw/gateway/peer_connection.py
+++ b/drumgw/gateway/peer_connection.py
@@ -1,8 +1,8 @@
-"""A connection to a peer, the responses owed on it, and one exchange of a request for its response.
+"""A connection to a peer, and the exchange of one request for its response.
 
-`PeerConnection` takes the place of aiohttp's `ResponseHandler` in its connector. It hands each response to
-whoever uses the connection, in the turn of the event loop in which its last byte is read, and ends with the
-first bytes that are no response or that nobody asked for.
+`PeerConnection` replaces aiohttp's `ResponseHandler` in the connector. It delivers each response through a
+callback, in the event loop iteration that reads its last byte, and closes the connection on the first bytes
+that are malformed or unsolicited.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 
 class PeerConnection(ResponseHandler):
-    """A connection on which responses come in the order of their requests.
+    """A connection on which responses arrive in the order of their requests.
 
     Attributes:
-        on_response: Called with each response; set by whoever uses the connection.
-        on_error: Called once if the connection breaks; set by whoever uses it.
-        framer: Cuts what comes into responses.
+        on_response: Called with each response; set by the current user of the connection.
+        on_error: Called once if the connection breaks; set by the current user of the connection.
+        framer: Splits the received bytes into responses.
     """
 
     def __init__(
@@ -40,7 +40,15 @@
         max_body_bytes: int,
         start_response_timer: Callable[[Callable[[], None]], Timer | None],
     ) -> None:
-        """Args say where it enters itself while open, and which timer bounds a response that has begun."""
+        """Creates the protocol; the connector then connects it to a transport.
+
+        Args:
+            loop: The event loop.
+            open_connections: Contains this connection while it is open.
+            max_body_bytes: Longest body of a response.
+            start_response_timer: Starts the timer for the rest of a response that has begun; returns None if
+                that time is not limited.
+        """
         super().__init__(loop)
         self.on_response: Callable[[RawResponse], None] | None = None
         self.on_error: Callable[[BaseException], None] | None = None
@@ -49,39 +57,39 @@
         self._start_response_timer = start_response_timer
         self._expected_responses = 0
         self._response_timer: Timer | None = None
-        self._peer_ended = False  # the peer itself ended its side
+        self._peer_sent_eof = False  # not set by a reset or a close from this side
         self._poll = select.poll()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Enters itself among the open connections."""
+        """Adds itself to the open connections and sets up the checks for unsent and unread bytes."""
         super().connection_made(transport)
-        # So `writing_paused` says exactly whether a part of a request is still here; it stays set if that
-        # part never leaves.
+        # With a limit of 0, `writing_paused` is set exactly while part of a request is still buffered here.
+        # It stays set if that part is never sent.
         transport.set_write_buffer_limits(0)  # type: ignore[attr-defined]
         self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         self._open_connections.add(self)
 
     def is_connected(self) -> bool:
-        """Whether it can carry a further request; aiohttp's connector asks before it uses a kept connection.
+        """Whether the connection can be reused; aiohttp's connector calls this for kept connections.
 
-        Guards the next request: bytes that lie unread on a kept connection would be taken for its response.
+        A connection with unread bytes is not reused: they would be taken for the next request's response.
         """
         return super().is_connected() and not self.should_close and not self._has_unread_bytes()
 
     def is_usable(self) -> bool:
-        """Whether what is written on it can still leave."""
+        """Whether the transport is open and accepts data."""
         return self.transport is not None and not self.transport.is_closing()
 
     def send_request(self, request: bytes) -> None:
-        """Writes a complete request; its response is then expected."""
+        """Writes a complete request and expects one more response."""
         assert self.transport is not None
         self.transport.write(request)
         self._expected_responses += 1
 
     def read_pending(self) -> None:
-        """Reads what lies unread, before the event loop's turn comes.
+        """Reads pending bytes from the socket without waiting for the event loop.
 
-        The end of the connection, or its failure, is left for the event loop to find.
+        The end or failure of the connection is left for the event loop to detect.
         """
         transport = self.transport
         if transport is None or transport.is_closing() or not self._has_unread_bytes():
@@ -94,13 +102,13 @@
             self.data_received(data)
 
     def data_received(self, data: bytes) -> None:
-        """Hands on each response that is complete now."""
+        """Delivers each response that the new bytes complete."""
         framer = self.framer
         framer.feed(data)
         try:
             while framer.has_data:
                 if not self._expected_responses:
-                    raise MalformedResponseError("more came than was asked for")
+                    raise MalformedResponseError("unsolicited data: no response is expected")
                 response = framer.next_response()
                 if not framer.reusable:
                     self.force_close()
@@ -116,25 +124,25 @@
             self._response_timer = self._start_response_timer(self._response_stalled)
 
     def abort_with(self, error: BaseException) -> None:
-        """Closes the connection at once and tells its user why."""
+        """Closes the connection at once and passes the error to `on_error`."""
         self.force_close()
         self.framer.discard()
         self.abort()
         self._report_error(error)
 
     def eof_received(self) -> None:
-        """The peer has ended its side."""
-        self._peer_ended = True
+        """Records that the peer has shut down its side."""
+        self._peer_sent_eof = True
         super().eof_received()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Leaves the open connections and tells its user.
+        """Removes itself from the open connections and passes the error to `on_error`.
 
-        Guards clients against a part of a response that has no length: only the peer's own end completes it,
-        no reset and no close from here.
+        A response without a length is complete only if the peer itself shut down its side. After a reset or a
+        close from this side it may be truncated, so it is not delivered.
         """
         self._open_connections.discard(self)
-        if self._peer_ended and exc is None:
+        if self._peer_sent_eof and exc is None:
             response = self.framer.end_of_stream()
             if response is not None:
                 self._deliver(response)
@@ -150,8 +158,12 @@
             self.on_response(response)
 
     def _response_stalled(self) -> None:
-        """Guards requests against a response that begins and never ends: its rest has a packet's time."""
-        self.abort_with(MalformedResponseError("a response that stopped halfway"))
+        """Aborts a response that has begun but was not completed within the connect timeout.
+
+        Once a response has begun, its rest needs no longer than a packet; without this limit a request would
+        wait until its deadline for a peer that stops halfway.
+        """
+        self.abort_with(MalformedResponseError("response incomplete when the connect timeout expired"))
 
     def _cancel_response_timer(self) -> None:
         if self._response_timer is not None:
@@ -168,18 +180,18 @@
 
 
 def do_nothing() -> None:
-    """The hook where none was set."""
+    """Default for `before_write` callbacks."""
 
 
 class Exchange:
-    """One request and its response, under way. Closing it closes its connection at once.
+    """A request in flight and its response. Closing the exchange closes its connection at once.
 
     Attributes:
-        connection: The connector's handle, from the time the connection is up until it is given back.
-        written: Whether the request was handed over completely: from then on it may have run.
-        write_by_ms: The request's last byte leaves by then, or never.
+        connection: The connector's handle, from the time the connection is established until it is released.
+        written: Whether the complete request was written: from then on the peer may have processed it.
+        write_by_ms: Deadline for sending the request's last byte; afterwards no more of it is sent.
         before_write: Called before the request's first byte; it may close the exchange.
-        timer: Runs while a part of the request is still here.
+        timer: Enforces the write deadline while part of the request is still buffered.
     """
 
     __slots__ = ("connection", "written", "write_by_ms", "timer", "before_write")
@@ -192,7 +204,7 @@
         self.timer: Timer | None = None
 
     def close(self) -> None:
-        """Gives it up: its connection is aborted, and cannot carry another request."""
+        """Aborts the connection, which then cannot be reused. Has no effect once it was released."""
         self.cancel_timer()
         connection = self.connection
         self.connection = None
@@ -204,7 +216,7 @@
         connection.close()
 
     def cancel_timer(self) -> None:
-        """Stops the wait for the request's last byte to leave."""
+        """Cancels the timer of the write deadline, if it is running."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
