--- a/drumgw/gateway/counter_client.py
+++ b/drumgw/gateway/counter_client.py
@@ -1,11 +1,11 @@
-"""Calls to the shared counter: pipelined over a few connections, with their ends reported in order.
+"""Calls to the shared counter: pipelined over a few connections, with outcomes reported in call order.
 
-The policy engine relies on the order of the calls for one counter key. So calls for a key are written one
-behind the other on one connection, none waiting for an earlier one's reply, and their ends are reported in
-the order of the calls, even where a later call's reply comes first on another connection.
+The policy engine relies on the order of the calls for one counter key. Calls for a key are therefore
+pipelined on one connection, without waiting for earlier replies, and their outcomes are reported in the order
+of the calls, even if a later call's reply arrives first on another connection.
 
-A call that was written may have been added, whether or not its reply comes. It ends as timed out then; only
-one that was not written ends as unreachable, and has added nothing.
+The counter may have added a call that was written even if no reply arrives; the outcome is then `TIMED_OUT`.
+A call that was never written ends as `UNREACHABLE`: it has added nothing.
 """
 
 from __future__ import annotations
@@ -28,76 +28,81 @@
 from drumgw.model.events import Outcome
 
 IDLE_TIMEOUT_MS = 5000.0
-"""A connection idle for longer is not used again: the counter closes it after about 10 s (protocol)."""
+"""A connection that was idle for longer is not reused: the counter closes it after about 10 s (protocol)."""
 CALLS_PER_ENDPOINT_CONNECTION = 4
-"""How many calls may be in flight, for each attempt that may be."""
+"""How many calls may be in flight for each connection to an endpoint that may be open."""
 STATUS_OK = 200
 STATUSES_REJECTED = (400, 404, 503)
-"""The counter has added nothing."""
+"""Statuses with which the counter says that it has added nothing."""
 
 
 @dataclass(slots=True, eq=False)
 class CounterRequest:
-    """One call. Its reply counts until it is timed out; its end is reported once."""
+    """One call. A reply that arrives after the timeout is ignored; the outcome is reported once."""
 
     command: AddToCounter
     started_at_ms: float
-    """On a clock that does not advance while this process is stalled."""
+    """Time of the call, less all stalls of this process up to then."""
     is_written: bool = False
-    """Whether it may have been added."""
+    """Whether the call was written, so that the counter may have added it."""
     outcome: Outcome | None = None
-    """None until it has ended."""
+    """None while the call is in flight."""
     total: float = 0.0
+    """The counter's total after the call; 0 unless the outcome is `SUCCEEDED`."""
     duration_ms: float = 0.0
+    """How long the call took, without stalls of this process."""
     timer: Timer | None = None
 
     @property
     def outcome_without_reply(self) -> Outcome:
-        """How it ends if no reply comes."""
+        """The outcome if no reply arrives."""
         return Outcome.TIMED_OUT if self.is_written else Outcome.UNREACHABLE
 
 
 @dataclass(slots=True, eq=False)
 class KeyQueue:
-    """The calls for one counter key whose end has not been reported yet."""
+    """The calls for one counter key whose outcome has not been reported yet."""
 
     calls: deque[CounterRequest] = field(default_factory=deque)
-    """In the order in which they were made."""
+    """In the order in which the calls were made."""
     connection: CounterConnection | None = None
-    """Where the last one was written."""
+    """The connection of the latest call."""
 
 
 class CounterConnection:
-    """A connection to the counter. Replies come in the order of the calls written on it.
+    """A connection to the counter; replies arrive in the order of the calls written on it.
 
     Args:
-        client: whose connection it is.
+        client: the client that makes the calls and receives their outcomes.
     """
 
     def __init__(self, client: CounterClient) -> None:
-        self.calls: deque[CounterRequest] = deque()  # not answered on it; emptied at once when it closes
+        self.calls: deque[CounterRequest] = deque()  # without a reply; cleared when the connection closes
         self.is_open = True
-        """Whether it takes further calls."""
+        """Whether further calls may be made on this connection."""
         self.last_used_ms = client.clock.now()
         self._client = client
         self._exchange = Exchange()
-        self._connection: PeerConnection | None = None  # None until it is up
+        self._connection: PeerConnection | None = None  # None until it is established
         self._task = client.loop.create_task(self._connect())
 
     def send(self, call: CounterRequest) -> None:
-        """Writes the call, now or once the connection is up."""
+        """Writes the call, now or as soon as the connection is established."""
         self.calls.append(call)
         if self._connection is not None:
             self._write(self._connection, call)
 
     def retire(self) -> None:
-        """Takes no further calls. Closes once nobody waits for it, as its replies may never come."""
+        """Accepts no further calls, and closes the connection once every call on it has an outcome.
+
+        Replies that are still missing for calls that timed out are not waited for; they may never arrive.
+        """
         self.is_open = False
         if all(call.outcome is not None for call in self.calls):
             self.close()
 
     def close(self) -> None:
-        """Closes at once, and ends the calls that were not answered."""
+        """Closes the connection at once and ends its calls that have no reply."""
         self.is_open = False
         if self._connection is not None:
             self._connection.on_response = self._connection.on_error = None
@@ -109,7 +114,7 @@
             self._client.end(call, call.outcome_without_reply, 0.0)
 
     async def _connect(self) -> None:
-        """Connects, and writes the calls that have gathered meanwhile."""
+        """Connects and writes the calls that were made meanwhile."""
         try:
             self._exchange.connection, connection = await self._client.connect()
             self._connection = connection
@@ -130,8 +135,8 @@
     def _reply_received(self, response: RawResponse) -> None:
         """Ends the oldest call.
 
-        Guards quota accounts: after a reply without a number it is not known any more which reply belongs to
-        which call, so the connection is closed and no total of it is believed.
+        After a reply without a valid total it is uncertain which reply belongs to which call. The connection
+        is closed and no further total from it is used, as a wrong one would corrupt a quota account.
         """
         call = self.calls.popleft()
         total = read_number(response.body)
@@ -144,7 +149,7 @@
         else:
             self._client.end(call, Outcome.TIMED_OUT, 0.0)
             self.close()
-        if response.message.should_close:  # what is written behind it could be added or not
+        if response.message.should_close:  # whether later calls on it are added is unknown
             self.close()
         elif not self.is_open:
             self.retire()
@@ -154,8 +159,8 @@
     """Calls the shared counter.
 
     Args:
-        config: says where the counter is, and how long a call may take.
-        dispatcher: receives how each call ended.
+        config: the counter's address, the timeout of a call and the prefix of counter keys.
+        dispatcher: receives the outcome of each call.
     """
 
     def __init__(self, config: GatewayConfig, dispatcher: Dispatcher) -> None:
@@ -163,8 +168,8 @@
         self.loop = dispatcher.loop
         self.clock = dispatcher.clock
         self.timeout_ms = config.settings.counter_timeout_ms
-        self.connections: set[CounterConnection] = set()  # emptied as they close
-        self.queues: dict[int, KeyQueue] = {}  # by counter key; dropped with its last call
+        self.connections: set[CounterConnection] = set()  # those not closed yet
+        self.queues: dict[int, KeyQueue] = {}  # by counter key; removed with its last call
         self.calls_in_flight = 0
         self._dispatcher = dispatcher
         self._max_calls_in_flight = CALLS_PER_ENDPOINT_CONNECTION * config.max_endpoint_connections
@@ -173,7 +178,7 @@
         self.set_address(config.counter)
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Makes new calls at this address; those in flight may still be answered where they were made."""
+        """Sends new calls to this address; the old address may still reply to calls in flight."""
         host, port = address
         self._address = f"{host}:{port}"
         self._peer = self._pool.peer(self._address)
@@ -181,13 +186,16 @@
             connection.retire()
 
     async def close(self) -> None:
-        """Closes all connections, and ends the calls in flight."""
+        """Closes all connections and ends the calls in flight."""
         for connection in list(self.connections):
             connection.close()
         await self._pool.close()
 
     def call(self, command: AddToCounter) -> None:
-        """Makes a call. It ends as unreachable at once where too many are in flight."""
+        """Makes a call; its outcome is reported through the dispatcher.
+
+        It ends as `UNREACHABLE` at once if no connection is available or too many calls are in flight.
+        """
         now = self.clock.now()
         call = CounterRequest(command, now - self.clock.stalled_ms)
         queue = self.queues.get(command.counter_key) or KeyQueue()
@@ -205,14 +213,14 @@
         connection.send(call)
 
     def time_out(self, call: CounterRequest, connection: CounterConnection) -> None:
-        """Ends a call that was not answered in time; its connection takes no further calls."""
+        """Ends a call that has no reply in time, and retires its connection."""
         self.end(call, call.outcome_without_reply, 0.0)
         connection.retire()
 
     def end(self, call: CounterRequest, outcome: Outcome, total: float) -> None:
-        """Ends a call, and reports its key's ended calls, up to the first that has not ended.
+        """Ends a call, and reports the ended calls of its key up to the first that is in flight.
 
-        Does nothing for a call that has ended: a late total reaches nobody.
+        Has no effect on a call that has already ended: a total that arrives after the timeout is dropped.
         """
         if call.outcome is not None:
             return
@@ -241,7 +249,11 @@
         )
 
     def _choose_connection(self, now: float) -> CounterConnection | None:
-        """An idle connection, else a new one while there may be more, else the one with the fewest calls."""
+        """Returns an idle connection, else a new one within the limit, else the one with the fewest calls.
+
+        None if the limit is reached and no connection accepts calls. Connections that were idle for too long
+        are closed.
+        """
         open_connections = [connection for connection in self.connections if connection.is_open]
         for connection in open_connections:
             if connection.calls:
@@ -255,20 +267,24 @@
             return new_connection
         if not open_connections:
             return None
-        return min(open_connections, key=lambda each: len(each.calls))
+        return min(open_connections, key=lambda candidate: len(candidate.calls))
 
-    # For its connections
+    # Called by the connections
 
     async def connect(self) -> tuple[ConnectionHandle, PeerConnection]:
-        """Opens a connection to the counter."""
+        """Opens a connection to the counter.
+
+        Raises:
+            CONNECTION_ERRORS: No connection could be established.
+        """
         return await self._pool.connect(self._peer)
 
     def request(self, command: AddToCounter) -> bytes:
-        """The request that makes a call."""
+        """Returns the HTTP request of a call."""
         key = f"{self._key_prefix}{command.counter_key}"
         target = f"/counters/{key}?by={command.amount:.12g}&expire_ms={command.ttl_ms:.0f}"
         return f"POST {target} HTTP/1.1\r\nHost: {self._address}\r\nContent-Length: 0\r\n\r\n".encode()
 
     def log_fault(self, error: Exception) -> None:
-        """Logs an exception that nobody expected."""
+        """Logs an unexpected exception, with its traceback."""
         self._dispatcher.log_fault(error, "a connection to the counter")
