--- a/drumgw/gateway/endpoint_clients.py
+++ b/drumgw/gateway/endpoint_clients.py
@@ -1,7 +1,8 @@
-"""The endpoints' side: a client for each listed endpoint, and the attempts that are in flight to it.
+"""Clients for the endpoints: one for each listed endpoint, with the attempts in flight to it.
 
-Each attempt that was not aborted is reported once, as it ends. Whether it may have run follows from how far
-its request got: before its last byte was written, nothing ran.
+The result of each attempt is reported once, when it ends; an aborted attempt is not reported. Whether the
+endpoint may have processed the request depends on how much of it was written: until the last byte is written,
+it cannot have been processed.
 """
 
 from __future__ import annotations
@@ -28,12 +29,12 @@
 
 STATUS_OK = 200
 REJECTION_STATUSES = (503, 504)
-"""With `Not-Started: 1` these say that the endpoint had no capacity, and that nothing ran."""
+"""With `Not-Started: 1` they mean that the endpoint had no capacity and did not process the request."""
 LOAD_REPORT_PREFIX = "TEXT"
 
 
 class AttemptKey(NamedTuple):
-    """Names an attempt in flight."""
+    """Identifies an attempt in flight."""
 
     request_id: int
     attempt: int
@@ -44,10 +45,10 @@
     """How an attempt ended.
 
     Attributes:
-        outcome: What the policy engine is told.
-        billed_units: True cost; 0 where the endpoint did not tell.
-        load_report: What the endpoint reports of its load.
-        response: Content type and body for the client, of an attempt that succeeded.
+        outcome: The outcome that is reported to the policy engine.
+        billed_units: Actual cost of the request; 0 if the endpoint did not report it.
+        load_report: The load figures that the endpoint reported, by name.
+        response: Content type and body for the client; None unless the attempt succeeded.
     """
 
     outcome: Outcome
@@ -57,14 +58,16 @@
 
 
 class EndpointClient:
-    """What is known of one endpoint, and what is in flight to it.
+    """One endpoint's address, and the attempts in flight to it.
 
     Attributes:
         address: host:port.
-        connection_owner: The endpoint and its start: whose connections those at its address are.
-        accepts_attempts: Whether it may be sent anything new.
-        peer: What the pool knows it by; made at need, as one gateway sends to few of a thousand endpoints.
-        in_flight: Its attempts; an entry goes as its attempt ends or is aborted.
+        connection_owner: Endpoint number and start time. Connections to the address are reused only while
+            this stays the same.
+        accepts_attempts: Whether new attempts may be sent to the endpoint.
+        peer: Identifies the endpoint in the pool. Created when an attempt needs it, as one gateway sends to
+            few of a thousand endpoints.
+        in_flight: Task and exchange of each attempt; removed when the attempt ends or is aborted.
     """
 
     def __init__(self) -> None:
@@ -79,8 +82,8 @@
     """The clients of all listed endpoints.
 
     Attributes:
-        clients: By the endpoint's number; the endpoint list fills and empties it.
-        in_flight: The client that carries each attempt; an entry goes as its attempt ends or is aborted.
+        clients: By endpoint number; kept in step with the endpoint list by `set_address` and `drain`.
+        in_flight: The client of each attempt; removed when the attempt ends or is aborted.
         pool: The connections to all endpoints.
     """
 
@@ -98,23 +101,24 @@
         self._reads_load_reports = bool(config.settings.load_report_fields)
 
     async def close(self) -> None:
-        """Closes all connections."""
+        """Closes all connections, also those of attempts in flight."""
         await self.pool.close()
 
     def check_before_sending(self, check: Callable[[], None]) -> None:
-        """Calls `check` before each attempt's first byte.
+        """Calls `check` before the first byte of each attempt is written.
 
-        Guards drains where the event loop was stalled or is behind: the endpoint list is read first.
+        The check reads updates of the endpoint list that arrived while the event loop was stalled or lagging,
+        so that no attempt is sent to an endpoint that is draining.
         """
         self.pool.before_write = check
 
-    # From the endpoint list
+    # Called for changes of the endpoint list
 
     def set_address(self, endpoint_id: int, address: str, started_at_ms: float | None) -> None:
-        """Lists an endpoint that may be sent requests.
+        """Adds or updates an endpoint that accepts attempts.
 
-        Guards a new endpoint, or a new start, at the address of one that has gone: it gets connections of its
-        own, and none that the other left behind.
+        If the address or the start time changed, the unused connections are closed: an endpoint that started
+        at the address of an earlier one must not receive requests on connections opened to that one.
         """
         client = self.clients.setdefault(endpoint_id, EndpointClient())
         connection_owner = f"{endpoint_id}-{started_at_ms or 0:.0f}"
@@ -125,10 +129,10 @@
         client.accepts_attempts = True
 
     def drain(self, endpoint_id: int, gone: bool) -> None:
-        """Sends an endpoint nothing new.
+        """Stops sending attempts to an endpoint, and removes it if `gone`.
 
-        Guards the drain: an attempt that waits for a connection, and was not written yet, would be sent after
-        the drain's grace.
+        Attempts that are not fully written are withdrawn. One that still waits for a connection could
+        otherwise be sent after the grace period of the drain.
         """
         client = self.clients.pop(endpoint_id, None) if gone else self.clients.get(endpoint_id)
         if client is None:
@@ -144,10 +148,14 @@
         if peer is not None:
             self.pool.close_idle(peer.connection_key)
 
-    # From the dispatcher
+    # Called by the dispatcher
 
     def start_attempt(self, command: StartAttempt, request: ClientRequest) -> None:
-        """Sends a request to an endpoint; not sent where that drains or too much is in flight."""
+        """Starts sending a request to an endpoint.
+
+        The attempt ends as `NOT_SENT` at once if the endpoint is draining or removed, or if the limit on
+        attempts in flight is reached.
+        """
         key = AttemptKey(command.request_id, command.attempt)
         client = self.clients.get(command.endpoint_id)
         is_full = len(self.in_flight) >= self._max_in_flight
@@ -160,7 +168,7 @@
         self.in_flight[key] = client
 
     def abort_attempt(self, command: AbortAttempt) -> None:
-        """Closes the attempt's connection, before anything else of its request is written."""
+        """Closes the attempt's connection at once; the unsent part of its request is discarded."""
         key = AttemptKey(command.request_id, command.attempt)
         client = self.in_flight.pop(key, None)
         if client is not None:
@@ -169,7 +177,10 @@
             task.cancel()
 
     def withdraw_unsent(self, request_id: int, attempt: int) -> None:
-        """Ends an attempt as not sent if its last byte was not written: that is no fault of the endpoint."""
+        """Ends an attempt as `NOT_SENT` if its request is not fully written.
+
+        That outcome does not count against the endpoint. An attempt that is fully written goes on.
+        """
         key = AttemptKey(request_id, attempt)
         client = self.in_flight.get(key)
         if client is None:
@@ -180,7 +191,10 @@
             self._report(key, AttemptResult(Outcome.NOT_SENT))
 
     def _check_client(self, request: ClientRequest) -> None:
-        """Guards endpoints against an attempt for a client whose close lies unread."""
+        """Ends the request if its client has closed the connection and the event loop has not noticed yet.
+
+        Called before the first byte of an attempt, so that nothing is sent for a client that has gone.
+        """
         if request.client_left():
             self._dispatcher.client_disconnected(request.request_id)
 
@@ -220,7 +234,7 @@
         try:
             response = await self.pool.send(client.peer, message, exchange)
         except CONNECTION_ERRORS as error:
-            clock.now()  # finds a stall that has just ended
+            clock.now()  # updates stalled_ms if a stall has just ended
             has_stalled = stalled_before_ms < clock.stalled_ms
             return AttemptResult(outcome_of_error(error, exchange.written, has_stalled))
         except Exception as error:
@@ -230,15 +244,15 @@
 
 
 def outcome_of_error(error: BaseException, written: bool, has_stalled: bool) -> Outcome:
-    """How an attempt ended that brought no response.
+    """Returns the outcome of an attempt that ended with an error instead of a response.
 
-    Guards endpoints against being judged by this process: a connect timeout that ran out while it stalled,
-    and a write deadline, are no fault of theirs.
+    A write deadline, or a connect timeout that expired while this process was stalled, must not count against
+    the endpoint: the outcome is then `NOT_SENT`.
 
     Args:
-        error: What was raised.
-        written: Whether the request's last byte was written; before that it cannot have run.
-        has_stalled: Whether this process was stalled meanwhile.
+        error: The exception that ended the attempt.
+        written: Whether the request's last byte was written; before that it cannot have been processed.
+        has_stalled: Whether this process was stalled during the attempt.
     """
     if written:
         return Outcome.BROKEN_RESPONSE
@@ -248,7 +262,7 @@
 
 
 def read_response(response: RawResponse, reads_load_report: bool) -> AttemptResult:
-    """Maps an endpoint's status and headers: the one place where their names stand for outcomes."""
+    """Maps an endpoint's response to a result; nothing else interprets its status and headers."""
     headers = response.message.headers
     load_report = read_load_report(headers.get(http_headers.SERVER_LOAD)) if reads_load_report else {}
     status = response.message.code
@@ -262,12 +276,12 @@
 
 
 def read_billed_units(text: str | None) -> float:
-    """0, for not told, where it cannot be read: the response is good all the same."""
+    """Returns the cost, or 0 for "not reported" if the header is malformed; the response stays valid."""
     return max(0.0, read_number(text) or 0.0)
 
 
 def read_load_report(text: str | None) -> dict[str, float]:
-    """Reads `TEXT inflight=7, queue=2`; what cannot be read is left out."""
+    """Parses a header such as `TEXT inflight=7, queue=2`; entries that cannot be parsed are left out."""
     load_report: dict[str, float] = {}
     for part in (text or "").removeprefix(LOAD_REPORT_PREFIX).split(","):
         name, _, value = part.partition("=")
