--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -1,4 +1,4 @@
-"""Events on clients' connections in the moments in which they hurt: closes, shutdowns, clients that leave."""
+"""Races on client connections: bytes that arrive during a close or shutdown, clients that disconnect."""
 
 from __future__ import annotations
 
@@ -26,87 +26,87 @@
 
 
 class ConnectionClosingTest(CrossingCase):
-    """Bytes that come in the moment in which the gateway closes a connection."""
+    """Bytes that arrive while the gateway closes a connection."""
 
-    async def rested(self) -> tuple[ScriptedServer, ScriptedConnection]:
-        """A client between requests, and the endpoint that served it."""
+    async def open_idle_connection(self) -> tuple[ScriptedServer, ScriptedConnection]:
+        """Opens a gateway; returns its endpoint and a client connection that is idle after one request."""
         endpoint = await self.start_server(http_response(b"ok"))
         await self.open_gateway(endpoint.address)
-        line = self.open_client()
-        line.write(http_request())
-        await line.read(b"ok")
+        connection = self.open_client()
+        connection.write(http_request())
+        await connection.read(b"ok")
         await wait_until(lambda: self.gateway.http_server.limits.connections[ConnectionState.IDLE])
-        return endpoint, line
+        return endpoint, connection
 
-    async def test_a_request_that_lies_unread_as_the_idle_are_closed_is_served(self) -> None:
-        endpoint, line = await self.rested()
-        line.write(http_request(Request_Id="9b20"))
+    async def test_unread_request_is_served_when_idle_connections_are_closed(self) -> None:
+        endpoint, connection = await self.open_idle_connection()
+        connection.write(http_request(Request_Id="9b20"))
         self.gateway.http_server.withdraw_readiness()
         self.assertEqual(self.gateway.http_server.close_idle(), 1)
-        self.assertIn(b"Connection: close", await line.read(b"ok"))
-        self.assertEqual((await line.read_to_end(), len(endpoint.requests)), (b"", 2))
+        self.assertIn(b"Connection: close", await connection.read(b"ok"))
+        self.assertEqual((await connection.read_to_end(), len(endpoint.requests)), (b"", 2))
 
-    async def test_a_request_that_comes_after_the_shutdown_is_not_read(self) -> None:
-        """It is its client's to send again: it sees an end, no answer and no reset."""
-        endpoint, line = await self.rested()
+    async def test_request_that_arrives_after_the_shutdown_is_not_read(self) -> None:
+        """The client sees the end of the connection, neither response nor reset, and can send it again."""
+        endpoint, connection = await self.open_idle_connection()
         with mock.patch("drumgw.gateway.connection_limits.CLOSING_TIMEOUT_MS", 1e9):
             self.assertEqual(self.gateway.http_server.close_idle(), 0)
-            line.write(http_request(Request_Id="9b20"))
-            self.assertEqual(await line.read_to_end(), b"")
+            connection.write(http_request(Request_Id="9b20"))
+            self.assertEqual(await connection.read_to_end(), b"")
             await asyncio.sleep(0.02)
             (client,) = self.gateway.http_server.limits.connections[ConnectionState.CLOSING]
-            self.assertTrue(client.has_unread_data())  # it lies where it came
-            line.close()
+            self.assertTrue(client.has_unread_data())  # the request stays in the socket
+            connection.close()
             await wait_until(lambda: not self.gateway.http_server.limits.count())
         self.assertEqual((len(endpoint.requests), self.gateway.dispatcher.lifecycle.received_count), (1, 1))
 
-    async def test_a_long_last_answer_arrives_whole_though_bytes_came_behind_its_request(self) -> None:
-        """A close over unread bytes would reset, and take the rest of the answer with it."""
+    async def test_long_last_response_is_complete_despite_unread_bytes(self) -> None:
+        """Closing a socket with unread bytes sends a reset, which would truncate the response."""
         endpoint = await self.start_server(http_response(LARGE))
         await self.open_gateway(endpoint.address)
-        line = ScriptedConnection(socket.socket())
-        self.addCleanup(line.sock.close)
-        line.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        line.sock.setblocking(True)
-        line.sock.connect(self.listen_address)
-        line.sock.setblocking(False)
+        connection = ScriptedConnection(socket.socket())
+        self.addCleanup(connection.sock.close)
+        connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        connection.sock.setblocking(True)
+        connection.sock.connect(self.listen_address)
+        connection.sock.setblocking(False)
         self.gateway.http_server.withdraw_readiness()
         prepare = CompleteResponse.prepare
 
-        async def crossed(answer: CompleteResponse, asked: Any) -> None:
-            sock = asked.transport.get_extra_info("socket")
+        async def prepare_with_unread_bytes(response: CompleteResponse, request: Any) -> None:
+            sock = request.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            await prepare(answer, asked)
-            line.write(b"GET /a?acc")
+            await prepare(response, request)
+            connection.write(b"GET /a?acc")
 
-        with mock.patch.object(CompleteResponse, "prepare", crossed):
-            line.write(http_request())
-            whole = await line.read(b"\r\n\r\n")
+        with mock.patch.object(CompleteResponse, "prepare", prepare_with_unread_bytes):
+            connection.write(http_request())
+            received = await connection.read(b"\r\n\r\n")
             await asyncio.sleep(0.02)
-            whole += await line.read_to_end()
-        whole = whole.partition(b"\r\n\r\n")[2]
-        self.assertEqual((whole.count(b"x"), b"(reset)" in whole), (len(LARGE), False))
+            received += await connection.read_to_end()
+        received = received.partition(b"\r\n\r\n")[2]
+        self.assertEqual((received.count(b"x"), b"(reset)" in received), (len(LARGE), False))
 
-    async def test_two_requests_read_at_once_are_both_answered_at_the_end(self) -> None:
-        """None is read and then dropped."""
+    async def test_pipelined_requests_are_both_answered_at_shutdown(self) -> None:
+        """A request that was read must not be dropped."""
         endpoint = await self.start_server(http_response(b"ok"))
         await self.open_gateway(endpoint.address)
-        line = self.open_client()
+        connection = self.open_client()
         self.gateway.http_server.withdraw_readiness()
-        line.write(http_request() + http_request(Request_Id="9b20"))
-        came = await line.read_to_end()
-        counted = came.count(b"200 OK"), came.count(b"Connection: close"), len(endpoint.requests)
-        self.assertEqual(counted, (2, 1, 2))
-
-    async def test_half_a_request_at_the_end_is_never_sent_on(self) -> None:
-        """Its last byte would come after the shutdown. One whose rest lies unread is whole, and is served."""
-        whole = http_request(POST_TARGET, "POST", b"{}", Request_Timeout="60000m")
-        for cut in (10, len(whole) - 1):
+        connection.write(http_request() + http_request(Request_Id="9b20"))
+        received = await connection.read_to_end()
+        counts = received.count(b"200 OK"), received.count(b"Connection: close"), len(endpoint.requests)
+        self.assertEqual(counts, (2, 1, 2))
+
+    async def test_incomplete_request_is_not_forwarded_at_shutdown(self) -> None:
+        """The rest could arrive after the shutdown. If it is already in the socket, the request is served."""
+        request = http_request(POST_TARGET, "POST", b"{}", Request_Timeout="60000m")
+        for cut in (10, len(request) - 1):
             for rest in (False, True):
                 endpoint = await self.start_server(http_response(b"ok"))
                 await self.open_gateway(endpoint.address)
-                line = self.open_client()
-                line.write(whole[:cut])
+                connection = self.open_client()
+                connection.write(request[:cut])
                 await wait_until(
                     lambda: any(
                         c._messages or c._current_request or c._parser is not None
@@ -115,93 +115,102 @@
                 )
                 await asyncio.sleep(0.01)
                 if rest:
-                    line.write(whole[cut:])
+                    connection.write(request[cut:])
                 with (
                     mock.patch("drumgw.gateway.process.SHUTDOWN_LINGER_MS", 0.0),
-                    mock.patch("asyncio.sleep", self.no_turn_first()),
+                    mock.patch("asyncio.sleep", self.skip_first_sleep()),
                 ):
                     await self.gateway.close()
-                came = await line.read_to_end()
-                self.assertEqual((b"200 OK" in came, len(endpoint.requests)), (rest, int(rest)), (cut, rest))
+                received = await connection.read_to_end()
+                self.assertEqual(
+                    (b"200 OK" in received, len(endpoint.requests)), (rest, int(rest)), (cut, rest)
+                )
 
-    def no_turn_first(self) -> Any:
-        """The wait between SIGTERM and the shutdown gives the loop no turn: what lies unread stays so."""
-        sleep, first = asyncio.sleep, [True]
+    def skip_first_sleep(self) -> Any:
+        """Skips the wait between SIGTERM and the shutdown, so that the event loop reads nothing meanwhile."""
+        sleep, is_first_call = asyncio.sleep, [True]
 
-        async def asleep(seconds: float, *rest: Any) -> None:
-            if first and first.pop():
+        async def sleep_unless_first(seconds: float, *arguments: Any) -> None:
+            if is_first_call and is_first_call.pop():
                 return
-            await sleep(seconds, *rest)
+            await sleep(seconds, *arguments)
 
-        return asleep
+        return sleep_unless_first
 
-    async def test_clients_that_never_end_their_side_do_not_hold_up_the_end(self) -> None:
-        _, line = await self.rested()
+    async def test_clients_that_never_close_do_not_delay_shutdown(self) -> None:
+        _, connection = await self.open_idle_connection()
         silent = self.open_client()
         await wait_until(lambda: self.gateway.http_server.limits.connections[ConnectionState.NEW])
         with mock.patch("drumgw.gateway.process.SHUTDOWN_LINGER_MS", 0.0):
             async with asyncio.timeout(BOUND_S):
                 await self.gateway.close()
         self.assertEqual(
-            (self.gateway.http_server.limits.count(), await line.read_to_end(), await silent.read_to_end()),
+            (
+                self.gateway.http_server.limits.count(),
+                await connection.read_to_end(),
+                await silent.read_to_end(),
+            ),
             (0, b"", b""),
         )
 
 
 class ClientDisconnectTest(CrossingCase):
-    """A client that leaves while its request waits: nothing of it is sent on, and what it held comes back."""
+    """A client that disconnects while its request waits: nothing more is sent, all it held is released."""
 
-    def empty(self) -> bool:
+    def is_everything_released(self) -> bool:
+        """Whether no request holds anything: quota, in-flight limit, attempts, deadlines or request ids."""
         dispatcher, policy = self.gateway.dispatcher, self.gateway.dispatcher.lifecycle.policy
         held = policy.pending or policy.back_end.limit.in_flight  # type: ignore[attr-defined]
         held = held or policy.back_end.endpoints.with_attempts  # type: ignore[attr-defined]
-        out = any(a.attempts_in_flight for a in policy.accounts.values())  # type: ignore[attr-defined]
+        has_attempts = any(account.attempts_in_flight for account in policy.accounts.values())  # type: ignore[attr-defined]
         return not (
             held
-            or out
+            or has_attempts
             or dispatcher.lifecycle.in_flight
             or dispatcher.pending_requests
             or dispatcher.request_deadlines
             or self.gateway.http_server.open_request_ids
         )
 
-    async def test_while_it_waits_for_its_connection(self) -> None:
-        for cancel in (True, False):  # an attempt that was not sent needs no calling off
+    async def test_while_waiting_for_an_endpoint_connection(self) -> None:
+        for cancel in (True, False):  # an unsent attempt ends even without cancellation
             for reset in (False, True):
                 endpoint = await self.start_server(http_response(b"ok"))
                 await self.open_gateway(
                     endpoint.address,
                     settings=raw_settings(ceilings={**raw_settings()["ceilings"], "cancel": cancel}),
                 )
-                line = self.open_client()
-                with self.hold_connections(lambda card: True) as go:
-                    line.write(http_request(Request_Timeout="60000m"))
+                connection = self.open_client()
+                with self.hold_connections(lambda request: True) as release:
+                    connection.write(http_request(Request_Timeout="60000m"))
                     await wait_until(lambda: endpoint.connections)  # noqa: B023
-                    line.close(reset)
-                    await wait_until(self.empty)
-                    go.set()
+                    connection.close(reset)
+                    await wait_until(self.is_everything_released)
+                    release.set()
                     self.assertEqual((await self.send_request())[0], 200)
-                self.assertEqual(len(endpoint.requests), 1, (cancel, reset))  # the other client's
+                self.assertEqual(len(endpoint.requests), 1, (cancel, reset))  # only that of send_request
                 await self.close_gateway()
 
-    async def test_while_it_waits_for_the_counter(self) -> None:
-        """A hundred at once, by an end or a reset, some with bytes behind their request."""
+    async def test_while_waiting_for_the_counter(self) -> None:
+        """A hundred clients at once, by a close or a reset, some with bytes after their request."""
         endpoint, counter = await self.start_server(http_response(b"ok")), self.peer()
-        family = {"counter": True, "countWaitMs": 60000.0, "unitsTop": 9}
+        family_info = {"counter": True, "countWaitMs": 60000.0, "unitsTop": 9}
         slow = {**REQUEST_CLASS, "deadlineMs": 900000.0, "onTimeMs": 100000.0}
         await self.open_gateway(
             endpoint.address,
             counter=counter.address,
-            settings=raw_settings(familyInfo=family, classes=[slow]),
+            settings=raw_settings(familyInfo=family_info, classes=[slow]),
         )
-        lines = [self.open_client() for _ in range(100)]
-        for n, line in enumerate(lines):
-            line.write(http_request(Request_Timeout="900000m", Request_Id=f"{n:x}") + b"GET /" * (n % 3 == 0))
+        connections = [self.open_client() for _ in range(100)]
+        for n, connection in enumerate(connections):
+            connection.write(
+                http_request(Request_Timeout="900000m", Request_Id=f"{n:x}") + b"GET /" * (n % 3 == 0)
+            )
         await wait_until(lambda: len(self.gateway.dispatcher.lifecycle.in_flight) == 100)
-        for n, line in enumerate(lines):
-            line.close(reset=n % 2 == 0)
+        for n, connection in enumerate(connections):
+            connection.close(reset=n % 2 == 0)
         await wait_until(lambda: not self.gateway.dispatcher.lifecycle.in_flight)
-        await wait_until(self.empty)
+        await wait_until(self.is_everything_released)
         counter_connection = await counter.accept()
         await counter_connection.read(b"\r\n\r\n")
         for _ in range(100):
@@ -209,41 +218,50 @@
         await asyncio.sleep(0.05)
         self.assertEqual((endpoint.requests, endpoint.connections), ([], []))
 
-    async def test_while_its_close_lies_unread_as_an_attempt_begins(self) -> None:
-        """The loop had no turn since: first attempts and further ones, by an end or a reset."""
+    async def test_with_the_close_unread_when_an_attempt_starts(self) -> None:
+        """The event loop has not read the close or reset yet; for first attempts and retries."""
         for first, reset in ((True, False), (True, True), (False, False), (False, True)):
             endpoints = [
                 await self.start_server(http_response(b"ok") if first else http_response(status=500))
                 for _ in range(2)
             ]
             await self.open_gateway(*(endpoint.address for endpoint in endpoints))
-            line, attempts = self.open_client(), list[int]()
+            connection, attempts = self.open_client(), list[int]()
 
-            def before() -> None:
+            def disconnect_on_attempt() -> None:
                 attempts.append(1)  # noqa: B023
                 if len(attempts) == (1 if first else 2):  # noqa: B023
-                    line.close(reset)  # noqa: B023
+                    connection.close(reset)  # noqa: B023
 
-            with mock.patch.object(self.gateway.endpoint_clients.pool, "before_write", before):
-                line.write(http_request(Request_Timeout="60000m"))
+            with mock.patch.object(self.gateway.endpoint_clients.pool, "before_write", disconnect_on_attempt):
+                connection.write(http_request(Request_Timeout="60000m"))
                 await wait_until(lambda: attempts)  # noqa: B023
-                await wait_until(lambda: self.empty() and not self.gateway.http_server.limits.count())
-            came = sum(len(endpoint.requests) for endpoint in endpoints)
-            self.assertEqual(came, 0 if first else 1, (first, reset))
+                await wait_until(
+                    lambda: self.is_everything_released() and not self.gateway.http_server.limits.count()
+                )
+            request_count = sum(len(endpoint.requests) for endpoint in endpoints)
+            self.assertEqual(request_count, 0 if first else 1, (first, reset))
             await self.close_gateway()
 
-    async def test_while_so_many_of_its_requests_wait_that_nothing_more_is_read(self) -> None:
-        """Guards endpoints: the close lies behind what is not read, and each request would be sent on."""
-        answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        endpoint = await self.start_server(lambda head, body: answer)
+    async def test_while_pipelined_requests_pause_reading(self) -> None:
+        """The close comes after bytes that aiohttp does not read yet; only the first request is forwarded.
+
+        If the close went unnoticed, each of the waiting requests would be forwarded to the endpoint.
+        """
+        response: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+        endpoint = await self.start_server(lambda head, body: response)
         await self.open_gateway(endpoint.address)
-        line = self.open_client()
-        line.write(b"".join(http_request(Request_Id=f"{n:x}", Request_Timeout="60000m") for n in range(1000)))
+        connection = self.open_client()
+        connection.write(
+            b"".join(http_request(Request_Id=f"{n:x}", Request_Timeout="60000m") for n in range(1000))
+        )
         await wait_until(lambda: endpoint.requests)
         (client,) = self.gateway.http_server.server.connections
         assert isinstance(client, ClientConnection)
         await wait_until(lambda: client._buffer_paused)
-        line.sock.shutdown(socket.SHUT_WR)  # an end of both would be told by the first answer's reset
-        answer.set_result(http_response(b"ok"))
-        await wait_until(lambda: self.empty() and not self.gateway.http_server.limits.count())
+        connection.sock.shutdown(socket.SHUT_WR)  # a full close would show as a reset on the response
+        response.set_result(http_response(b"ok"))
+        await wait_until(
+            lambda: self.is_everything_released() and not self.gateway.http_server.limits.count()
+        )
         self.assertEqual(len(endpoint.requests), 1)
