--- a/drumgw/gateway/client_connections.py
+++ b/drumgw/gateway/client_connections.py
@@ -195,9 +195,9 @@
         return request._payload.is_eof() or self.defer_close_if_unread()
 
     def is_reading_body(self) -> bool:
-        """Whether a handler has a request; meaningful once `is_owed_response` has returned False.
+        """Whether a handler waits for the rest of a request's body, provided `is_owed_response` is False.
 
-        The rest of that request's body has not arrived then.
+        By itself it only tells that aiohttp is handling a request.
         """
         return self._current_request is not None
 
--- a/drumgw/gateway/connection_limits.py
+++ b/drumgw/gateway/connection_limits.py
@@ -99,9 +99,9 @@
     def select_for_closing(self, newcomer: ClientConnection) -> ClientConnection:
         """Selects the connection to close at the limit; the new connection itself if there is no other.
 
-        In this order: one whose last response has been sent; one that has sent nothing; the longest idle; one
-        whose request is being read. One that has sent nothing is selected only if the event loop has had time
-        to read it, or if there are more such connections than idle ones. That protects new connections if
+        In this order: a CLOSING one whose last response has been sent; the oldest NEW one; the longest idle;
+        the one that has been READING for longest. A NEW connection is selected only if the event loop has had
+        time to read it, or if there are more NEW connections than idle ones. That protects new connections if
         many clients send one request and stay connected, and idle ones if hundreds connect without sending
         anything.
         """
@@ -111,11 +111,11 @@
         finished = next((client for client in closing if not client.has_unsent_data()), None)
         if finished is not None:
             return finished
-        silent = next(iter(new), None)
-        if silent is not None:
-            could_be_read = newcomer.state_since_ms - silent.state_since_ms > STALL_THRESHOLD_MS
-            if could_be_read or len(new) > len(idle):
-                return silent
+        oldest_new = next(iter(new), None)
+        if oldest_new is not None:
+            had_time_to_be_read = newcomer.state_since_ms - oldest_new.state_since_ms > STALL_THRESHOLD_MS
+            if had_time_to_be_read or len(new) > len(idle):
+                return oldest_new
         longest_idle = self.longest_idle()
         if longest_idle is not None:
             return longest_idle
