--- a/drumgw/__main__.py
+++ b/drumgw/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m drumgw`: one gateway process, configured by its `GW_` variables."""
+"""Entry point of `python -m drumgw`: runs one gateway process, configured by `GW_` environment variables."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 import sys
 from functools import partial
 
-early_hangups: list[int] = []  # SIGHUPs that came before the gateway handles them itself
+early_sighups: list[int] = []  # SIGHUPs received before the gateway installs its own handler
 if __name__ == "__main__":
-    # The imports take half a second, and by default either signal ends the process as by a crash.
-    signal.signal(signal.SIGHUP, lambda number, _: early_hangups.append(number))
-    signal.signal(signal.SIGTERM, lambda *_: os._exit(0))  # nothing has been served yet
+    # The imports below take half a second. Without these handlers either signal would meanwhile kill the
+    # process, which looks like a crash to its supervisor.
+    signal.signal(signal.SIGHUP, lambda number, _: early_sighups.append(number))
+    signal.signal(signal.SIGTERM, lambda *_: os._exit(0))  # no request has been accepted yet
 
 import uvloop  # noqa: E402
 from loguru import logger  # noqa: E402
@@ -24,12 +25,16 @@
 
 
 def main() -> int:
-    """Runs the gateway until it is told to stop; the exit code is 2 for an unusable configuration."""
+    """Runs the gateway until SIGTERM.
+
+    Returns:
+        The exit code: 0 after a shutdown, EXIT_UNUSABLE_CONFIG for an invalid configuration.
+    """
     logger.remove()
     logger.add(sys.stderr, level="INFO", format=LOG_FORMAT)
-    read_config_again = partial(read_config, os.environ, is_reload=True)
+    reread_config = partial(read_config, os.environ, is_reload=True)
     try:
-        uvloop.run(serve(read_config(os.environ), read_config_again, early_hangups))
+        uvloop.run(serve(read_config(os.environ), reread_config, early_sighups))
     except ConfigError as error:
         print(f"drumgw: {error}", file=sys.stderr)
         return EXIT_UNUSABLE_CONFIG
--- a/drumgw/gateway/process.py
+++ b/drumgw/gateway/process.py
@@ -1,4 +1,4 @@
-"""One gateway process: its parts put together, started, reloaded on SIGHUP, and shut down on SIGTERM."""
+"""One gateway process: construction, start, configuration reload on SIGHUP, and shutdown on SIGTERM."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 from drumgw.gateway.signals import handle_signal, ignore_signals
 
 SHUTDOWN_LINGER_MS = 700.0
-"""For how long after SIGTERM new clients may still come (protocol)."""
+"""How long new clients may still connect after SIGTERM (protocol)."""
 SERVER_SHUTDOWN_TIMEOUT_S = 0.1
 GC_THRESHOLD = 20000
-"""Objects between two runs of the garbage collector: requests leave few reference cycles behind."""
+"""Allocations between two runs of the garbage collector. High, as requests create few reference cycles."""
 
 ReadConfig = Callable[[], GatewayConfig]
 
 
 class GatewayProcess:
-    """A gateway: a service and its listener.
+    """A gateway service together with its HTTP listener.
 
     Args:
-        config: what it was configured with at its start.
+        config: the configuration at start.
 
     Raises:
-        ConfigError: where the list of known endpoints cannot be read.
+        ConfigError: the list of known endpoints is malformed.
     """
 
     def __init__(self, config: GatewayConfig) -> None:
@@ -49,13 +49,13 @@
         self.stop_requested = asyncio.Event()
 
     async def open(self) -> tuple[str, int]:
-        """Starts, and accepts clients once discovery has answered, or was silent for MAX_START_WAIT_MS.
+        """Starts, and accepts clients once discovery has answered or MAX_START_WAIT_MS has passed.
 
         Returns:
-            The host and port at which it listens.
+            The host and port that it listens on.
 
         Raises:
-            ConfigError: where it cannot listen there.
+            ConfigError: the configured address cannot be bound.
         """
         self.clock.start_heartbeat()
         self.service.start()
@@ -63,7 +63,7 @@
         await self.discovery.start(MAX_START_WAIT_MS / 1000)
         host, port = await self.http_server.open()
         logger.info(
-            "{} serves at {}:{}: {} endpoints listed, at most {} clients and {} connections to endpoints",
+            "{} serves at {}:{}: {} endpoints known, limits: {} client and {} endpoint connections",
             self.config.name,
             host,
             port,
@@ -74,10 +74,14 @@
         return host, port
 
     async def close(self) -> None:
-        """Serves new clients for a while longer, finishes the requests in flight, then closes all."""
+        """Accepts clients for SHUTDOWN_LINGER_MS more, finishes the requests in flight, then closes.
+
+        Requests in flight have the longest deadline of any request class to finish. Quota reservations that
+        were not used are returned to the counter.
+        """
         self.http_server.withdraw_readiness()
         logger.info(
-            "{} was told to stop: {} requests in flight",
+            "{} received SIGTERM: {} requests in flight",
             self.config.name,
             len(self.dispatcher.pending_requests),
         )
@@ -88,7 +92,7 @@
         await self.http_server.server.shutdown(SERVER_SHUTDOWN_TIMEOUT_S)
         await self.service.close()
         logger.info(
-            "{} ends: {} requests received, {} left open, invariants broken: {}",
+            "{} exits: {} requests received, {} unfinished, invariant violations: {}",
             self.config.name,
             self.dispatcher.lifecycle.received_count,
             len(self.dispatcher.pending_requests),
@@ -96,9 +100,9 @@
         )
 
     def reload(self, read_config: ReadConfig) -> None:
-        """Reads the configuration again, and moves to its discovery and counter.
+        """Rereads the configuration, and switches to the discovery and counter addresses that it names.
 
-        A configuration that cannot be used is logged and changes nothing.
+        An invalid configuration is logged and has no other effect.
         """
         try:
             config = read_config()
@@ -115,39 +119,38 @@
         )
 
 
-async def serve(
-    config: GatewayConfig, read_config_again: ReadConfig, early_hangups: Sequence[int] = ()
-) -> None:
+async def serve(config: GatewayConfig, reread_config: ReadConfig, early_sighups: Sequence[int] = ()) -> None:
     """Runs a gateway until SIGTERM.
 
-    Guards SIGHUP at both ends: one that came before the gateway serves is obeyed then, and one that comes
-    when it has ended does not end the process as by a crash.
+    A SIGHUP received during the start triggers a reload as soon as the gateway is open. Both signals are
+    ignored after the shutdown, as their default action would kill the process before it can exit with 0.
 
     Args:
         config: the configuration to start with.
-        read_config_again: called at SIGHUP.
-        early_hangups: not empty if SIGHUP came before this was called, or comes until the handler is set.
+        reread_config: called at each SIGHUP.
+        early_sighups: the signals received before this function installs its handler; read once the gateway
+            is open.
 
     Raises:
-        ConfigError: where the gateway cannot be started.
+        ConfigError: the gateway cannot start with this configuration.
     """
     gateway = GatewayProcess(config)
     loop = asyncio.get_running_loop()
     handle_signal(loop, signal.SIGTERM, gateway.stop_requested.set)
-    handle_signal(loop, signal.SIGHUP, partial(gateway.reload, read_config_again))
+    handle_signal(loop, signal.SIGHUP, partial(gateway.reload, reread_config))
     if await _open_unless_stopped(gateway):
-        if early_hangups:
-            gateway.reload(read_config_again)
+        if early_sighups:
+            gateway.reload(reread_config)
         _tune_garbage_collector()
         await gateway.stop_requested.wait()
         await gateway.close()
     else:
-        logger.info("{} ends before it served", config.name)
+        logger.info("{} exits: received SIGTERM during startup", config.name)
     ignore_signals()
 
 
 async def _open_unless_stopped(gateway: GatewayProcess) -> bool:
-    """Opens the gateway. Returns False, with all closed, if it is asked to stop meanwhile."""
+    """Opens the gateway. Returns False, after closing it again, if SIGTERM arrives meanwhile."""
     opening = asyncio.create_task(gateway.open())
     stopping = asyncio.create_task(gateway.stop_requested.wait())
     await asyncio.wait((opening, stopping), return_when=asyncio.FIRST_COMPLETED)
@@ -159,12 +162,12 @@
         await gateway.service.close()
     if opening.cancelled():
         return False
-    opening.result()  # raises what went wrong
+    opening.result()  # raises the error of a failed start
     return True
 
 
 def _tune_garbage_collector() -> None:
-    """Spares the collector what lives as long as the process, and runs it less often."""
+    """Exempts objects that live as long as the process from collection, and lowers its frequency."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -128,7 +128,9 @@
                 await asyncio.sleep(0.001)
             process.terminate()
             _, log = await process.communicate()
-        self.assertEqual((process.returncode, b"n0 ends before it served" in log), (0, True), log)
+        self.assertEqual(
+            (process.returncode, b"n0 exits: received SIGTERM during startup" in log), (0, True), log
+        )
 
 
 class Watches(AgentCase):
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -118,7 +118,7 @@
             while b"SIGHUP: discovery" not in (line := await run.stderr.readline()):
                 self.assertTrue(line, "it ended early")
             run.terminate()
-            self.assertIn(b"0 left open", await run.stderr.read())
+            self.assertIn(b"0 unfinished", await run.stderr.read())
             self.assertEqual(await run.wait(), 0)
         for env in ({}, {"GW_CONFIG": "/nowhere"}, {"GW_CONFIG": __file__}):
             with mock.patch.dict(os.environ, env), contextlib.redirect_stderr(io.StringIO()) as said:
--- a/tests/test_process_crossings.py
+++ b/tests/test_process_crossings.py
@@ -62,12 +62,12 @@
         line.write(http_request(Request_Timeout="60000m"))
         await wait_until(lambda: endpoint.requests)
         process.run.terminate()
-        await process.wait_for_log_line(b"told to stop")
+        await process.wait_for_log_line(b"received SIGTERM: ")
         process.run.terminate()
         held.set_result(http_response(b"ok"))
         self.assertIn(b"Connection: close", await line.read(b"ok"))
         said = await process.log.read()
-        self.assertIn(b"0 left open, invariants broken: none", said)
+        self.assertIn(b"0 unfinished, invariant violations: none", said)
         self.assertEqual(await process.run.wait(), 0)
 
 
