--- a/drumgw/gateway/signals.py
+++ b/drumgw/gateway/signals.py
@@ -1,7 +1,7 @@
-"""Handlers of SIGTERM and SIGHUP that hold from the program's first line to its last.
+"""Handlers of SIGTERM and SIGHUP that stay installed until the process exits.
 
-A signal without a handler ends the process as by a crash. The event loop's own way of handling signals
-brings the defaults back when the loop closes, before the process ends; so it is not used.
+Without a handler either signal kills the process. `loop.add_signal_handler` is not used: it restores the
+default actions when the event loop closes, which is before the process exits.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 def handle_signal(
     loop: asyncio.AbstractEventLoop, number: signal.Signals, callback: Callable[[], object]
 ) -> None:
-    """Calls back in the event loop at each signal of this number."""
+    """Runs a callback in the event loop at each signal of this number. System calls are restarted."""
 
     def handler(*_: object) -> None:
         loop.call_soon_threadsafe(callback)
@@ -26,6 +26,6 @@
 
 
 def ignore_signals() -> None:
-    """Ignores both signals from now on, with no moment between in which neither handler holds."""
+    """Ignores both signals from now on. The default action is not restored in between."""
     for number in HANDLED_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
