--- a/drumgw/gateway/backoff.py
+++ b/drumgw/gateway/backoff.py
@@ -1,4 +1,4 @@
-"""How long to wait before something that failed is tried again."""
+"""Delays between the retries of a call."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
     initial_ms: float
     """Mean delay after the first failure."""
     max_ms: float
-    """Longest mean delay."""
+    """Upper bound of the mean delay."""
     max_doublings: int = 3
     jitter: float = 0.5
-    """By which part of its mean a delay is shorter or longer at most.
+    """Largest deviation of a delay, as a fraction of its mean.
 
-    Gateways that failed at the same moment must not come back at the same moment.
+    Keeps gateways whose calls failed at the same moment from retrying at the same moment.
     """
 
-    def delay_ms(self, earlier_failures: int, source: random.Random) -> float:
-        """The delay after a failure.
+    def delay_ms(self, earlier_failures: int, rng: random.Random) -> float:
+        """Returns the delay after a failure.
 
         Args:
-            earlier_failures: how many came right before this one.
-            source: where the jitter is drawn from.
+            earlier_failures: number of consecutive failures before this one.
+            rng: the random number generator that the jitter is drawn from.
         """
         doublings = min(earlier_failures, self.max_doublings)
         mean_ms = min(self.max_ms, self.initial_ms * (1 << doublings))
-        return mean_ms * source.uniform(1.0 - self.jitter, 1.0 + self.jitter)
+        return mean_ms * rng.uniform(1.0 - self.jitter, 1.0 + self.jitter)
