--- a/drumgw/gateway/clock.py
+++ b/drumgw/gateway/clock.py
@@ -1,8 +1,8 @@
-"""The gateway's time, its timers, and for how long its process was stalled.
+"""The gateway's clock and timers, with detection of stalls of its own process.
 
-A process may not run for a while: its host is paused, swaps, or gives it no processor time. Responses that
-arrived meanwhile are read late. That time must not count as an endpoint's or the counter's, and a timer that
-is overdue after a stall must not give up what only needs to be read.
+A process stalls while its host is paused, swaps or gives it no CPU time. Responses that arrive during a stall
+are read late. The stall must not be counted as latency of an endpoint or of the counter, and a timer that is
+overdue after a stall must not time out a call whose response only has to be read.
 """
 
 from __future__ import annotations
@@ -17,48 +17,48 @@
 HEARTBEAT_MS = 100.0
 """Time between two heartbeats. Each wakes the event loop, which costs as much as a small request."""
 STALL_THRESHOLD_MS = 20.0
-"""A heartbeat that comes later than this shows a stall; a timer that late lets responses be read first."""
+"""A heartbeat this late counts as a stall. A timer this late lets pending responses be read first."""
 
 
 class MonotonicClock:
-    """Unix time in milliseconds. It is read once and then carried by the monotonic clock: no steps back."""
+    """Unix time in milliseconds that never steps back: read once, then advanced by the monotonic clock."""
 
     def __init__(self) -> None:
         self._offset_ms = time.time() * MS_PER_S - time.monotonic() * MS_PER_S
 
     def now(self) -> float:
-        """The current time."""
+        """Returns the current Unix time in milliseconds."""
         return self._offset_ms + time.monotonic() * MS_PER_S
 
     def loop_time(self, at_ms: float) -> float:
-        """The event loop's time (monotonic, in seconds) of a point in time."""
+        """Converts a point in time to the event loop's time (monotonic, in seconds)."""
         return (at_ms - self._offset_ms) / MS_PER_S
 
 
 class StallAwareClock:
-    """A clock that finds out, by a heartbeat in the event loop, for how long its process was stalled.
+    """A clock that detects stalls of its process by a heartbeat in the event loop.
 
     Args:
-        monotonic: the process's time.
-        loop: the event loop that heartbeats and timers run in.
+        monotonic: the source of the time.
+        loop: the event loop that runs heartbeats and timers.
     """
 
     def __init__(self, monotonic: MonotonicClock, loop: asyncio.AbstractEventLoop) -> None:
         self.monotonic = monotonic
         self.loop = loop
         self.stalled_ms = 0.0
-        """All stalls since the start. A stall is found short by up to one heartbeat."""
+        """Total of all stalls since the start. Each is underestimated by up to one heartbeat interval."""
         self.recent_stall_ms = 0.0
-        """Length of a stall that has just ended, else 0: what is read now may have waited through it."""
+        """Length of a stall that has just ended, else 0. Data read now may have arrived during it."""
         self._heartbeat_due_ms = monotonic.now() + HEARTBEAT_MS
 
     def start_heartbeat(self) -> None:
-        """Starts the heartbeat, which goes on for as long as the event loop runs."""
+        """Starts the heartbeat, which continues for as long as the event loop runs."""
         self._heartbeat_due_ms = self.now() + HEARTBEAT_MS
         self.loop.call_later(HEARTBEAT_MS / MS_PER_S, self.start_heartbeat)
 
     def now(self) -> float:
-        """The current time. The first call after a stall takes the stall into account."""
+        """Returns the current time in milliseconds. The first call after a stall records the stall."""
         now = self.monotonic.now()
         late_ms = now - self._heartbeat_due_ms
         if late_ms > STALL_THRESHOLD_MS:
@@ -67,7 +67,7 @@
         return now
 
     def call_at(self, at_ms: float, callback: Callable[[], None]) -> Timer:
-        """Calls back at this time, or a little later after a stall."""
+        """Schedules a callback for this time; after a stall it runs a little later."""
         return Timer(self, at_ms, callback)
 
     def _add_stall(self, late_ms: float) -> None:
@@ -84,14 +84,14 @@
 
 
 class Timer:
-    """Calls back once, at its time.
+    """A one-shot timer that accounts for stalls.
 
-    Guards peers against being given up for a stall of this process: their response may lie unread. A timer
-    that is late waits a little more, so that what has arrived is read first.
+    After a stall of this process a peer's response may still be unread. A timer that fires late therefore
+    waits a little longer, so that data that has arrived is read before the callback can time out the call.
 
     Args:
-        clock: the clock that `at_ms` is on.
-        at_ms: when to call back.
+        clock: the clock that `at_ms` refers to.
+        at_ms: when to run the callback.
         callback: takes no arguments.
     """
 
@@ -104,12 +104,12 @@
         self._handle = clock.loop.call_at(clock.monotonic.loop_time(at_ms), self.fire)
 
     def fire(self) -> None:
-        """Calls back, or waits a little more if this process was stalled. Called by the event loop."""
+        """Runs the callback, or delays it once if this process was stalled. Called by the event loop."""
         if self._clock.now() - self._at_ms > STALL_THRESHOLD_MS:
             self._handle = self._clock.loop.call_later(STALL_THRESHOLD_MS / MS_PER_S, self._callback)
         else:
             self._callback()
 
     def cancel(self) -> None:
-        """Does not call back any more."""
+        """Cancels the timer; has no effect once the callback has run."""
         self._handle.cancel()
