--- a/drumgw/gateway/__init__.py
+++ b/drumgw/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway on sockets: all that surrounds the policy engine in a running process."""
+"""The gateway process: networking, discovery and the shared counter around the policy engine."""
