--- a/drumgw/gateway/endpoint_list_reader.py
+++ b/drumgw/gateway/endpoint_list_reader.py
@@ -1,7 +1,7 @@
-"""Reads discovery's endpoint lists; the names of their fields are mapped here.
+"""Parses the endpoint lists that discovery sends; the names of their fields are mapped here.
 
-A row that says that an endpoint leaves needs its id and its lifecycle only: a drain must not be missed for a
-field that nobody needs any more. A row that cannot be read is counted, and leaves its endpoint as it was.
+A row of an endpoint that is draining or removed needs an id and a lifecycle only: a malformed field that has
+no further use must not hide a drain. Other malformed rows are counted, and their endpoints keep their state.
 """
 
 from __future__ import annotations
@@ -26,58 +26,62 @@
 MAX_NAME_CHARACTERS = 256
 ENDPOINT_ID_BYTES = 6
 
-UNREADABLE = (KeyError, TypeError, ValueError, ArithmeticError)
-"""What a field that is missing, of the wrong type or out of range raises where it is read."""
+FIELD_ERRORS = (KeyError, TypeError, ValueError, ArithmeticError)
+"""Raised when a field is read that is missing, of the wrong type or out of range."""
 
 
 class MalformedEndpointListError(ValueError):
-    """Not an endpoint list; its text is one line."""
+    """The JSON is not a usable endpoint list; the message is one line."""
 
 
 class EndpointRow(NamedTuple):
-    """What is known of an endpoint: its last readable row."""
+    """The parsed row of an endpoint."""
 
     info: EndpointInfo
     address: str
-    """host:port; empty for an endpoint that leaves."""
+    """host:port; empty if the endpoint is draining or removed."""
     started_at_ms: float
-    """The start that the row speaks of; infinite where the row of a leaving endpoint does not say."""
+    """When the endpoint process that the row refers to was started. Infinite if the row of a draining or
+    removed endpoint does not say, so that it takes precedence over other rows of the endpoint."""
 
 
 class EndpointList(NamedTuple):
-    """A list as discovery sent it: all endpoints, or changes only."""
+    """A parsed list: all endpoints, or changes only."""
 
     generation: int | None
-    """Number of this state of the list, growing; None where the list has none that can be used."""
+    """Version number of the list, increasing; None if it is missing or malformed."""
     is_complete: bool
-    """Whether endpoints that are not named have been removed."""
+    """Whether endpoints that the list omits have been removed."""
     rows: dict[str, EndpointRow | None]
-    """By the endpoint's name; None where the row cannot be read."""
+    """By endpoint name; None if the row is malformed."""
     nameless_rows: frozenset[int]
-    """Positions of the rows that name no endpoint."""
+    """Positions of the rows without a valid endpoint name."""
 
     def unreadable_count(self) -> int:
-        """Endpoints and rows that cannot be read."""
+        """Returns the number of endpoints with malformed rows, plus the rows without a valid name."""
         return len(self.nameless_rows) + sum(row is None for row in self.rows.values())
 
 
 def endpoint_id_of(name: str) -> int:
-    """The endpoint's number, the same at every gateway: they rank the endpoints by it."""
+    """Derives an endpoint's id from its name.
+
+    The id is the same at every gateway, so that all gateways rank the endpoints alike.
+    """
     digest = hashlib.blake2b(name.encode("utf-8", "surrogatepass"), digest_size=ENDPOINT_ID_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
 def departing_row(name: str, status: EndpointStatus, started_at: Any = None) -> EndpointRow:
-    """The row of an endpoint that drains or is removed, of which no other field counts.
+    """Returns a row for an endpoint that is draining or removed; its other fields are left empty.
 
     Args:
         name: the endpoint's name.
         status: DRAINING or REMOVED.
-        started_at: the start that is meant, as the list has it; may be missing or malformed.
+        started_at: the raw start time of the endpoint process; may be missing or malformed.
     """
     try:
         started_at_ms = _read_number(started_at)
-    except UNREADABLE:
+    except FIELD_ERRORS:
         started_at_ms = inf
     info = EndpointInfo(
         endpoint_id_of(name),
@@ -92,22 +96,23 @@
 
 
 class EndpointListReader:
-    """Reads lists into `EndpointList`.
+    """Parses lists into `EndpointList`.
 
     Args:
-        names: the index of zones; grows by zones that the settings do not name.
+        names: the index of zones; zones that the settings do not name are added to it.
     """
 
     def __init__(self, names: NameIndex) -> None:
         self._names = names
 
     def read(self, raw: Any) -> EndpointList:
-        """Reads a list from its JSON.
+        """Parses a decoded JSON list.
 
-        Of two rows of one endpoint the later start's counts, and leaving goes before staying.
+        If an endpoint has several rows, the one with the latest start is used. Among rows with the same
+        start, draining or removed takes precedence over ready.
 
         Raises:
-            MalformedEndpointListError: where it is no list, or no row of it can be read.
+            MalformedEndpointListError: the JSON has another structure, or all of its rows are malformed.
         """
         raw_rows = _raw_rows(raw)
         rows: dict[str, EndpointRow | None] = {}
@@ -115,18 +120,18 @@
         for position, raw_row in enumerate(raw_rows):
             try:
                 name = _read_name(raw_row)
-            except UNREADABLE:
+            except FIELD_ERRORS:
                 nameless_rows.add(position)
                 continue
             try:
                 row = self._read_row(name, raw_row)
-            except UNREADABLE:
+            except FIELD_ERRORS:
                 rows.setdefault(name, None)
                 continue
             other = rows.get(name)
             rows[name] = row if other is None else max(row, other, key=_precedence)
         if raw_rows and not any(rows.values()):
-            raise MalformedEndpointListError("no row of the list can be read")
+            raise MalformedEndpointListError("all rows of the list are malformed")
         return EndpointList(
             _read_generation(raw.get("generation")), bool(raw.get("reset")), rows, frozenset(nameless_rows)
         )
@@ -151,12 +156,12 @@
 
 def _raw_rows(raw: Any) -> list[Any]:
     if not isinstance(raw, dict):
-        raise MalformedEndpointListError("not an object")
+        raise MalformedEndpointListError("expected a JSON object")
     if "instances" not in raw:
         raise MalformedEndpointListError("instances is missing")
     raw_rows = raw["instances"]
     if not isinstance(raw_rows, list):
-        raise MalformedEndpointListError("instances is no list")
+        raise MalformedEndpointListError("instances: expected an array")
     return raw_rows
 
 
@@ -168,19 +173,19 @@
 def _read_name(raw_row: Any) -> str:
     name = raw_row["instanceId"]
     if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_CHARACTERS:
-        raise ValueError("no id")
+        raise ValueError("instanceId has an invalid length or type")
     return name
 
 
 def _read_address(address: str) -> str:
     if not ADDRESS_PATTERN.fullmatch(address) or int(address.rpartition(":")[2]) > MAX_PORT:
-        raise ValueError("no address")
+        raise ValueError("expected host:port")
     return address
 
 
 def _read_number(value: Any) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value):
-        raise ValueError("not a finite number")
+        raise ValueError("expected a finite number")
     return float(value)
 
 
