--- a/drumgw/gateway/discovery.py
+++ b/drumgw/gateway/discovery.py
@@ -1,16 +1,17 @@
-"""Polls discovery for the endpoint list, and applies what the membership rule lets through.
+"""Polls discovery for the endpoint list, and applies the updates that the membership rule allows.
 
-Discovery is an agent of this gateway's own or, where the settings say so, a service that many gateways share.
+Discovery is an agent that serves this gateway alone or, by a setting, a service that many gateways share.
 
-* An agent is watched: a call waits there for an update, and the next one follows at once. An agent that has
-  been away may answer none of the calls that were out meanwhile. So while it is silent, backup polls are made
-  beside the watch, one after the other. However long the outage was, its updates are known within two poll
-  intervals.
-* A shared service is called by one call at a time. Each call keeps it busy, whether or not its answer is
-  still waited for, so no call is given up before its turn, and after failures the gateway backs off.
+* An agent is watched by long polling: a call waits at the agent for an update, and the next call follows at
+  once. After an outage an agent may never answer the calls that were in progress during it. While the agent
+  is silent, the gateway therefore makes backup polls in parallel to the watch, one at a time. Regardless of
+  the length of the outage, updates are received within two poll intervals after its end.
+* A shared service gets one call at a time. Each call occupies the service even if the gateway no longer waits
+  for the answer. So time limits leave room for queueing, and the gateway backs off after failures.
 
-A response is applied in the very turn of the event loop in which its bytes are read, and unread bytes are
-looked for before each attempt: no request is forwarded by a list that this machine knows to be out of date.
+A response is applied in the same iteration of the event loop in which its bytes are read, and unread bytes
+are read before each attempt. No request is forwarded by an older list than the last one that has reached this
+host.
 """
 
 from __future__ import annotations
@@ -45,61 +46,62 @@
 
 LIST_PATH = "/registry/instances"
 STATUS_OK = 200
-STATUSES_OVERLOADED = (429, 503)
+OVERLOAD_STATUSES = (429, 503)
 
-# The connections
+# Connections to discovery
 MAX_CONNECTIONS = 2
-"""The watch's, and one for backup polls."""
+"""One for the watch and one for backup polls."""
 KEEP_ALIVE_MS = 5000.0
 CONNECT_TIMEOUT_MS = 1000.0
 MAX_LIST_BYTES = 4 * 1024 * 1024
-"""A list of thousands of endpoints."""
+"""Enough for a list of thousands of endpoints."""
 
-# An agent of this gateway's own
+# An agent that serves this gateway alone
 POLL_INTERVAL_PER_DRAIN_GRACE = 0.25
-"""An update is known after two poll intervals at most: half of the drain grace."""
+"""An update is received within two poll intervals, which are half of the drain grace."""
 MAX_POLL_INTERVAL_MS = 150.0
 SOCKET_ALLOWANCE_MS = 50.0
-"""By which each time limit is longer on sockets (protocol)."""
+"""The protocol extends each time limit by this much for gateways on sockets."""
 WATCH_TIMEOUT_MS = 2000.0
-"""A slow agent may take so long to answer a watch whose wait is over (protocol)."""
+"""A slow agent may answer a watch this long after the wait has ended (protocol)."""
 WATCH_MIN_INTERVAL_MS = 50.0
-"""Between the starts of two watch calls; the protocol lets a watch pause for 200 ms."""
+"""Between the starts of two watch calls. The protocol allows a watch to pause for 200 ms."""
 MAX_UNREAD_MS = 50.0
-"""No attempt starts while an update may have lain unread for longer than this."""
-LOST_AFTER_MS = 1000.0
-"""A watch that times out is worth a line in the log after so long a silence."""
+"""An attempt that starts this long after the last read reads pending updates first."""
+TIMEOUT_LOG_DELAY_MS = 1000.0
+"""Time-outs of a call are logged only once discovery has been silent for this long."""
 
-# A shared service. All gateways have to know of an update within 6 s. So a call that is not answered is given
-# up, and the next one answered, within that time.
+# A shared service. All gateways must receive an update within 6 s. A call that is not answered must time out,
+# and the next one must be answered, within that time.
 SHARED_WATCH_WAIT_MS = 3500.0
-"""How long a call may wait there for an update."""
+"""How long a call may wait at the service for an update."""
 SHARED_WATCH_TIMEOUT_MS = 5000.0
 """For a call that follows an answered one."""
 SHARED_FIRST_TIMEOUT_MS = 5500.0
-"""For a call that may have to queue behind those of many other gateways."""
+"""For a call that may be queued behind those of many other gateways."""
 SHARED_MIN_INTERVAL_MS = 150.0
 """Between the starts of two calls."""
 
 
 BACKOFF_BY_OUTCOME = {
-    # The queue of a service that rejects is longer than a call waits, and each call lengthens it, whether
-    # answered or not: delays grow beyond the time in which it can serve every gateway once (8 s at most).
+    # A service that rejects calls has a longer queue than a call can wait for, and each further call adds to
+    # it, whether answered or not. Delays must exceed the time in which it can serve every gateway once, which
+    # is up to 8 s.
     PollOutcome.REJECTED: Backoff(initial_ms=4000.0, max_ms=16000.0),
     PollOutcome.FAILED: Backoff(initial_ms=250.0, max_ms=2000.0),
 }
 
 
 class DiscoveryClient:
-    """Keeps the endpoint list up to date.
+    """Keeps the gateway's endpoint list up to date.
 
     Args:
-        config: says where discovery is, and of which kind.
-        dispatcher: receives the list.
-        endpoint_clients: receive addresses and departures.
+        config: has the address and the kind of discovery.
+        dispatcher: passes updates of the list to the policy engine.
+        endpoint_clients: are told the endpoints' addresses, drains and removals.
 
     Raises:
-        ConfigError: where the configuration's list of known endpoints cannot be read.
+        ConfigError: the configured list of known endpoints is malformed.
     """
 
     def __init__(
@@ -108,7 +110,7 @@
         self.clock = dispatcher.clock
         self.membership = Membership()
         self.has_endpoints = asyncio.Event()
-        """Set once there is a list: the agent answered, or the known list is used."""
+        """Set once the gateway has a list, from discovery or from the configuration."""
         self.tasks: list[asyncio.Task[None]] = []
         self._config = config
         self._dispatcher = dispatcher
@@ -118,14 +120,14 @@
         try:
             known = self._reader.read(config.known_endpoints)
         except MalformedEndpointListError as error:
-            raise ConfigError(f"known cannot be read: {error}") from error
+            raise ConfigError(f"known: malformed endpoint list: {error}") from error
         if config.shared_discovery:
-            self.membership.build_on_known_list(known)
+            self.membership.start_from_known(known)
         self._pool = ConnectionPool(
             MAX_CONNECTIONS, KEEP_ALIVE_MS, CONNECT_TIMEOUT_MS, dispatcher.clock, MAX_LIST_BYTES
         )
-        self._poll_tasks: set[asyncio.Task[None]] = set()  # emptied as they end
-        self._poll_epoch = 0  # grows with each answer and move; earlier calls' responses are ignored
+        self._poll_tasks: set[asyncio.Task[None]] = set()  # calls in progress
+        self._poll_epoch = 0  # incremented by each answer and change of address; see Poll.epoch
         self.poll_interval_ms = _poll_interval_ms(config)
         self._watch_wait_ms = config.watch_timeout_ms or self.poll_interval_ms
         now = self.clock.now()
@@ -137,11 +139,11 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether discovery answers."""
+        """Whether discovery answers; True until a failure has been logged."""
         return self._log.is_connected
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Goes on at this address at once. Calls to the old one are given up: it may keep them for ever."""
+        """Switches to a new address at once. Calls to the old one are abandoned: it may never answer them."""
         host, port = address
         self._address = f"{host}:{port}"
         self._peer = self._pool.peer(self._address)
@@ -149,12 +151,12 @@
         self._abandon_polls(answered=None)
 
     async def start(self, max_wait_s: float | None) -> None:
-        """Starts to poll, and returns once there is a list or, without one, after `max_wait_s` seconds.
+        """Starts polling, and returns once there is a list, or after `max_wait_s` seconds without one.
 
-        The policy engine knows no endpoint then, and rejects all requests at once.
+        Without a list the policy engine has no endpoints, and rejects all requests at once.
 
         Args:
-            max_wait_s: None to wait for as long as it takes.
+            max_wait_s: None to wait without a limit.
         """
         self.last_answer_ms = self.clock.now()
         self.next_backup_poll_ms = self.last_answer_ms + self.poll_interval_ms
@@ -162,29 +164,30 @@
             polling = [self.watch_shared_service()]
         else:
             polling = [self._watch_agent(), self._poll_while_silent()]
-        self.tasks = [asyncio.create_task(work) for work in (*polling, self._use_known_list_later())]
+        self.tasks = [asyncio.create_task(work) for work in (*polling, self._use_known_list_if_silent())]
         try:
             async with asyncio.timeout(max_wait_s):
                 await self.has_endpoints.wait()
         except TimeoutError:
             assert max_wait_s is not None
-            self._log.silent_at_start(max_wait_s, "all requests are rejected until it answers")
+            self._log.log_silence_at_start(max_wait_s, "all requests are rejected until it answers")
 
     async def close(self) -> None:
-        """Stops to poll, and closes the connections."""
+        """Stops polling and closes the connections."""
         for task in (*self.tasks, *self._poll_tasks):
             task.cancel()
         await self._pool.close()
 
-    async def _use_known_list_later(self) -> None:
+    async def _use_known_list_if_silent(self) -> None:
+        """Falls back to the configured list if discovery has not answered within KNOWN_LIST_AFTER_MS."""
         await asyncio.sleep(KNOWN_LIST_AFTER_MS / 1000)
         if not self.has_endpoints.is_set():
-            self._log.silent_at_start(KNOWN_LIST_AFTER_MS / 1000, "the known endpoint list is used")
-            known = self._reader.read(self._config.known_endpoints)  # it was checked at the start
+            self._log.log_silence_at_start(KNOWN_LIST_AFTER_MS / 1000, "the known endpoint list is used")
+            known = self._reader.read(self._config.known_endpoints)  # valid: the constructor has read it
             self._apply(self.membership.use_known(known), "known endpoint list")
             self.has_endpoints.set()
 
-    # When to poll
+    # Polling loops
 
     async def _watch_agent(self) -> None:
         min_interval_ms = min(WATCH_MIN_INTERVAL_MS, self.poll_interval_ms)
@@ -192,9 +195,10 @@
             await self.poll(PollTimes(self._watch_wait_ms, WATCH_TIMEOUT_MS, min_interval_ms))
 
     async def _poll_while_silent(self) -> None:
-        """Makes backup polls, beside the watch, while the agent is silent.
+        """Makes backup polls, in parallel to the watch, while the agent is silent.
 
-        Guards drains: an agent that comes back may never answer a call that was out, but it does a new one.
+        After an outage an agent may never answer the watch that was in progress, but it answers new calls.
+        Without backup polls, drains would become known only after the watch has timed out.
         """
         interval_ms = self.poll_interval_ms
         while True:
@@ -205,12 +209,12 @@
                 await self.poll(PollTimes(interval_ms / 2, interval_ms, interval_ms))
 
     async def watch_shared_service(self) -> None:
-        """Watches a service that many gateways share, and backs off when it rejects calls or fails."""
+        """Polls a shared discovery service, and backs off while it rejects calls or fails. Never returns."""
         outcome = await self.poll(PollTimes(0.0, SHARED_FIRST_TIMEOUT_MS, 0.0))
         failures = 0
         while True:
-            is_queued = outcome is not PollOutcome.ANSWERED
-            timeout_ms = SHARED_FIRST_TIMEOUT_MS if is_queued else SHARED_WATCH_TIMEOUT_MS
+            may_be_queued = outcome is not PollOutcome.ANSWERED
+            timeout_ms = SHARED_FIRST_TIMEOUT_MS if may_be_queued else SHARED_WATCH_TIMEOUT_MS
             outcome = await self.poll(PollTimes(SHARED_WATCH_WAIT_MS, timeout_ms, SHARED_MIN_INTERVAL_MS))
             backoff = BACKOFF_BY_OUTCOME.get(outcome)
             if backoff is None:
@@ -219,10 +223,14 @@
                 await asyncio.sleep(backoff.delay_ms(failures, self._jitter) / 1000)
                 failures += 1
 
-    # One call
+    # A single call
 
     async def poll(self, times: PollTimes) -> PollOutcome:
-        """Makes one call. It is abandoned when another call is answered, or discovery moves."""
+        """Makes one call, and returns once `times.min_interval_ms` have passed since its start.
+
+        The call is abandoned when another call is answered or the address of discovery changes; then it
+        returns at once.
+        """
         next_ms = self.clock.now() + times.min_interval_ms
         task = asyncio.create_task(self._exchange(times.wait_ms, times.timeout_ms))
         self._poll_tasks.add(task)
@@ -235,7 +243,7 @@
             return PollOutcome.ABANDONED
         error = task.exception()
         if error is not None:
-            self._poll_failed(error)
+            self._log_failure(error)
         await asyncio.sleep(max(0.0, next_ms - self.clock.now()) / 1000)
         if error is None:
             return PollOutcome.ANSWERED
@@ -252,7 +260,7 @@
         poll = Poll(
             task=asyncio.current_task(),
             epoch=self._poll_epoch,
-            asks_for_complete_list=since is None,
+            requests_complete_list=since is None,
             sent_at_ms=self.clock.now(),
             finished=self._dispatcher.loop.create_future(),
         )
@@ -262,7 +270,7 @@
             connection.send_request(self._request(since, wait_ms))
             await asyncio.wait((poll.finished,), timeout=(deadline_ms - self.clock.now()) / 1000)
             if not poll.finished.done():
-                connection.read_pending()  # after a stall of this process the response may lie unread
+                connection.read_pending()  # after a stall of this process the response may still be unread
             if not poll.finished.done():
                 raise TimeoutError
             poll.finished.result()
@@ -277,26 +285,26 @@
         return f"GET {LIST_PATH}{query} HTTP/1.1\r\nHost: {self._address}\r\n\r\n".encode()
 
     def _abandon_polls(self, answered: asyncio.Task[None] | None) -> None:
-        """Gives up all calls but the answered one: what they may still bring is older, or from elsewhere."""
+        """Cancels all calls but the answered one: their responses would be older, or from the old address."""
         self._poll_epoch += 1
         for task in self._poll_tasks:
             if task is not answered:
                 task.cancel()
 
-    def _poll_failed(self, error: BaseException) -> None:
-        """Logs it, unless it is but a watch that ended without an update."""
+    def _log_failure(self, error: BaseException) -> None:
+        """Logs a failed call, except for a time-out shortly after an answer."""
         silent_ms = self.clock.now() - self.last_answer_ms
-        if isinstance(error, TimeoutError) and silent_ms < LOST_AFTER_MS:
+        if isinstance(error, TimeoutError) and silent_ms < TIMEOUT_LOG_DELAY_MS:
             return
-        self._log.lost(error, self.has_endpoints.is_set())
+        self._log.log_failure(error, self.has_endpoints.is_set())
 
-    # What a call brings
+    # Responses
 
     def read_pending_updates(self) -> None:
-        """Reads responses that lie unread. Called before each attempt's first byte is written.
+        """Reads unread responses from the sockets. Called before the first byte of each attempt is written.
 
-        Guards drains when the event loop is crowded, or has just come out of a stall: without this an attempt
-        would be started by an older list than the one that lies in the socket.
+        When the event loop is busy or has just come out of a stall, an update with a drain may still be in
+        the socket's buffer, and the attempt would be sent to the draining endpoint.
         """
         now = self.clock.now()
         if now - self._last_read_ms >= MAX_UNREAD_MS:
@@ -311,7 +319,7 @@
         self._last_read_ms = now
         try:
             change = self._update_membership(now, poll, response)
-        except Exception as error:  # no list, whatever is wrong with it: the last one stays in use
+        except Exception as error:  # not a valid list for whatever reason: the last one stays in use
             poll.fail(error)
             return
         silent_ms = now - self.last_answer_ms
@@ -319,29 +327,30 @@
         self.next_backup_poll_ms = now + self._watch_wait_ms + self.poll_interval_ms
         self._abandon_polls(answered=poll.task)
         origin = (
-            f"endpoint list {self.membership.generation}, polled {now - poll.sent_at_ms:.0f} ms ago, "
-            f"discovery silent for {silent_ms:.0f} ms before"
+            f"endpoint list {self.membership.generation}, requested {now - poll.sent_at_ms:.0f} ms ago, "
+            f"{silent_ms:.0f} ms after the previous answer"
         )
         self._apply(change, origin)
-        self._log.answered()
+        self._log.log_answer()
         self.has_endpoints.set()
         if not poll.finished.done():
             poll.finished.set_result(None)
 
     def _update_membership(self, now: float, poll: Poll, response: RawResponse) -> MembershipChange:
         status = response.message.code
-        if status in STATUSES_OVERLOADED:
-            raise DiscoveryOverloadedError(f"discovery answers {status}")
+        if status in OVERLOAD_STATUSES:
+            raise DiscoveryOverloadedError(f"discovery is overloaded: it answered with status {status}")
         if status != STATUS_OK:
-            raise DiscoveryError(f"discovery answers {status}")
+            raise DiscoveryError(f"discovery answered with status {status}")
         endpoint_list = self._reader.read(json.loads(response.body))
-        return self.membership.update(now, endpoint_list, poll.asks_for_complete_list)
+        return self.membership.update(now, endpoint_list, poll.requests_complete_list)
 
     def _apply(self, change: MembershipChange, origin: str) -> None:
-        """Passes a change on.
+        """Passes changes to the policy engine and to the endpoint clients.
 
-        The policy engine is first. As an endpoint drains, its client gives back what was not written yet, and
-        the engine must not forward that to another endpoint that drains by the same list.
+        The policy engine must learn of a drain before the endpoint's client does. The client returns attempts
+        that were not written yet, and the engine must not forward their requests to another endpoint that
+        drains by the same list.
         """
         for row in change.ready:
             self._endpoint_clients.set_address(row.info.endpoint_id, row.address, row.info.started_at_ms)
@@ -351,14 +360,15 @@
             for name in change.changes_by_status.get(status, ()):
                 is_removed = status is EndpointStatus.REMOVED
                 self._endpoint_clients.drain(endpoint_id_of(name), gone=is_removed)
-        self._log.changed(change, origin, self.membership.is_behind)
+        self._log.log_change(change, origin, self.membership.is_behind)
 
 
 def _poll_interval_ms(config: GatewayConfig) -> float:
-    """Within how long an agent that comes back after an outage is polled.
+    """Returns the interval of backup polls, which is the time until an agent is polled after an outage.
 
-    Two intervals pass at most until its updates are known, so the interval is a part of the drain grace. A
-    service that is one of many in its process polls no faster than it has to: one event loop bears them all.
+    Updates are received within two intervals, so the interval is a fraction of the drain grace. A gateway
+    service that shares its process with others has a watch time-out configured, and uses the longest
+    interval, as all of them run in one event loop.
     """
     if config.watch_timeout_ms:
         return MAX_POLL_INTERVAL_MS
--- a/drumgw/gateway/discovery_log.py
+++ b/drumgw/gateway/discovery_log.py
@@ -1,4 +1,4 @@
-"""What the log says of discovery: each change of the endpoint list, and each change of mode, once."""
+"""Log lines about discovery. Each change of the endpoint list and of discovery's state is logged once."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class DiscoveryLog:
-    """Writes one line for each change.
+    """Logs changes only: a state that persists is not logged again.
 
     Args:
-        prefix: stands before each line.
+        prefix: put before each line; may be empty.
     """
 
     def __init__(self, prefix: str) -> None:
         self.is_connected = True
-        """Whether the log last said that discovery answers."""
+        """Whether discovery answers, as last logged."""
         self._prefix = prefix
         self._unreadable_count = 0
         self._is_behind = False
 
-    def changed(self, change: MembershipChange, origin: str, is_behind: bool) -> None:
-        """The endpoint list has changed.
+    def log_change(self, change: MembershipChange, origin: str, is_behind: bool) -> None:
+        """Logs changes of the endpoint list, of its unreadable rows, and of the agent's lag.
 
         Args:
-            change: what has changed.
-            origin: which list this is, and how it came.
-            is_behind: whether the agent's list is older than what is known.
+            change: the changes.
+            origin: which list they come from, and how it was received.
+            is_behind: whether the agent's list is older than the gateway's.
         """
         for status, names in change.changes_by_status.items():
             endpoints = ", ".join(f"{endpoint_id_of(name)} ({name})" for name in names)
@@ -36,47 +36,49 @@
         if change.unreadable_count != self._unreadable_count:
             self._unreadable_count = change.unreadable_count
             logger.warning(
-                "{}{} rows of the endpoint list cannot be read; those endpoints stay as they were",
+                "{}{} rows of the endpoint list are malformed; their endpoints keep their last state",
                 self._prefix,
                 change.unreadable_count,
             )
         if is_behind is not self._is_behind:
             self._is_behind = is_behind
             relation = (
-                "older than the known one: only departures are applied" if is_behind else "in sync again"
+                "older than the last one applied: only removals, drains and restarts are applied"
+                if is_behind
+                else "up to date again"
             )
             logger.warning("{}the agent's endpoint list is {}", self._prefix, relation)
 
-    def answered(self) -> None:
-        """Discovery has answered."""
+    def log_answer(self) -> None:
+        """Logs that discovery answers again, if a failure was logged before."""
         if not self.is_connected:
             self.is_connected = True
             logger.info("{}discovery answers again", self._prefix)
 
-    def lost(self, error: BaseException, has_endpoints: bool) -> None:
-        """Discovery cannot be reached, or does not answer.
+    def log_failure(self, error: BaseException, has_endpoints: bool) -> None:
+        """Logs that discovery cannot be reached or does not answer, unless the last call failed too.
 
         Args:
-            error: what shows it.
-            has_endpoints: whether there is an endpoint list to go on with.
+            error: the error of the call.
+            has_endpoints: whether the gateway has an endpoint list to keep using.
         """
         if not self.is_connected:
             return
         self.is_connected = False
         logger.warning(
-            "{}discovery lost: {}; {}",
+            "{}discovery unavailable: {}; {}",
             self._prefix,
             str(error) or type(error).__name__,
-            "the last endpoint list stays in use" if has_endpoints else "nothing is forwarded yet",
+            "the last endpoint list stays in use" if has_endpoints else "no requests are forwarded yet",
         )
 
-    def silent_at_start(self, silent_s: float, consequence: str) -> None:
-        """Discovery has not answered since the start.
+    def log_silence_at_start(self, silent_s: float, consequence: str) -> None:
+        """Logs that discovery has not answered since the gateway started.
 
         Args:
-            silent_s: for how long, in seconds.
-            consequence: what the gateway does about it.
+            silent_s: time since the start, in seconds.
+            consequence: what the gateway does meanwhile.
         """
         logger.warning(
-            "{}discovery was silent for {:.0f} s from the start: {}", self._prefix, silent_s, consequence
+            "{}discovery did not answer within {:.0f} s of the start: {}", self._prefix, silent_s, consequence
         )
--- a/drumgw/gateway/discovery_poll.py
+++ b/drumgw/gateway/discovery_poll.py
@@ -1,4 +1,4 @@
-"""One call to discovery: its times, its state while it is under way, and how it ends."""
+"""A call to discovery: its time limits, its state while in progress, and its outcomes."""
 
 from __future__ import annotations
 
@@ -9,46 +9,48 @@
 
 
 class PollOutcome(Enum):
-    """How a call to discovery ended."""
+    """How a call to discovery ended; the value describes it."""
 
     ANSWERED = "answered"
-    REJECTED = "rejected: the service has too many calls"
+    REJECTED = "rejected: discovery is overloaded"
     FAILED = "failed"
-    ABANDONED = "abandoned: discovery moved, or another call was answered"
+    ABANDONED = "abandoned: the address of discovery changed, or another call was answered"
 
 
 class DiscoveryError(ValueError):
-    """Discovery answered, but not with a list."""
+    """Discovery answered with something other than an endpoint list."""
 
 
 class DiscoveryOverloadedError(DiscoveryError):
-    """Discovery has too many calls."""
+    """Discovery rejected the call because it is overloaded."""
 
 
 class PollTimes(NamedTuple):
-    """The times of one call, in milliseconds."""
+    """The time limits of one call, in milliseconds."""
 
     wait_ms: float
     """How long discovery may wait for an update before it answers."""
     timeout_ms: float
-    """When the call is given up."""
+    """How long the gateway waits for the answer, including the time to connect."""
     min_interval_ms: float
-    """The next call starts no earlier than this after this one's start."""
+    """Minimum time between the start of this call and the start of the next."""
 
 
 @dataclass(slots=True, eq=False)
 class Poll:
-    """A call to discovery whose request has been sent."""
+    """A call to discovery in progress, from the time at which its connection is open."""
 
     task: asyncio.Task[None] | None
     epoch: int
-    """Its response counts only while no other call was answered, and discovery has not moved."""
-    asks_for_complete_list: bool
-    """Whether it asks for the complete list."""
+    """The client's epoch at the start of the call. The response is ignored if the epoch has changed since:
+    then another call was answered, or the address of discovery changed."""
+    requests_complete_list: bool
+    """False if it requests the changes since a generation."""
     sent_at_ms: float
     finished: asyncio.Future[None]
+    """Done once the response has been applied; holds the error of a failed call."""
 
     def fail(self, error: BaseException) -> None:
-        """Ends the call without a list."""
+        """Fails the call, unless it has finished."""
         if not self.finished.done():
             self.finished.set_exception(error)
--- a/drumgw/gateway/membership.py
+++ b/drumgw/gateway/membership.py
@@ -1,19 +1,21 @@
-"""The endpoint list, and the rule by which updates of it are applied. No I/O, no clock.
-
-Discovery's agent sends the list, complete or as changes, each time with a generation number. An update may
-come late, out of order, or from an agent that was restarted or replaced. What must never happen is that a
-request is forwarded to an endpoint which, by what the agent has, is draining or removed. The rule:
-
-1. Start. What the agent has counts as known to this gateway from the process's first moment, so the list in
-   the configuration is out of date: nothing is forwarded before the agent has answered. Clients are not
-   accepted before that either, for MAX_START_WAIT_MS at most; then the gateway is ready all the same, and
-   rejects all requests with a Retry-After. Only where the agent is silent for KNOWN_LIST_AFTER_MS does the
-   configured list stand in, until the agent answers.
-2. Order. Updates are applied in the order of their generations. An older one undoes nothing: of it only
-   departures (also of endpoints that a complete list does not name) and later starts of known endpoints are
-   applied. An agent that stays behind for RENUMBERED_AFTER_MS has begun its numbering anew.
-3. Rows that cannot be read change nothing (`endpoint_list_reader.py`).
-4. Silence. The last list stays valid. After a reload of the configuration this goes on with the new agent.
+"""The endpoint list, and the rule by which updates are applied to it. Does no I/O and reads no clock.
+
+The discovery agent sends the list, complete or as changes, with a generation number. An update may be late,
+out of order, or sent by an agent that was restarted or replaced. The rule ensures that no request is
+forwarded to an endpoint that is draining or removed according to the agent:
+
+1. Start. What the agent has counts as known to the gateway from the start of the process, so the configured
+   list must be taken as out of date. Nothing is forwarded before the agent has answered, and no clients are
+   accepted. After MAX_START_WAIT_MS without an answer the gateway becomes ready nevertheless, and rejects all
+   requests with Retry-After. Only after KNOWN_LIST_AFTER_MS without an answer is the configured list used,
+   until the agent answers.
+2. Order. Updates are applied in the order of their generations. From an older update, only departures (drains
+   and removals, including endpoints that a complete list omits) and later starts of known endpoints are
+   applied; anything else could revert a newer update. If the agent stays behind for RENUMBERED_AFTER_MS, it
+   has restarted its numbering.
+3. Malformed rows change nothing (`endpoint_list_reader.py`).
+4. Outages. The last list stays in use while the agent is silent, and also when a reload of the configuration
+   switches to another agent.
 5. Before each attempt, unread updates are read (`DiscoveryClient.read_pending_updates`).
 """
 
@@ -27,96 +29,95 @@
 from drumgw.model.events import EndpointStatus, EndpointsUpdated
 
 MAX_START_WAIT_MS = 4000.0
-"""Restarted gateways have to be ready within 6 s; a third of that is left for the start itself."""
+"""A restarted gateway must be ready within 6 s, of which a third is left for the start of the process."""
 KNOWN_LIST_AFTER_MS = 20000.0
 """Longer than any known outage of discovery."""
 RENUMBERED_AFTER_MS = 6000.0
-"""By then whatever discovery has to say counts as known (protocol)."""
+"""The protocol counts any information of discovery as known after this time."""
 
 
 class MembershipState(Enum):
-    """How the agent's list compares with the one that is known here."""
+    """How the agent's last list compares with the gateway's."""
 
     WAITING = "waiting for the agent"
     """The agent has not answered yet."""
     IN_SYNC = "in sync"
-    """Its last list was not older than what is known."""
+    """The agent's last list was not older than the gateway's."""
     BEHIND = "the agent is behind"
-    """Its last list was older."""
+    """The agent's last list was older than the gateway's."""
 
 
 class UpdateKind(Enum):
-    """What an update is, beside what is known."""
+    """How an update compares with the gateway's list."""
 
     CURRENT = auto()
-    """Not older, and nothing lies between it and what is known."""
+    """Not older, and no changes between the gateway's list and the update are missing."""
     CHANGES_AFTER_GAP = auto()
-    """Not older, but changes only, after the agent was behind: there may be changes that it left out."""
+    """Not older, but it has changes only, and the agent was behind before: earlier changes may be missing."""
     OLDER = auto()
     RENUMBERED = auto()
-    """Complete, and older for so long that the numbering must have begun anew."""
+    """Complete and older, and the agent has been behind for so long that it must have restarted numbering."""
 
 
 class MembershipChange(NamedTuple):
-    """What an update changes."""
+    """The effect of an update."""
 
     update: EndpointsUpdated
-    """For the policy engine."""
+    """The event for the policy engine."""
     ready: tuple[EndpointRow, ...]
-    """Endpoints that are new, or have a new start or address."""
+    """Changed rows of ready endpoints: they are new, or their start, address or other fields changed."""
     changes_by_status: dict[EndpointStatus, list[str]]
     """Names of the endpoints whose status or start has changed, by their new status."""
     unreadable_count: int
-    """Rows that could not be read."""
+    """See `EndpointList.unreadable_count`."""
 
 
 class Membership:
-    """The endpoint list, as far as its updates may be applied."""
+    """The gateway's endpoint list, and its state relative to the agent's list."""
 
     def __init__(self) -> None:
         self.state = MembershipState.WAITING
         self.since: int | None = None
-        """The generation to poll for changes since; None to poll for the complete list."""
+        """The next call requests the changes since this generation; None to request the complete list."""
         self.generation: int | None = None
-        """Of the last list applied in sync; None where it had none, or there was none."""
+        """Generation of the last list applied in sync; None if it had none, or no list was applied yet."""
         self.behind_since_ms = 0.0
-        """When the agent fell behind; means nothing in other states."""
+        """When the agent fell behind; undefined unless the state is BEHIND."""
         self.rows: dict[str, EndpointRow] = {}
-        """Endpoints on the list, by name."""
-        self._base: EndpointList | None = None  # what the first changes build on; dropped with them
+        """By endpoint name."""
+        self._base: EndpointList | None = None  # merged with the first update if that has changes only
 
     @property
     def is_behind(self) -> bool:
-        """Whether the agent's list is older than what is known."""
+        """Whether the agent's last list was older than the gateway's."""
         return self.state is MembershipState.BEHIND
 
-    def build_on_known_list(self, known: EndpointList) -> None:
-        """Asks first for the changes since a known list, which is not used before they have come.
+    def start_from_known(self, known: EndpointList) -> None:
+        """Makes the first call request the changes since a known list, instead of the complete list.
 
-        That costs a shared discovery service less than a complete list.
+        This costs a shared discovery service less. The known list itself is not used until the changes have
+        been received.
         """
         if known.generation is None:
             return
         self.since = known.generation
-        if known.rows:  # changes of an empty list need no base
+        if known.rows:  # changes since an empty list are complete by themselves
             self._base = known
 
     def use_known(self, known: EndpointList) -> MembershipChange:
-        """Uses a known list while the agent is silent. The agent's first list replaces it."""
+        """Applies a known list while the agent is silent. The agent's first list replaces it."""
         return self._apply_all(known._replace(is_complete=True))
 
-    def update(
-        self, now: float, endpoint_list: EndpointList, is_reply_to_complete_poll: bool
-    ) -> MembershipChange:
-        """Applies a list of the agent's, as far as the rule lets it.
+    def update(self, now: float, endpoint_list: EndpointList, requested_complete: bool) -> MembershipChange:
+        """Applies a list from the agent, as far as the rule allows.
 
         Args:
             now: the current time.
-            endpoint_list: what the agent sent.
-            is_reply_to_complete_poll: whether the complete list was polled for; the answer is complete then,
-                whatever it says of itself.
+            endpoint_list: the list that the agent sent.
+            requested_complete: whether the complete list was requested; the answer then counts as complete
+                even if it is not marked so.
         """
-        update = endpoint_list._replace(is_complete=endpoint_list.is_complete or is_reply_to_complete_poll)
+        update = endpoint_list._replace(is_complete=endpoint_list.is_complete or requested_complete)
         if self.state is MembershipState.WAITING and self._base is not None and not update.is_complete:
             update = _merge(self._base, update)
         self._base = None
@@ -147,10 +148,11 @@
         return self.is_behind and now - self.behind_since_ms >= RENUMBERED_AFTER_MS
 
     def _next_since(self, now: float, update: EndpointList) -> int | None:
-        """Which generation the next call asks from, or None for the complete list.
+        """Returns the generation for the next call's `since`, or None to request the complete list.
 
-        Changes since a generation that the agent never had say nothing. Once it is no longer behind, what it
-        left out meanwhile is found in its complete list only.
+        The complete list is needed if the agent never had the generation that changes were requested since,
+        as the changes are meaningless then. It is also needed once the agent is no longer behind, as its
+        changes may omit those of the time when it was behind.
         """
         generation = update.generation
         if update.is_complete or generation is None:
@@ -159,23 +161,24 @@
         was_behind = self.is_behind and (not self._is_older(update) or self._is_renumbered(now))
         return None if never_had_it or was_behind else generation
 
-    # How a list is applied
+    # Effects of updates
 
     def _apply_all(self, update: EndpointList) -> MembershipChange:
-        """Applies the list as it is. An endpoint whose row cannot be read stays what it was."""
+        """Applies all rows of the list. Endpoints with malformed rows keep their state."""
         changed = {
             name: row for name, row in update.rows.items() if row is not None and self.rows.get(name) != row
         }
-        return self._change(update, changed | self._unnamed(update), update.is_complete)
+        return self._change(update, changed | self._removals_by_omission(update), update.is_complete)
 
     def _apply_departures(self, update: EndpointList) -> MembershipChange:
-        """Applies of an older list only who leaves, and later starts of known endpoints.
+        """Applies only the departures of an older list, and later starts of known endpoints.
 
-        Guards drains after a reload of the configuration: the new agent's numbering may be lower, and its
-        drains count long before RENUMBERED_AFTER_MS. An endpoint that joined meanwhile, and is removed here
-        because the older list does not name it, comes back with the next newer list.
+        Ignoring older lists would miss drains after a reload of the configuration: the new agent's numbering
+        may be lower, and its drains count as known long before RENUMBERED_AFTER_MS. An endpoint that was
+        added after the older list, and is removed here because that list omits it, is added again by the next
+        newer list.
         """
-        changed = self._unnamed(update)
+        changed = self._removals_by_omission(update)
         for name, row in update.rows.items():
             known = self.rows.get(name)
             if row is None or known is None or known == row:
@@ -185,8 +188,8 @@
                 changed[name] = row
         return self._change(update, changed, is_complete=False)
 
-    def _unnamed(self, update: EndpointList) -> dict[str, EndpointRow]:
-        """Rows for the endpoints that a complete list does not name: that, too, says that they leave."""
+    def _removals_by_omission(self, update: EndpointList) -> dict[str, EndpointRow]:
+        """Returns rows with status REMOVED for the endpoints that a complete list omits."""
         if not update.is_complete:
             return {}
         missing = self.rows.keys() - update.rows.keys()
@@ -198,7 +201,7 @@
         changes_by_status: dict[EndpointStatus, list[str]] = {}
         for name, row in changed.items():
             status = row.info.status
-            if _is_notable(self.rows.get(name), row):
+            if _changes_status(self.rows.get(name), row):
                 changes_by_status.setdefault(status, []).append(name)
             if status is EndpointStatus.REMOVED:
                 self.rows.pop(name, None)
@@ -214,7 +217,7 @@
 
 
 def _merge(base: EndpointList, changes: EndpointList) -> EndpointList:
-    """The complete list that changes make of the one that they build on."""
+    """Applies changes to the list that they are based on, and returns the resulting complete list."""
     return EndpointList(
         changes.generation,
         is_complete=True,
@@ -223,21 +226,21 @@
     )
 
 
-def _is_notable(known: EndpointRow | None, row: EndpointRow) -> bool:
-    """Whether it is worth a line in the log: another status than before, or another start."""
+def _changes_status(known: EndpointRow | None, row: EndpointRow) -> bool:
+    """Whether a row has another status or start than the known one, which makes it worth a log line."""
     if known is None:
         return row.info.status is not EndpointStatus.REMOVED
     return known.info.status is not row.info.status or row.info.started_at_ms != known.info.started_at_ms
 
 
-Effect = Callable[[Membership, EndpointList], MembershipChange]
+ApplyUpdate = Callable[[Membership, EndpointList], MembershipChange]
 
-TRANSITIONS: dict[tuple[MembershipState, UpdateKind], tuple[MembershipState, Effect]] = {
+TRANSITIONS: dict[tuple[MembershipState, UpdateKind], tuple[MembershipState, ApplyUpdate]] = {
     (MembershipState.WAITING, UpdateKind.CURRENT): (MembershipState.IN_SYNC, Membership._apply_all),
     (MembershipState.IN_SYNC, UpdateKind.CURRENT): (MembershipState.IN_SYNC, Membership._apply_all),
     (MembershipState.IN_SYNC, UpdateKind.OLDER): (MembershipState.BEHIND, Membership._apply_departures),
     (MembershipState.BEHIND, UpdateKind.OLDER): (MembershipState.BEHIND, Membership._apply_departures),
-    # The complete list is polled for next; it ends the state.
+    # The next call requests the complete list, which brings the state back to IN_SYNC.
     (MembershipState.BEHIND, UpdateKind.CHANGES_AFTER_GAP): (
         MembershipState.BEHIND,
         Membership._apply_departures,
@@ -245,4 +248,4 @@
     (MembershipState.BEHIND, UpdateKind.CURRENT): (MembershipState.IN_SYNC, Membership._apply_all),
     (MembershipState.BEHIND, UpdateKind.RENUMBERED): (MembershipState.IN_SYNC, Membership._apply_all),
 }
-"""The next state, and how the update is applied, for each update that can come in a state."""
+"""The next state and the method that applies the update, for each kind of update possible in a state."""
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -317,7 +317,7 @@
             gateway = await self.start_gateway([])
             await self.wait_until_open()
             await self.wait_for_calls("since=8&")
-        lost = [call for call in log.warning.call_args_list if "discovery lost" in call[0][0]]
+        lost = [call for call in log.warning.call_args_list if "discovery unavailable" in call[0][0]]
         self.assertEqual((broken, self.statuses()), ([], {"s-0": "ready", "s-1": "ready"}))
         self.assertEqual(len(lost), 1)
         self.assertEqual(len(gateway.endpoint_clients.clients), 2)
