--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is polled, and what an outage of discovery does. Discovery is scripted here."""
+"""Tests of polling for the endpoint list, including outages of discovery, against a scripted agent."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 DISCOVERY = "drumgw.gateway.discovery"
 
 
-class Starts(AgentCase):
+class StartTest(AgentCase):
     """A gateway starts while the endpoint list in its configuration is out of date."""
 
-    async def test_a_start_with_an_old_list_forwards_nothing_to_who_has_left(self) -> None:
-        """An endpoint drained while the gateway was down; the configuration still calls it ready.
+    async def test_start_with_outdated_list_forwards_nothing_to_drained_endpoint(self) -> None:
+        """An endpoint drained while the gateway was down; in the configuration it is still ready.
 
-        What the agent has counts as known from the first moment. So the gateway accepts no client, and
-        forwards nothing, before the agent has answered.
+        What the agent has counts as known from the start. The gateway must not accept clients or forward
+        requests before the agent has answered.
         """
         one, _, known = await self.start_endpoints()
         await self.start_agent({**known[0], "lifecycle": "draining"}, known[1])
-        may_answer, answer_of_agent = asyncio.Event(), self.answer
+        may_answer, agent_answer = asyncio.Event(), self.answer
 
         async def answer_later(head: bytes, body: bytes) -> bytes | None:
             await may_answer.wait()
-            return await answer_of_agent(head, body)
+            return await agent_answer(head, body)
 
         self.discovery.answer = answer_later
         gateway = await self.start_gateway(known)
@@ -44,7 +44,7 @@
         assert gateway.http_server.socket is not None
         self.assertEqual((gateway.http_server.ready, self.opening.done()), (False, False))
         self.assertEqual(gateway.endpoint_clients.clients, {})
-        with self.assertRaises(ConnectionRefusedError):  # as while it was not running
+        with self.assertRaises(ConnectionRefusedError):  # as if the gateway were not running
             await asyncio.open_connection(*gateway.http_server.socket.sockets[0].getsockname())
         may_answer.set()
         await self.wait_until_open()
@@ -52,11 +52,11 @@
         self.assertEqual(await self.send_requests_of_all_customers(), [(200, b"other")] * 16)
         self.assertEqual((one.requests, self.statuses()), ([], {"s-0": "draining", "s-1": "ready"}))
 
-    async def test_an_agent_silent_at_the_start_comes_back_with_a_drain(self) -> None:
-        """The agent is down as the gateway starts, for longer than any known outage.
+    async def test_known_list_is_used_during_long_outage_at_start(self) -> None:
+        """The agent is down when the gateway starts, for longer than any known outage; an endpoint drains.
 
-        The known list is used then, as the service would be closed otherwise. As soon as the agent answers,
-        its list counts.
+        The gateway falls back to the known list, as it would otherwise reject all requests. It must apply the
+        agent's list, with the drain, as soon as the agent answers.
         """
         one, _, known = await self.start_endpoints()
         await self.start_agent()
@@ -72,7 +72,7 @@
             self.assertEqual(
                 set(await self.send_requests_of_all_customers()), {(200, b"one"), (200, b"other")}
             )
-            came = len(one.requests)
+            requests_before_drain = len(one.requests)
             self.content = {
                 "generation": 3,
                 "reset": True,
@@ -80,13 +80,13 @@
             }
             await self.wait_for_calls("since=3&")
         self.assertEqual(await self.send_requests_of_all_customers(), [(200, b"other")] * 16)
-        self.assertEqual((len(one.requests), self.targets[0]), (came, "/registry/instances"))
+        self.assertEqual((len(one.requests), self.targets[0]), (requests_before_drain, "/registry/instances"))
 
-    async def test_an_agent_silent_for_longer_than_a_start_may_take(self) -> None:
-        """The agent is down as the gateway starts, and the gateway has to become ready.
+    async def test_gateway_becomes_ready_and_rejects_requests_while_agent_is_silent(self) -> None:
+        """The agent is down when the gateway starts, and the gateway must become ready in time.
 
-        It does, and rejects all requests at once by itself, without a call to an endpoint or the counter: the
-        known list may name endpoints that have left.
+        It must reject all requests itself and at once, without calls to endpoints or the counter, as the
+        known list may name endpoints that are draining or removed.
         """
         one, other, known = await self.start_endpoints()
         counter = await self.start_server(http_response(b"0"))
@@ -110,8 +110,8 @@
         self.assertEqual(set(await self.send_requests_of_all_customers()), {(200, b"other")})
         self.assertEqual((one.requests, self.statuses()), ([], {"s-0": "draining", "s-1": "ready"}))
 
-    async def test_sigterm_while_it_waits_for_discovery(self) -> None:
-        """A gateway is stopped before it has served: it exits at once, without an error."""
+    async def test_sigterm_while_waiting_for_discovery(self) -> None:
+        """A gateway that is stopped during its start must exit at once with code 0."""
         discovery = await self.start_server(None)
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(raw_config(discovery.address, []), file)
@@ -133,14 +133,14 @@
         )
 
 
-class Watches(AgentCase):
-    """A gateway that runs learns of changes."""
+class WatchTest(AgentCase):
+    """A running gateway receives changes of the endpoint list."""
 
-    async def test_an_agent_that_comes_back_may_never_answer_a_call_that_was_out(self) -> None:
-        """The agent is silent for a while, and a drain happens meanwhile.
+    async def test_backup_poll_succeeds_if_watch_is_never_answered_after_outage(self) -> None:
+        """An endpoint drains during an outage of the agent.
 
-        The watch that was out as it fell silent is never answered, and would be waited for far longer than a
-        drain may take to be known. A backup poll is answered.
+        The watch in progress when the outage began is never answered, and times out long after the drain must
+        be known. A backup poll must bring the drain.
         """
         await self.start_agent(endpoint_row("s-0", "127.0.0.1:1"))
         with (
@@ -155,16 +155,16 @@
                 "reset": False,
                 "instances": [endpoint_row("s-0", "", "draining")],
             }
-            async with asyncio.timeout(20):  # so that missing backup polls fail and do not hang
+            async with asyncio.timeout(20):  # without backup polls the test must fail instead of hanging
                 await self.wait_for_calls("since=8&")
         self.assertEqual(self.statuses(), {"s-0": "draining"})
 
     def write_update(self, *rows: Any) -> None:
-        """Answers the watch that is out: the bytes lie in the gateway's socket, and its loop has no turn."""
+        """Answers the pending watch; the bytes stay unread in the gateway's socket until the loop runs."""
         self.discovery.request_connections[-1].write(endpoint_list(8, *rows, complete=False))
 
-    async def start_watched(self) -> tuple[ScriptedServer, ScriptedServer, list[JsonObject]]:
-        """Starts a gateway with two endpoints, whose one watch stays out."""
+    async def start_with_pending_watch(self) -> tuple[ScriptedServer, ScriptedServer, list[JsonObject]]:
+        """Starts a gateway with two endpoints, a pending watch, and no further polls."""
         one, other, rows = await self.start_endpoints()
         await self.start_agent(*rows)
         for name in ("MAX_POLL_INTERVAL_MS", "POLL_INTERVAL_PER_DRAIN_GRACE", "WATCH_TIMEOUT_MS"):
@@ -176,17 +176,18 @@
         await self.wait_for_calls("since=7&")
         return one, other, rows
 
-    async def test_an_unread_drain_is_applied_before_a_request_is_forwarded(self) -> None:
-        """A drain and a request arrive while the event loop is crowded or stalled; the request is read first.
+    async def test_unread_drain_is_applied_before_request_is_forwarded(self) -> None:
+        """A drain and a request arrive while the event loop is busy or stalled; the request is read first.
 
-        The drain lies unread in the gateway's socket. Before the attempt's first byte it is read.
+        The update with the drain is still unread in the gateway's socket. It must be read before the
+        attempt's first byte is written.
         """
-        one, _, _ = await self.start_watched()
+        one, _, _ = await self.start_with_pending_watch()
         customers_of_one = [
             n
             for n, answer in enumerate(await self.send_requests_of_all_customers())
             if answer == (200, b"one")
-        ]  # and connections are kept now
+        ]  # this also opens the connections that are reused below
         read = self.gateway.http_server.read
         one.requests = []
 
@@ -202,11 +203,9 @@
         self.assertEqual(answer[:2], (200, b"other"))
         self.assertEqual((one.requests, self.statuses()), ([], {"s-0": "draining", "s-1": "ready"}))
 
-    async def test_an_unread_removal_is_applied_before_an_attempt_that_waited_for_its_connection(
-        self,
-    ) -> None:
-        """An endpoint is removed while an attempt waits for its connection; the update lies unread then."""
-        one, _, _ = await self.start_watched()
+    async def test_unread_removal_is_applied_before_attempt_on_new_connection(self) -> None:
+        """An endpoint is removed while an attempt waits for its connection; the update is still unread."""
+        one, _, _ = await self.start_with_pending_watch()
         connector = self.gateway.endpoint_clients.pool.connector
         connect = connector.connect
 
@@ -223,11 +222,11 @@
             self.assertEqual(await self.send_requests_of_all_customers(), [(200, b"other")] * 16)
         self.assertEqual((one.requests, self.statuses()), ([], {"s-1": "ready"}))
 
-    async def test_another_agent_with_a_lower_numbering_leaves_a_drained_endpoint_out(self) -> None:
-        """A reload moves the gateway to another agent, whose generations are lower.
+    async def test_endpoint_omitted_by_new_agent_with_lower_generations_is_removed(self) -> None:
+        """A reload switches the gateway to another agent, whose generations are lower.
 
-        What the new agent has counts 4 s after the reload. So an endpoint that its complete list does not
-        name is gone at once, long before its numbering is taken for one begun anew.
+        What the new agent has counts as known 4 s after the reload. An endpoint that its complete list omits
+        must be removed at once, long before the new numbering is accepted after RENUMBERED_AFTER_MS.
         """
         one, _, rows = await self.start_endpoints()
         await self.start_agent(*rows)
@@ -247,8 +246,8 @@
         self.assertEqual(await self.send_requests_of_all_customers(), [(200, b"other")] * 16)
         self.assertEqual((one.requests, self.statuses()), ([], {"s-1": "ready"}))
 
-    async def test_a_thousand_endpoints_in_one_list(self) -> None:
-        """A list longer than any other body may be; then all endpoints but one drain by a single update."""
+    async def test_list_of_a_thousand_endpoints(self) -> None:
+        """The list exceeds the limit for other bodies; then one update drains all endpoints but one."""
         _, _, rows = await self.start_endpoints()
         many = [endpoint_row(f"s-{n}", f"127.0.0.1:{n}") for n in range(2, 1025)]
         await self.start_agent(*many, rows[1])
@@ -263,8 +262,8 @@
             sum(client.accepts_attempts for client in self.gateway.endpoint_clients.clients.values()), 1
         )
 
-    async def test_an_agent_that_answers_at_once_is_not_polled_without_end(self) -> None:
-        """An agent that never waits for updates would keep the gateway busy with polls."""
+    async def test_minimum_interval_between_polls_if_agent_answers_at_once(self) -> None:
+        """An agent that never waits for updates must not keep the gateway busy with polls."""
         await self.start_agent()
         gateway = await self.start_gateway([])
         await self.wait_until_open()
@@ -283,8 +282,8 @@
             await gateway.discovery.poll(PollTimes(1000.0, 2000.0, 50.0))
         self.assertEqual(slept_s, [0.05])
 
-    async def test_what_is_no_list_leaves_the_last_one_in_use_and_is_logged_once(self) -> None:
-        """Ten responses of the agent's are broken in one way each, one behind the other."""
+    async def test_invalid_responses_keep_the_last_list_and_are_logged_once(self) -> None:
+        """The agent sends ten invalid responses in a row, each with another fault."""
         await self.start_agent(endpoint_row("s-0", "127.0.0.1:1"))
         broken = [
             http_response(status=500),
@@ -298,16 +297,16 @@
             http_response(b'{"generation": 8, "reset": true, "instances": [7, {}]}'),
             http_response(b"[" * 100000),
         ]
-        answer_of_agent = self.answer
+        agent_answer = self.answer
 
         async def answer(head: bytes, body: bytes) -> bytes | None:
-            """The complete list, then the broken ones, then an update: no good answer comes between them."""
+            """Sends the complete list, then the broken responses in a row, then an update."""
             if b"since=7&" in head and broken:
                 return broken.pop(0)
             if b"since=" in head:
                 rows = [endpoint_row("s-1", "127.0.0.1:1")]
                 self.content = {"generation": 8, "reset": False, "instances": rows}
-            return await answer_of_agent(head, body)
+            return await agent_answer(head, body)
 
         self.discovery.answer = answer
         with (
@@ -317,7 +316,7 @@
             gateway = await self.start_gateway([])
             await self.wait_until_open()
             await self.wait_for_calls("since=8&")
-        lost = [call for call in log.warning.call_args_list if "discovery unavailable" in call[0][0]]
+        failures = [call for call in log.warning.call_args_list if "discovery unavailable" in call[0][0]]
         self.assertEqual((broken, self.statuses()), ([], {"s-0": "ready", "s-1": "ready"}))
-        self.assertEqual(len(lost), 1)
+        self.assertEqual(len(failures), 1)
         self.assertEqual(len(gateway.endpoint_clients.clients), 2)
