--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,6 +1,6 @@
-"""Which updates of the endpoint list are applied: the rule itself, as a trace of lists and what each changes.
+"""Tests of the membership rule: which updates of the endpoint list are applied.
 
-The expected traces are in `tests/traces/membership-*.txt`.
+Each test compares a trace of lists and their effects with `tests/traces/membership-*.txt`.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
     return endpoint_row(name, "127.0.0.1:1", lifecycle, startedAtMs=started_at_ms)
 
 
-class MembershipRule(unittest.TestCase):
-    """One gateway's membership, and one list after the other."""
+class MembershipRuleTest(unittest.TestCase):
+    """A sequence of lists is applied to the membership of one gateway."""
 
     def setUp(self) -> None:
-        """Begins before the agent's first answer."""
+        """Starts in the state before the agent's first answer."""
         self.reader = EndpointListReader(load_config(raw_config("127.0.0.1:1", [])).names)
         self.membership = Membership()
         self.now = 0.0
         self.trace: list[str] = []
 
     def receive(self, generation: Any, *rows: Any, complete: bool = False, after_ms: float = 100.0) -> None:
-        """The agent sends a list, some time after the last; notes what it changes."""
+        """Applies a list that the agent sends some time after the last one, and records its effect."""
         self.now += after_ms
         since = self.membership.since
         polled = "polled for all" if since is None else f"polled since {since}"
@@ -46,10 +46,10 @@
             self.trace.append(f"{self.now:6.0f}  {polled}, list {generation}: {type(error).__name__}")
             return
         change = self.membership.update(self.now, endpoint_list, since is None)
-        self.note(f"{polled}, {'complete ' if complete else ''}list {generation}", change)
+        self.record(f"{polled}, {'complete ' if complete else ''}list {generation}", change)
 
-    def note(self, origin: str, change: MembershipChange) -> None:
-        """Two lines: what has changed, and the state and the list that result."""
+    def record(self, origin: str, change: MembershipChange) -> None:
+        """Adds two lines to the trace: the changes, and the resulting state and list."""
         changes = "; ".join(
             f"{status.value}: {', '.join(names)}" for status, names in change.changes_by_status.items()
         )
@@ -59,32 +59,33 @@
         self.trace.append(f"        {self.membership.state.value}: {rows}")
 
     def assert_trace(self, name: str) -> None:
-        """The trace must be the expected one."""
+        """Asserts that the trace equals the expected one."""
         expected = (TRACES / f"{name}.txt").read_text().splitlines()
         difference = list(difflib.unified_diff(expected, self.trace, "expected", "now", lineterm="", n=2))
         self.assertFalse(difference, "\n" + "\n".join(difference))
 
-    def test_an_older_list_undoes_nothing(self) -> None:
+    def test_older_list_reverts_nothing(self) -> None:
         """An agent that was restarted from an old copy sends a list from before a drain and a removal.
 
-        Endpoints that it calls ready again must not be used again. What it says of departures and of later
-        starts counts. Once it has caught up, its complete list is polled for and applied.
+        Endpoints that are ready in the older list must not be used again. Its departures and later starts are
+        applied. Once the agent has caught up, its complete list is requested and applied.
         """
         self.receive(41, row("s-a"), row("s-b"), row("s-c"), complete=True)
         self.receive(43, row("s-a", "draining"), row("s-b", "removed"))
         self.receive(42, row("s-a"), row("s-b"), row("s-c", "draining"), complete=True)
-        self.receive(42, row("s-a", started_at_ms=9.0), row("s-d"))  # a later start; one that may have left
-        self.receive(43)  # caught up: the complete list is polled for
+        self.receive(42, row("s-a", started_at_ms=9.0), row("s-d"))  # a later start; s-d may have left since
+        self.receive(43)  # caught up: the complete list is requested next
         self.receive(43, row("s-a", started_at_ms=9.0), row("s-c"), complete=True)
         self.assert_trace("membership-older")
 
-    def test_a_numbering_begun_anew_is_applied_in_time(self) -> None:
-        """Discovery is set up anew, and its generations start from 1 again.
+    def test_restarted_numbering_is_accepted_in_time(self) -> None:
+        """Discovery is installed anew, and its generations start from 1 again.
 
-        Its lists look older for ever. After 6 s they are applied as they are; its departures count at once.
+        Its lists would count as older for ever. After 6 s they must be applied in full; departures are
+        applied at once.
         """
         self.receive(41, row("s-a"), row("s-b"), complete=True)
-        self.receive(3)  # changes since a generation that it never had say nothing
+        self.receive(3)  # changes since a generation that the agent never had are meaningless
         self.receive(3, row("s-b"), row("s-c"), complete=True)
         self.receive(4, row("s-b", "draining"), after_ms=RENUMBERED_AFTER_MS / 2)
         self.receive(5, after_ms=RENUMBERED_AFTER_MS / 2)
@@ -92,15 +93,18 @@
         self.receive(6, row("s-c", "draining"))
         self.assert_trace("membership-renumbered")
 
-    def test_the_known_list_is_used_only_until_the_agent_answers(self) -> None:
-        """The agent was silent at the start. Its first answer counts, though its generation is lower."""
+    def test_known_list_is_used_only_until_the_agent_answers(self) -> None:
+        """The agent was silent at the start. Its first answer is applied although its generation is lower."""
         known = self.reader.read({"generation": 50, "instances": [row("s-a"), row("s-b")]})
-        self.note("known", self.membership.use_known(known))
-        self.receive(41, row("s-b", "draining"), row("s-c"))  # the answer to a poll for the complete list
+        self.record("known", self.membership.use_known(known))
+        self.receive(41, row("s-b", "draining"), row("s-c"))  # the answer to a request for the complete list
         self.assert_trace("membership-known")
 
-    def test_a_row_with_missing_or_malformed_fields_hides_no_drain(self) -> None:
-        """A row that says that an endpoint leaves needs its id only. Other malformed rows change nothing."""
+    def test_malformed_fields_hide_no_drain(self) -> None:
+        """A row of a draining or removed endpoint needs only its id and lifecycle.
+
+        Other malformed rows must change nothing.
+        """
         self.receive(1, *(row(f"s-{letter}") for letter in "abcdefg"), complete=True)
         self.receive(
             2,
@@ -121,12 +125,12 @@
             {**VALID_ROW, "instanceId": "s-j", "startedAtMs": True},
             {**VALID_ROW, "instanceId": "s-k", "zone": {}},
         ]
-        # Endpoints that are named stay what they were; s-c is not named, and is gone.
+        # Endpoints with malformed rows keep their state; s-c is omitted, and therefore removed.
         self.receive(3, *malformed, None, "s-d", VALID_ROW, complete=True)
         self.assert_trace("membership-rows")
 
     def test_two_rows_of_an_endpoint_in_one_list(self) -> None:
-        """An endpoint is replaced, or drains, within one list: the later start counts, then the departure."""
+        """An endpoint has two rows in one list: the later start takes precedence, then the departure."""
         self.receive(1, *(row(f"s-{letter}") for letter in "abcde"), complete=True)
         self.receive(
             2,
@@ -135,20 +139,20 @@
             row("s-b", started_at_ms=5.0),
             row("s-b", "removed"),
             row("s-c"),
-            row("s-c", "draining"),  # leaving goes before staying, in either order
+            row("s-c", "draining"),  # the departure takes precedence, in either order
             row("s-e", "draining"),
             row("s-e"),
             row("s-d", started_at_ms=5.0),
             {"instanceId": "s-d", "lifecycle": "draining"},
         )
-        self.receive(3, row("s-c"))  # a newer list may take a drain back
+        self.receive(3, row("s-c"))  # a newer list may cancel a drain
         self.assert_trace("membership-twice")
 
-    def test_a_generation_that_cannot_be_used(self) -> None:
-        """A list whose generation is malformed is applied, and the complete list is polled for next."""
+    def test_malformed_generation(self) -> None:
+        """A list with a malformed generation is applied, and the complete list is requested next."""
         self.receive(1, row("s-a"), complete=True)
         for generation in (None, "2", True, -3, 2.5):
             self.receive(generation, row("s-a", "draining"))
-        self.receive(2, "no row", {}, complete=True)  # no list
+        self.receive(2, "no row", {}, complete=True)  # rejected: all rows are malformed
         self.assert_trace("membership-generations")
         self.assertEqual(self.membership.rows["s-a"].info.status, EndpointStatus.DRAINING)
