--- a/tests/test_shared_discovery.py
+++ b/tests/test_shared_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery service that many gateways share: how it is polled, and what happens when it is overloaded."""
+"""Tests of polling a discovery service that many gateways share, also when it is overloaded."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 DISCOVERY = "drumgw.gateway.discovery"
 
 
-class SharedService(AgentCase):
-    """Many gateways poll one service. It queues their calls, and rejects some when the queue is long."""
+class SharedServiceTest(AgentCase):
+    """Many gateways poll one service, which queues their calls and rejects some when the queue is long."""
 
     SETTINGS = raw_settings(discovery="ask", balancers=1024)
 
-    async def test_a_start_polls_for_the_changes_since_its_known_list(self) -> None:
-        """Complete lists for a whole fleet cost the service too much.
+    async def test_start_requests_changes_since_known_list(self) -> None:
+        """Sending complete lists to all gateways at their start would overload the service.
 
-        The known list is completed by the changes; nothing is forwarded by it before they have come.
+        The changes are merged into the known list. No request may be forwarded by the known list before the
+        changes have been received.
         """
         one, _, known = await self.start_endpoints()
         await self.start_agent()
@@ -48,8 +49,8 @@
         )
         self.assertEqual((one.requests, self.statuses()), ([], {"s-0": "draining", "s-1": "ready"}))
 
-    async def test_a_watch_goes_on_after_an_update(self) -> None:
-        """Each answer is followed by one call from its generation, and by no other."""
+    async def test_watch_continues_after_update(self) -> None:
+        """Each answer is followed by exactly one call, which requests the changes since its generation."""
         _, _, known = await self.start_endpoints()
         await self.start_agent(*known)
         await self.start_gateway([], settings=self.SETTINGS)
@@ -68,7 +69,7 @@
         )
 
     async def backoff_delays_ms(self, seed: str, *outcomes: PollOutcome) -> list[float]:
-        """The delays between calls that end so, at a gateway with this seed."""
+        """Returns the backoff delays of a gateway with this seed whose calls have these outcomes."""
         await self.start_agent()
         config = raw_config(self.discovery.address, [], settings=self.SETTINGS, seed=seed)
         discovery = GatewayProcess(load_config(config)).discovery
@@ -86,9 +87,9 @@
         return slept_ms
 
     async def test_backoff_grows_and_differs_between_gateways(self) -> None:
-        """The service rejects the calls of a whole fleet at the same moment.
+        """The service rejects the calls of all gateways at the same moment.
 
-        Gateways that come back together, and as soon as before, would be rejected again and again.
+        If the gateways retried simultaneously and with a constant delay, they would be rejected every time.
         """
         rejected, failed, answered = PollOutcome.REJECTED, PollOutcome.FAILED, PollOutcome.ANSWERED
         outcomes = (answered, *[rejected] * 5, answered, rejected, answered, failed, failed)
@@ -99,11 +100,11 @@
             self.assertTrue(0.5 * mean <= delay <= 1.5 * mean, (delay, mean))
         self.assertEqual(set(one) & set(other), set())
 
-    async def test_a_fleet_that_starts_at_once_is_served_in_turn(self) -> None:
+    async def test_gateways_that_start_simultaneously_are_all_served(self) -> None:
         """24 gateways start at the same moment; the service can queue 8 calls and rejects the others.
 
-        Each call keeps the service for a while, also one that its gateway has given up. If gateways called
-        again too soon, no call would be answered in time.
+        Each call occupies the service for a while, even if its gateway no longer waits for the answer. If
+        gateways retried too soon, no call would be answered in time.
         """
         service_time_s, max_queued, gateway_count = 0.02, 8, 24
         queue = asyncio.Lock()
@@ -114,7 +115,7 @@
             nonlocal queued
             targets.append(head.split()[1].decode())
             if "since=2&" in targets[-1]:
-                return None  # a watch that goes on costs nothing, and there is no update
+                return None  # a pending watch does not occupy the service, and there is no update
             if queued >= max_queued:
                 return http_response(status=503)
             queued += 1
@@ -124,26 +125,26 @@
             return endpoint_list(2, endpoint_row("s-0", "127.0.0.1:1"))
 
         service = await self.start_server(serve)
-        fleet = [
+        gateways = [
             GatewayProcess(
                 load_config(raw_config(service.address, [], settings=self.SETTINGS, seed=f"{n + 1:x}"))
             )
             for n in range(gateway_count)
         ]
-        faster = {
+        shorter_backoff = {
             outcome: dataclasses.replace(
                 backoff, initial_ms=backoff.initial_ms / 8, max_ms=backoff.max_ms / 8
             )
             for outcome, backoff in BACKOFF_BY_OUTCOME.items()
         }
-        opening = [asyncio.create_task(gateway.open()) for gateway in fleet]
+        opening = [asyncio.create_task(gateway.open()) for gateway in gateways]
         with (
             mock.patch("drumgw.gateway.process.SHUTDOWN_LINGER_MS", 0.0),
-            mock.patch.dict(f"{DISCOVERY}.BACKOFF_BY_OUTCOME", faster),
+            mock.patch.dict(f"{DISCOVERY}.BACKOFF_BY_OUTCOME", shorter_backoff),
         ):
-            for gateway, task in zip(fleet, opening, strict=True):
+            for gateway, task in zip(gateways, opening, strict=True):
                 await task
                 self.assertTrue(gateway.discovery.has_endpoints.is_set())
-            for gateway in fleet:
+            for gateway in gateways:
                 await gateway.close()
         self.assertLess(sum("since=2&" not in target for target in targets), 6 * gateway_count)
