--- a/tests/test_process_crossings.py
+++ b/tests/test_process_crossings.py
@@ -1,4 +1,4 @@
-"""Signals between two lines of a start or an end, and settings at their edges."""
+"""Tests of signals at critical moments of start and shutdown, and of boundary values of the settings."""
 
 from __future__ import annotations
 
@@ -25,32 +25,37 @@
 
 
 class SignalTest(CrossingCase):
-    """Signals in the moments in which a default handler would end the process."""
+    """Signals at moments when their default action would kill the process."""
 
-    async def test_sigterm_during_the_imports_ends_with_0(self) -> None:
-        """Its default ends the process as by a crash; here it comes between the program's own lines."""
-        story = (
+    async def test_sigterm_during_imports_exits_with_0(self) -> None:
+        """The default action would kill the process; the signal is sent when the script imports uvloop."""
+        script = (
             "import builtins, os, runpy, signal\n"
-            "real = builtins.__import__\n"
-            "def called(name, *rest, **more):\n"
+            "original_import = builtins.__import__\n"
+            "def import_with_signal(name, *rest, **more):\n"
             "    if name == 'uvloop': os.kill(os.getpid(), signal.SIGTERM)\n"
-            "    return real(name, *rest, **more)\n"
-            "builtins.__import__ = called\n"
+            "    return original_import(name, *rest, **more)\n"
+            "builtins.__import__ = import_with_signal\n"
             "runpy.run_module('drumgw', run_name='__main__')"
         )
-        run = await asyncio.create_subprocess_exec(
-            sys.executable, "-O", "-c", story, stderr=asyncio.subprocess.PIPE
+        process = await asyncio.create_subprocess_exec(
+            sys.executable, "-O", "-c", script, stderr=asyncio.subprocess.PIPE
         )
-        _, said = await run.communicate()
-        self.assertEqual((run.returncode, said), (0, b""))
+        _, output = await process.communicate()
+        self.assertEqual((process.returncode, output), (0, b""))
 
-    async def test_sigterm_twice_beside_a_silent_counter_and_a_request_that_ends_last(self) -> None:
-        """It serves what it has, waits for the counter as long as for a call, and exits with 0."""
-        held: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        endpoint, counter = await self.start_server(lambda head, body: held), self.peer()
+    async def test_repeated_sigterm_with_silent_counter_and_pending_request(self) -> None:
+        """The gateway must finish the request, wait for the counter as long as for a call, and exit with 0.
+
+        A second SIGTERM must change nothing.
+        """
+        held_response: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+        endpoint, counter = await self.start_server(lambda head, body: held_response), self.peer()
         row = endpoint_row("s-0", endpoint.address)
-        listed = http_response(json.dumps({"generation": 1, "reset": True, "instances": [row]}).encode())
-        discovery = await self.start_server(lambda head, body: None if b"since=" in head else listed)
+        list_response = http_response(
+            json.dumps({"generation": 1, "reset": True, "instances": [row]}).encode()
+        )
+        discovery = await self.start_server(lambda head, body: None if b"since=" in head else list_response)
         family = {"counter": True, "countWaitMs": 30.0, "unitsTop": 9}
         process = await GatewaySubprocess.start(
             raw_config(
@@ -58,82 +63,88 @@
             )
         )
         self.listen_address = await process.wait_until_serving()
-        line = self.open_client()
-        line.write(http_request(Request_Timeout="60000m"))
+        client = self.open_client()
+        client.write(http_request(Request_Timeout="60000m"))
         await wait_until(lambda: endpoint.requests)
         process.run.terminate()
         await process.wait_for_log_line(b"received SIGTERM: ")
         process.run.terminate()
-        held.set_result(http_response(b"ok"))
-        self.assertIn(b"Connection: close", await line.read(b"ok"))
-        said = await process.log.read()
-        self.assertIn(b"0 unfinished, invariant violations: none", said)
+        held_response.set_result(http_response(b"ok"))
+        self.assertIn(b"Connection: close", await client.read(b"ok"))
+        log = await process.log.read()
+        self.assertIn(b"0 unfinished, invariant violations: none", log)
         self.assertEqual(await process.run.wait(), 0)
 
 
-class SettingsEdgeTest(CrossingCase):
-    """Another customer's settings, each at an edge.
+class BoundarySettingsTest(CrossingCase):
+    """Settings with boundary values or without optional parts.
 
-    The gateway starts, answers each request once, retries only what it may, as often as it may, and holds
-    nothing afterwards.
+    The gateway must start, answer each request once, retry only as the settings allow, and keep no state of
+    the requests afterwards.
     """
 
-    EDGES: dict[str, dict[str, Any]] = {
+    CASES: dict[str, dict[str, Any]] = {
         "no counter": {"familyInfo": {"counter": False, "unitsTop": 9}},
-        "a counter that nobody reaches": {
-            "familyInfo": {"counter": True, "countWaitMs": 30.0, "unitsTop": 9}
-        },
-        "nothing may be called off": {"ceilings": {**raw_settings()["ceilings"], "cancel": False}},
+        "unreachable counter": {"familyInfo": {"counter": True, "countWaitMs": 30.0, "unitsTop": 9}},
+        "attempts cannot be cancelled": {"ceilings": {**raw_settings()["ceilings"], "cancel": False}},
         "one attempt": {"ceilings": ONE_ATTEMPT},
-        "five attempts, two at once": {
+        "five attempts, two of them concurrent": {
             "ceilings": {**raw_settings()["ceilings"], "maxAttempts": 5, "secondCopies": True}
         },
-        "no advice to clients": {"ceilings": {**raw_settings()["ceilings"], "retryAfter": False}},
-        "no limits of connections told": {"ceilings": {"maxAttempts": 2, "cancel": True}},
+        "no Retry-After": {"ceilings": {**raw_settings()["ceilings"], "retryAfter": False}},
+        "no connection limits": {"ceilings": {"maxAttempts": 2, "cancel": True}},
         "no zones": {"zones": [], "az": ""},
-        "more zones than said": {"zones": ["elsewhere"], "az": "here"},
-        "short deadlines and windows": {"deadlineMs": 300.0, "onTimeMs": 100.0, "keyTtlMs": 100.0},
-        "no window": {"keyTtlMs": 0.0},
-        "a ceiling alone": {"plan": {"unitsPerS": 0.0, "neverOverRate": 50.0, "hardBurst": 50.0}},
-        "a cap alone": {"plan": {"unitsPerS": 0.0, "concurrency": 2}},
-        "an empty plan": {"plan": {"unitsPerS": 0.0}},
-        "a grace of nothing": {"contract": {**raw_settings()["contract"], "stopSendingWithinMs": 0.0}},
-        "one of 1,024": {"balancers": 1024, "ordinal": 1023},
+        "zone that is not listed": {"zones": ["elsewhere"], "az": "here"},
+        "short deadlines and idempotency windows": {
+            "deadlineMs": 300.0,
+            "onTimeMs": 100.0,
+            "keyTtlMs": 100.0,
+        },
+        "no idempotency window": {"keyTtlMs": 0.0},
+        "plan with a hard rate limit only": {
+            "plan": {"unitsPerS": 0.0, "neverOverRate": 50.0, "hardBurst": 50.0}
+        },
+        "plan with a concurrency limit only": {"plan": {"unitsPerS": 0.0, "concurrency": 2}},
+        "plan without limits": {"plan": {"unitsPerS": 0.0}},
+        "no drain grace": {"contract": {**raw_settings()["contract"], "stopSendingWithinMs": 0.0}},
+        "one of 1,024 gateways": {"balancers": 1024, "ordinal": 1023},
     }
-    KINDS = {"s": "repeatable", "k": "by_key", "z": "by_key", "u": "once"}
+    IDEMPOTENCY_BY_CLASS = {"s": "repeatable", "k": "by_key", "z": "by_key", "u": "once"}
 
-    def settings_of(self, **edge: Any) -> dict[str, Any]:
-        times = {key: edge.pop(key) for key in ("deadlineMs", "onTimeMs", "keyTtlMs") if key in edge}
-        plan = {**raw_settings()["tiersOfService"][0], **edge.pop("plan", {})}
+    def settings_of(self, **overrides: Any) -> dict[str, Any]:
+        times = {
+            key: overrides.pop(key) for key in ("deadlineMs", "onTimeMs", "keyTtlMs") if key in overrides
+        }
+        plan = {**raw_settings()["tiersOfService"][0], **overrides.pop("plan", {})}
         classes = [
             {
                 **REQUEST_CLASS,
                 "name": name,
-                "idempotency": kind,
+                "idempotency": idempotency,
                 "group": "zone" if name == "z" else "all",
                 **times,
             }
-            for name, kind in self.KINDS.items()
+            for name, idempotency in self.IDEMPOTENCY_BY_CLASS.items()
         ]
-        return raw_settings(classes=classes, tiersOfService=[plan], **edge)
+        return raw_settings(classes=classes, tiersOfService=[plan], **overrides)
 
-    async def test_each_starts_and_keeps_the_rules(self) -> None:
-        for name, edge in self.EDGES.items():
+    async def test_rules_hold_for_each_case(self) -> None:
+        for name, overrides in self.CASES.items():
             with self.subTest(name):
-                await self.play(self.settings_of(**edge))
+                await self.check_rules(self.settings_of(**overrides))
 
-    async def play(self, told_settings: dict[str, Any]) -> None:
-        ran: dict[bytes, list[bool]] = {}  # by id, of each attempt that came whole: whether it may have run
+    async def check_rules(self, settings: dict[str, Any]) -> None:
+        may_have_run: dict[bytes, list[bool]] = {}  # by request id; an item for each attempt received in full
 
         def endpoint(answer: bytes) -> Any:
-            def say(head: bytes, body: bytes) -> bytes:
-                name = head.partition(b"Request-Id: ")[2].split()[0]
-                ran.setdefault(name, []).append(b"Not-Started" not in answer)
+            def respond(head: bytes, body: bytes) -> bytes:
+                request_id = head.partition(b"Request-Id: ")[2].split()[0]
+                may_have_run.setdefault(request_id, []).append(b"Not-Started" not in answer)
                 return answer
 
-            return say
+            return respond
 
-        stand_ins = [
+        endpoints = [
             await self.start_server(endpoint(answer))
             for answer in (
                 http_response(b"ok"),
@@ -143,27 +154,29 @@
             )
         ]
         gateway = await self.open_gateway(
-            *(one.address for one in stand_ins), counter="127.0.0.1:9", settings=told_settings
+            *(server.address for server in endpoints), counter="127.0.0.1:9", settings=settings
         )
-        asked = [(f"{kind}{n}", kind) for n in range(8) for kind in self.KINDS]
+        requests = [
+            (f"{class_name}{n}", class_name) for n in range(8) for class_name in self.IDEMPOTENCY_BY_CLASS
+        ]
 
-        async def one(name: str, kind: str) -> int:
-            method = "GET" if kind == "s" else "POST"
-            target = f"/{kind}?account={len(name) + int(name[1:]):016x}"
-            return (await self.send_request(target, method, Request_Id=name, Request_Timeout="300m"))[0]
+        async def send(request_id: str, class_name: str) -> int:
+            method = "GET" if class_name == "s" else "POST"
+            target = f"/{class_name}?account={len(request_id) + int(request_id[1:]):016x}"
+            return (await self.send_request(target, method, Request_Id=request_id, Request_Timeout="300m"))[0]
 
         async with asyncio.timeout(BOUND_S):
-            statuses = await asyncio.gather(*(one(*each) for each in asked))
-        most = told_settings["ceilings"]["maxAttempts"]
-        for (name, kind), status in zip(asked, statuses, strict=True):
-            attempts = ran.get(name.encode(), [])
-            self.assertIn(status, (200, 500, 503), name)
-            self.assertLessEqual(len(attempts), most, name)
-            if kind == "u":  # after one that may have run there is no other, and no decline
-                self.assertNotIn(True, attempts[:-1], name)
-                self.assertFalse(status == 503 and True in attempts, name)
-            if kind == "z" or kind == "k" and told_settings["classes"][1]["keyTtlMs"] == 0.0:
-                self.assertFalse(status == 503 and True in attempts, name)
+            statuses = await asyncio.gather(*(send(*request) for request in requests))
+        max_attempts = settings["ceilings"]["maxAttempts"]
+        for (request_id, class_name), status in zip(requests, statuses, strict=True):
+            attempts = may_have_run.get(request_id.encode(), [])
+            self.assertIn(status, (200, 500, 503), request_id)
+            self.assertLessEqual(len(attempts), max_attempts, request_id)
+            if class_name == "u":  # an attempt that may have run is neither retried nor answered as rejected
+                self.assertNotIn(True, attempts[:-1], request_id)
+                self.assertFalse(status == 503 and True in attempts, request_id)
+            if class_name == "z" or class_name == "k" and settings["classes"][1]["keyTtlMs"] == 0.0:
+                self.assertFalse(status == 503 and True in attempts, request_id)
         self.assertIn(200, statuses)
         await wait_until(
             lambda: not (
