--- a/drumgw/gateway/discovery.py
+++ b/drumgw/gateway/discovery.py
@@ -7,11 +7,12 @@
   is silent, the gateway therefore makes backup polls in parallel to the watch, one at a time. Regardless of
   the length of the outage, updates are received within two poll intervals after its end.
 * A shared service gets one call at a time. Each call occupies the service even if the gateway no longer waits
-  for the answer. So time limits leave room for queueing, and the gateway backs off after failures.
+  for the answer. So time limits are long enough for a call to reach the head of the service's queue, and the
+  gateway backs off after failures.
 
 A response is applied in the same iteration of the event loop in which its bytes are read, and unread bytes
-are read before each attempt. No request is forwarded by an older list than the last one that has reached this
-host.
+are read before an attempt if nothing has been read for MAX_UNREAD_MS. So no request is forwarded by a list
+that is known on this host to be out of date.
 """
 
 from __future__ import annotations
@@ -67,7 +68,7 @@
 WATCH_MIN_INTERVAL_MS = 50.0
 """Between the starts of two watch calls. The protocol allows a watch to pause for 200 ms."""
 MAX_UNREAD_MS = 50.0
-"""An attempt that starts this long after the last read reads pending updates first."""
+"""No attempt starts while an update may have been unread for longer than this."""
 TIMEOUT_LOG_DELAY_MS = 1000.0
 """Time-outs of a call are logged only once discovery has been silent for this long."""
 
@@ -139,7 +140,7 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether discovery answers; True until a failure has been logged."""
+        """Whether discovery answers, as last logged; True at the start."""
         return self._log.is_connected
 
     def set_address(self, address: tuple[str, int]) -> None:
@@ -328,7 +329,7 @@
         self._abandon_polls(answered=poll.task)
         origin = (
             f"endpoint list {self.membership.generation}, requested {now - poll.sent_at_ms:.0f} ms ago, "
-            f"{silent_ms:.0f} ms after the previous answer"
+            f"after {silent_ms:.0f} ms without an answer"
         )
         self._apply(change, origin)
         self._log.log_answer()
--- a/drumgw/gateway/discovery_log.py
+++ b/drumgw/gateway/discovery_log.py
@@ -56,7 +56,7 @@
             logger.info("{}discovery answers again", self._prefix)
 
     def log_failure(self, error: BaseException, has_endpoints: bool) -> None:
-        """Logs that discovery cannot be reached or does not answer, unless the last call failed too.
+        """Logs that a call to discovery failed, once until the next answer.
 
         Args:
             error: the error of the call.
--- a/drumgw/gateway/process.py
+++ b/drumgw/gateway/process.py
@@ -22,7 +22,7 @@
 """How long new clients may still connect after SIGTERM (protocol)."""
 SERVER_SHUTDOWN_TIMEOUT_S = 0.1
 GC_THRESHOLD = 20000
-"""Allocations between two runs of the garbage collector. High, as requests create few reference cycles."""
+"""Net allocations between two garbage collections. High, as requests create few reference cycles."""
 
 ReadConfig = Callable[[], GatewayConfig]
 
@@ -122,14 +122,15 @@
 async def serve(config: GatewayConfig, reread_config: ReadConfig, early_sighups: Sequence[int] = ()) -> None:
     """Runs a gateway until SIGTERM.
 
-    A SIGHUP received during the start triggers a reload as soon as the gateway is open. Both signals are
-    ignored after the shutdown, as their default action would kill the process before it can exit with 0.
+    A SIGHUP that arrives before the handler is installed triggers a reload once the gateway is open. Both
+    signals are ignored after the shutdown, as their default action would kill the process before it can exit
+    with code 0.
 
     Args:
         config: the configuration to start with.
         reread_config: called at each SIGHUP.
-        early_sighups: the signals received before this function installs its handler; read once the gateway
-            is open.
+        early_sighups: the signals received before the handler is installed; the caller's own handler may add
+            to it until then.
 
     Raises:
         ConfigError: the gateway cannot start with this configuration.
