--- a/drumgw/simulator/__init__.py
+++ b/drumgw/simulator/__init__.py
@@ -1,4 +1,5 @@
-"""The adapter to the simulator's wire: plays many gateways in one process, and decides nothing itself.
+"""Adapter between the simulator's line protocol and the policy engine.
 
-`wire` maps the simulator's names, `adapter` hosts the gateways, `errors` says what can be wrong with a line.
+It runs many gateway instances in one process and makes no decisions itself. `wire` translates messages,
+`adapter` runs the instances, and `errors` has the exceptions for lines that violate the protocol.
 """
