--- a/drumgw/simulator/__main__.py
+++ b/drumgw/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m drumgw.simulator` plays gateways on the simulator's wire, over standard input and output."""
+"""`python -m drumgw.simulator` runs gateways for the simulator, over standard input and output."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from drumgw.simulator.errors import WireError
 
 EXIT_OK = 0
-EXIT_BAD_LINE = 2
+EXIT_INVALID_LINE = 2
 
 
 def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
-    """Plays lines until the source ends or a line is not allowed, and returns the exit code."""
+    """Processes lines until the input ends or a line violates the protocol, and returns the exit code."""
     adapter = SimulatorAdapter()
     for line_number, line in enumerate(source, start=1):
         try:
-            reply_due = adapter.receive_line(line)
+            is_reply_due = adapter.receive_line(line)
         except WireError as error:
             print(f"line {line_number}: {error}", file=errors)
-            return EXIT_BAD_LINE
-        if reply_due:
+            return EXIT_INVALID_LINE
+        if is_reply_due:
             reply = adapter.take_reply()
             sink.write("".join(json.dumps(message, separators=(",", ":")) + "\n" for message in reply))
             sink.flush()
