--- a/drumgw/simulator/errors.py
+++ b/drumgw/simulator/errors.py
@@ -1,13 +1,13 @@
-"""What can be wrong with a line of the simulator's wire."""
+"""Errors in the lines that the simulator sends."""
 
 
 class WireError(Exception):
-    """A line that the wire does not allow; the text says why, in one line."""
+    """A line that violates the protocol; the text gives the reason, in one line."""
 
 
 class MalformedMessageError(WireError):
-    """Not a message: no JSON, no object with one key, or a field that is missing or of the wrong type."""
+    """Not JSON, not an object with one key, or a field is missing or of the wrong type."""
 
 
 class UnexpectedMessageError(WireError):
-    """A well-formed message at a point where the wire does not allow it."""
+    """A well-formed message outside a round, or for an instance that is not running."""
