--- a/drumgw/simulator/wire.py
+++ b/drumgw/simulator/wire.py
@@ -1,6 +1,7 @@
-"""Maps the simulator's messages to the policy engine's events, and its actions to the simulator's messages.
+"""Translates the simulator's messages to the policy engine's events, and its actions to messages.
 
-The simulator's own names end here: the tables and functions below are the only places that know them.
+The simulator's names for events and actions are used in this module only. `adapter` has those of the messages
+that control rounds, instances and endpoint lists.
 """
 
 from __future__ import annotations
@@ -48,33 +49,33 @@
     "Gone": EndpointStatus.REMOVED,
 }
 DISCOVERY_FAILED = "error"
-"""Form of an endpoint update that tells only that discovery could not be reached."""
+"""Form of an endpoint update that carries no list: discovery could not be reached."""
 CHANGES_ONLY = "diff"
-"""Form of an endpoint update that holds changes; all other forms hold the complete list."""
+"""Form of an endpoint update with changed endpoints only; all other forms have the complete list."""
 
 
 def read_endpoints(names: NameIndex, form: str, rows: list[JsonObject]) -> EndpointsUpdated:
-    """An update of the endpoint list from the rows that it refers to.
+    """Returns an update of the endpoint list, made from the rows that the message refers to.
 
     Raises:
-        KeyError: where a field is missing or a value unknown.
+        KeyError: a field is missing, or a value is unknown.
     """
     endpoints = tuple(_read_endpoint(names, row) for row in rows)
     return EndpointsUpdated(is_complete=form != CHANGES_ONLY, endpoints=endpoints)
 
 
 def read_event(names: NameIndex, message_name: str, fields: JsonObject) -> Event | None:
-    """The engine's event for one message; None for a message that carries nothing the engine uses.
+    """Returns the engine's event for a message; None for a message that the engine does not use.
 
     Raises:
-        KeyError: where the message's name, a field or a value is unknown or missing.
+        KeyError: the message's name is unknown, a field is missing, or a value is unknown.
     """
     reader = _EVENT_READERS[message_name]
     return reader(names, fields)
 
 
 def write_action(instance: int, action: Action) -> JsonObject:
-    """The message for an action of one gateway instance."""
+    """Returns the message for an action of a gateway instance."""
     match action:
         case ForwardRequest():
             return _message(
@@ -105,12 +106,12 @@
 
 
 def write_engine_failure(instance: int, text: str) -> JsonObject:
-    """The message that reports an exception of a gateway instance's policy engine."""
+    """Returns the message that reports an exception raised by a gateway instance's policy engine."""
     return _message("InternalError", instance, reasonText=text)
 
 
 def write_end_of_reply() -> JsonObject:
-    """The message that ends the reply to one round."""
+    """Returns the message that ends the reply to a round."""
     return {"Next": {}}
 
 
@@ -182,8 +183,8 @@
     return ResponseStarted(request_id=fields["rid"])
 
 
-def _read_nothing(_names: NameIndex, _fields: JsonObject) -> None:
-    """For answers to what the policy engine never asks for."""
+def _ignore_message(_names: NameIndex, _fields: JsonObject) -> None:
+    """For responses to calls that the policy engine never makes."""
 
 
 _EVENT_READERS: dict[str, Callable[[NameIndex, JsonObject], Event | None]] = {
@@ -193,6 +194,6 @@
     "DeadlineHit": _read_timer_fired,
     "Tallied": _read_counter_replied,
     "Begun": _read_response_started,
-    "Heard": _read_nothing,
-    "ProbeDone": _read_nothing,
+    "Heard": _ignore_message,
+    "ProbeDone": _ignore_message,
 }
