--- a/drumgw/config/__init__.py
+++ b/drumgw/config/__init__.py
@@ -1,1 +1,1 @@
-"""The files that operators write: their keys, their checks, and the settings that they make."""
+"""Configuration files: their keys, their validation, and their conversion to start-up settings."""
