--- a/drumgw/cli/gateway_runner.py
+++ b/drumgw/cli/gateway_runner.py
@@ -30,6 +30,6 @@
         try:
             return parse_config(gateway_configuration(read_gateway_file(path)), {})
         except FileError as error:
-            raise ConfigError("; ".join(error.mistakes)) from error
+            raise ConfigError("; ".join(error.messages)) from error
 
     uvloop.run(serve(parse_config(gateway_configuration(file), os.environ), read_again))
--- a/drumgw/config/file_reader.py
+++ b/drumgw/config/file_reader.py
@@ -1,7 +1,7 @@
-"""Reads an operator's file and reports every mistake in it at once.
+"""Reads a configuration file and reports all errors in it at once.
 
-A mistake is one line: the path to the key, what was expected there, and the nearest key for one that does not
-exist. Lists count from 1, as a person counts the tables of a file: `product[2].expiry_ms`.
+Each error is one line: the path to the key, what was expected there, and for an unknown key the most similar
+known one. List positions in paths count from 1, as in `product[2].expiry_ms`.
 """
 
 from __future__ import annotations
@@ -17,27 +17,31 @@
 KeyPath = tuple[int | str, ...]
 
 MAX_FILE_BYTES = 4 * 2**20
-MIN_KEY_SIMILARITY = 0.5  # of difflib, from which on a key is offered in place of an unknown one
+MIN_KEY_SIMILARITY = 0.5  # difflib ratio; less similar keys are not suggested for an unknown one
 
 
 class FileError(ValueError):
-    """A file that cannot be used; its text has one line a mistake."""
+    """A file that cannot be used; the text has one line for each error, with the file's path.
 
-    def __init__(self, path: str, mistakes: list[str]) -> None:
-        super().__init__("\n".join(f"{path}: {line}" for line in mistakes))
-        self.mistakes = mistakes
+    Attributes:
+        messages: the errors without the file's path.
+    """
+
+    def __init__(self, path: str, messages: list[str]) -> None:
+        super().__init__("\n".join(f"{path}: {line}" for line in messages))
+        self.messages = messages
 
 
 def read_file(path: str, model: type[Model], version: int) -> Model:
     """Reads a TOML file into a model.
 
     Args:
-        path: the file.
+        path: the file's path.
         model: the model whose fields are the file's keys.
-        version: what the file's `version` must be.
+        version: the required value of the key `version`.
 
     Raises:
-        FileError: the file cannot be read, is of another version, or has mistakes.
+        FileError: the file cannot be read, has another version, or is invalid.
     """
     document = _parse_toml(path, _read_bytes(path))
     if not document:
@@ -48,7 +52,7 @@
     try:
         return model.model_validate(document)
     except ValidationError as error:
-        raise FileError(path, _describe_mistakes(error, model)) from error
+        raise FileError(path, _format_errors(error, model)) from error
 
 
 def _read_bytes(path: str) -> bytes:
@@ -69,11 +73,11 @@
         raise FileError(path, [f"not TOML: {error}"]) from error
 
 
-def _describe_mistakes(error: ValidationError, model: type[BaseModel]) -> list[str]:
-    return [_describe_mistake(details, model) for details in error.errors(include_url=False)]
+def _format_errors(error: ValidationError, model: type[BaseModel]) -> list[str]:
+    return [_format_error(details, model) for details in error.errors(include_url=False)]
 
 
-def _describe_mistake(details: Any, model: type[BaseModel]) -> str:
+def _format_error(details: Any, model: type[BaseModel]) -> str:
     location: KeyPath = details["loc"]
     path = _format_path(location)
     match details["type"]:
@@ -112,11 +116,11 @@
 
 
 def _keys_of_table(model: Any, location: KeyPath) -> list[str]:
-    """Returns the keys that the table at a location may have; none where it is no table."""
+    """Returns the keys that the table at a location may have; none if the location is not a table."""
     for part in location:
         if isinstance(part, str) and _is_table(model):
             model = model.model_fields[part].annotation
-        model = _strip_containers(model)
+        model = _unwrap_annotation(model)
     return list(model.model_fields) if _is_table(model) else []
 
 
@@ -124,8 +128,8 @@
     return isinstance(annotation, type) and issubclass(annotation, BaseModel)
 
 
-def _strip_containers(annotation: Any) -> Any:
-    """Returns the table within a list of tables, or within one that may be left out."""
+def _unwrap_annotation(annotation: Any) -> Any:
+    """Returns the item type of a list or tuple, and the type of an optional value."""
     while (origin := get_origin(annotation)) is not None:
         if origin not in (tuple, list, Union, types.UnionType):
             return origin
