--- a/drumgw/config/gateway_file.py
+++ b/drumgw/config/gateway_file.py
@@ -1,4 +1,4 @@
-"""The operator's file of one gateway (version 1), and the start-up configuration that it makes."""
+"""The configuration file of a gateway (version 1), and its conversion to a start-up configuration."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
 
 
 class GatewaySection(Section):
-    """`[gateway]`: the name, addresses and place of this gateway."""
+    """`[gateway]`: the name and addresses of this gateway, its zone, and its number among the gateways."""
 
     name: Name
     listen: Address
     discovery: Address
     counter: Address | None = None
-    seed: Annotated[str, AfterValidator(_check_seed)] | None = None  # none: a new one at each start
+    seed: Annotated[str, AfterValidator(_check_seed)] | None = None  # None: random at each start
     zone: Name = "a"
     zones: list[Name] = ["a"]
     ordinal: Annotated[int, Field(ge=0)] = 0
@@ -55,17 +55,17 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> GatewaySection:
-        """Raises ValueError where the zone is not listed or the ordinal is beyond the gateways."""
+        """Raises ValueError if the zone is not listed or the ordinal is not below the number of gateways."""
         require_unique(self.zones, "zones")
         if self.zone not in self.zones:
             raise ValueError(f"zone {self.zone!r} is none of zones")
         if self.ordinal >= self.gatekeepers:
-            raise ValueError(f"ordinal {self.ordinal} counts from 0 and gatekeepers is {self.gatekeepers}")
+            raise ValueError(f"ordinal {self.ordinal} must be below gatekeepers, which is {self.gatekeepers}")
         return self
 
 
 class GatewayFile(Section):
-    """The file. Its fields are the file's keys."""
+    """The whole file. The field names are the file's keys."""
 
     version: Literal[1]
     gateway: GatewaySection
@@ -79,7 +79,7 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> GatewayFile:
-        """Raises ValueError where a name is given twice."""
+        """Raises ValueError if two request classes, plans or endpoints have the same name."""
         require_unique((request_class.name for request_class in self.product), "product")
         require_unique((plan.name for plan in self.plan), "plan")
         require_unique((endpoint.id for endpoint in self.worker), "worker")
@@ -87,12 +87,12 @@
 
 
 def read_gateway_file(path: str) -> GatewayFile:
-    """Reads and checks the file; raises FileError with every mistake in it."""
+    """Reads and validates the file; raises FileError with all errors in it."""
     return read_file(path, GatewayFile, VERSION)
 
 
 def gateway_configuration(file: GatewayFile) -> JsonObject:
-    """Returns what the JSON file named by GW_CONFIG would hold."""
+    """Returns the start-up configuration in the form of the JSON file that GW_CONFIG names."""
     gateway = file.gateway
     placement = GatewayPlacement(
         zone=gateway.zone,
