--- a/drumgw/config/host_file.py
+++ b/drumgw/config/host_file.py
@@ -1,4 +1,4 @@
-"""The operator's file of a host (version 1) and the spec of a tenant, which the API takes in JSON."""
+"""The configuration file of a host (version 1), and the tenant spec, which the API accepts as JSON."""
 
 from __future__ import annotations
 
@@ -39,25 +39,26 @@
 PathPrefix = Annotated[str, Field(pattern=r"^(/[A-Za-z0-9._~-]{1,64}){0,8}$")]
 TenantName = Annotated[str, Field(pattern=r"^[a-z0-9]([a-z0-9-]{0,22}[a-z0-9])?$")]
 
-# How long discovery may hold a tenant's watch. The shorter polls that one gateway uses would take the whole
-# event loop with hundreds of tenants; the price is that a shorter outage of discovery is noticed late
-# (docs/hosting.md).
+# How long discovery may delay its response to a tenant's watch. With hundreds of tenants, the shorter polls
+# of a single gateway would use up the whole event loop. The drawback is that an outage of discovery that is
+# shorter than this is noticed late (docs/hosting.md).
 TENANT_WATCH_TIMEOUT_MS = 1000.0
 
-# A tenant's service listens nowhere: the host's listener serves all tenants.
+# Placeholder for the required listen address: a tenant's service opens no listener, as the host's listener
+# accepts the requests of all tenants.
 NO_LISTENER = "127.0.0.1:0"
 TENANT_SOCKETS = 1024
 
 
 class RouteSection(Section):
-    """`[[tenant.route]]`: any host where `host` is empty, all paths where `path` is."""
+    """`[[tenant.route]]`: an empty `host` matches any host, an empty `path` all paths."""
 
     host: HostName = ""
     path: PathPrefix = ""
 
 
 class TenantSpec(Section):
-    """What an operator or a tenant says of a tenant. Its fields are the file's and the API's keys."""
+    """The specification of a tenant. The field names are the keys of the file and of the API."""
 
     route: Annotated[list[RouteSection], Field(min_length=1, max_length=64)]
     weight: Annotated[float, Field(gt=0, le=1000)] = 1.0
@@ -73,7 +74,7 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> TenantSpec:
-        """Raises ValueError where a name is given twice or the zone is not listed."""
+        """Raises ValueError if a name or route is given twice or the zone is not listed."""
         require_unique((request_class.name for request_class in self.product), "product")
         require_unique((plan.name for plan in self.plan), "plan")
         require_unique((endpoint.id for endpoint in self.worker), "worker")
@@ -84,39 +85,39 @@
 
 
 class NamedTenantSpec(TenantSpec):
-    """`[[tenant]]`, or the body of a create: a spec with the tenant's name."""
+    """`[[tenant]]`, or the body of a request that creates a tenant: a spec with the tenant's name."""
 
     name: TenantName
 
     def spec(self) -> JsonObject:
-        """Returns the spec without the name, as the registry stores it."""
+        """Returns the spec without the name, in the form that the registry stores."""
         return self.model_dump(mode="json", exclude={"name"})
 
 
 class HostSection(Section):
-    """`[host]`: the addresses and limits of the host itself."""
+    """`[host]`: the name, addresses and limits of the host process."""
 
     name: Name
     listen: Address
     api: Address = "127.0.0.1:9090"
-    api_beyond_loopback: bool = False  # says that a proxy which speaks TLS stands before it
-    state: str | None = None  # a folder that lasts; none: tenants come from this file, the API reads only
+    api_beyond_loopback: bool = False  # allowed behind a proxy that terminates TLS
+    state: str | None = None  # persistent folder; None: tenants come from this file, the API is read-only
     ordinal: Annotated[int, Field(ge=0)] = 0
     gatekeepers: Count = 1
-    txns: Annotated[int, Field(ge=2, le=10**6)] | None = None  # in flight; none: a third of the sockets
+    txns: Annotated[int, Field(ge=2, le=10**6)] | None = None  # in flight; None: a third of the sockets
 
     @model_validator(mode="after")
     def check_consistency(self) -> HostSection:
-        """Raises ValueError for an ordinal beyond the gateways, or an API that would leak its tokens."""
+        """Raises ValueError if the ordinal is too large, or tokens would cross a network in the clear."""
         if self.ordinal >= self.gatekeepers:
-            raise ValueError(f"ordinal {self.ordinal} counts from 0 and gatekeepers is {self.gatekeepers}")
+            raise ValueError(f"ordinal {self.ordinal} must be below gatekeepers, which is {self.gatekeepers}")
         if not self.api_beyond_loopback and not self.api.startswith("127."):
-            raise ValueError("api is beyond loopback: tokens pass in the clear; see api_beyond_loopback")
+            raise ValueError("api is not on loopback: tokens pass in the clear; see api_beyond_loopback")
         return self
 
 
 class TokenSection(Section):
-    """`[[token]]`: an administrator's token, known by its hash."""
+    """`[[token]]`: an administrator's token, stored as its SHA-256 hash."""
 
     id: Name
     role: Literal["operator", "tenant"]
@@ -125,14 +126,14 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> TokenSection:
-        """Raises ValueError where the role and the tenant contradict each other."""
+        """Raises ValueError if role `tenant` has no tenant or role `operator` has one."""
         if (self.role == "tenant") != (self.tenant is not None):
-            raise ValueError("role tenant names its tenant, role operator none")
+            raise ValueError("role tenant requires a tenant, role operator allows none")
         return self
 
 
 class HostFile(Section):
-    """The file. Its fields are the file's keys."""
+    """The whole file. The field names are the file's keys."""
 
     version: Literal[1]
     host: HostSection
@@ -143,14 +144,14 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> HostFile:
-        """Raises ValueError where a name is given twice."""
+        """Raises ValueError if two tenants or tokens have the same name."""
         require_unique((tenant.name for tenant in self.tenant), "tenant")
         require_unique((token.id for token in self.token), "token")
         return self
 
 
 def read_host_file(path: str) -> HostFile:
-    """Reads and checks the file; raises FileError with every mistake in it."""
+    """Reads and validates the file; raises FileError with all errors in it."""
     return read_file(path, HostFile, VERSION)
 
 
@@ -159,8 +160,8 @@
 ) -> GatewayConfig:
     """Returns the configuration of a tenant's service.
 
-    The names of its counters start with the tenant's name and serial number. So tenants with customers of one
-    number share no count, nor does a tenant share one with a removed tenant of its name.
+    Counter keys start with the tenant's name and serial number. Otherwise customers with the same number in
+    two tenants would share a counter, and so would a tenant and a removed tenant of the same name.
     """
     placement = GatewayPlacement(
         zone=spec.zone,
