--- a/drumgw/config/platform_settings.py
+++ b/drumgw/config/platform_settings.py
@@ -1,7 +1,8 @@
-"""Maps the tables of operators' files to the platform's start-up settings: the one table of both names.
+"""Converts the sections of configuration files to start-up settings in the platform's format.
 
-Left are the keys that the platform gives at a start (drumgw/model/settings_reader.py reads them), right the
-keys of the files (drumgw/config/sections.py).
+In the dictionaries below, the keys are those of the platform's settings (read by
+drumgw/model/settings_reader.py), and the attributes are the keys of the files (drumgw/config/sections.py).
+The two vocabularies are mapped to each other only here.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 
 JsonObject = dict[str, Any]
 
-IDEMPOTENCY = {"inquiry-like": "repeatable", "referenced": "by_key", "once-only": "once"}
+IDEMPOTENCY_BY_REPEAT = {"inquiry-like": "repeatable", "referenced": "by_key", "once-only": "once"}
 
 
 @dataclass(frozen=True)
 class GatewayPlacement:
-    """Where a gateway stands among the gateways and zones of its service."""
+    """The position of a gateway among the gateways and zones of its service."""
 
     zone: str
     zones: Sequence[str]
@@ -41,7 +42,7 @@
     allowed: AllowedSection,
     placement: GatewayPlacement,
 ) -> JsonObject:
-    """Returns the start-up settings of one gateway, as the platform would give them."""
+    """Returns the start-up settings of one gateway, in the platform's format."""
     return {
         "az": placement.zone,
         "zones": list(placement.zones),
@@ -63,7 +64,7 @@
 
 
 def known_endpoint_list(endpoints: Sequence[KnownEndpointSection]) -> JsonObject:
-    """Returns the endpoints of a file in the form in which discovery would list them."""
+    """Returns the endpoints of a file as an endpoint list in discovery's format."""
     rows = [
         {
             "instanceId": endpoint.id,
@@ -83,7 +84,7 @@
 def _request_class_settings(request_class: RequestClassSection) -> JsonObject:
     return {
         "name": request_class.name,
-        "idempotency": IDEMPOTENCY[request_class.repeat],
+        "idempotency": IDEMPOTENCY_BY_REPEAT[request_class.repeat],
         "group": request_class.group,
         "gain": request_class.value,
         "lateWorth": request_class.late_value,
