--- a/drumgw/config/sections.py
+++ b/drumgw/config/sections.py
@@ -1,7 +1,7 @@
-"""The tables that operators' files share: request classes, plans, rules, limits, known endpoints, the log.
+"""Sections that several kinds of configuration file share.
 
-The fields are the keys of the files, in the operators' words: they are an edge and keep their names.
-platform_settings.py maps them to the platform's settings.
+The field names are the keys of the files, so renaming one breaks operators' files; some differ from the names
+that the program uses. platform_settings.py maps them to the platform's settings.
 """
 
 from __future__ import annotations
@@ -33,20 +33,20 @@
 
 
 def require_unique(names: Iterable[str], key: str) -> None:
-    """Raises ValueError where a name is given twice: two tables of one name contradict each other."""
+    """Raises ValueError if a name is given twice: two tables with the same name would be ambiguous."""
     for name, count in Counter(names).items():
         if count > 1:
             raise ValueError(f"{key}: the name {name!r} is given twice")
 
 
 class Section(BaseModel):
-    """A table of a file. A key that it does not have is a mistake."""
+    """A table of a file. Unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
 
 class RequestClassSection(Section):
-    """`[[product]]`: a kind of request, its priority weight, latency objective, deadline and idempotency."""
+    """`[[product]]`: a request class: its priority weight, latency objective, deadline and idempotency."""
 
     name: Name
     value: PositiveAmount = 1.0
@@ -59,14 +59,14 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> RequestClassSection:
-        """Raises ValueError where the latency objective lies beyond the deadline."""
+        """Raises ValueError if the latency objective exceeds the deadline."""
         if self.sla_ms > self.expiry_ms:
             raise ValueError(f"sla_ms {self.sla_ms:g} is beyond expiry_ms {self.expiry_ms:g}")
         return self
 
 
 class PlanSection(Section):
-    """`[[plan]]`: the quota that a customer bought, what is done beyond it, and its ceiling."""
+    """`[[plan]]`: a quota, how requests beyond it are valued, a concurrency cap and a ceiling."""
 
     name: Name
     units_per_s: Amount = 0.0
@@ -81,7 +81,7 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> PlanSection:
-        """Raises ValueError where a quota or a ceiling could never let a request through."""
+        """Raises ValueError if the quota or ceiling holds less than a unit, or the ceiling rate is lower."""
         if self.units_per_s and self.burst_units < 1:
             raise ValueError("a plan with units_per_s needs burst_units of 1 or more")
         if self.ceiling_per_s and not (self.ceiling_burst >= 1 and self.ceiling_per_s >= self.units_per_s):
@@ -90,7 +90,7 @@
 
 
 class RulesSection(Section):
-    """`[rules]`: what must hold of endpoints that warm up or drain."""
+    """`[rules]`: the drain grace, the warm-up model of endpoints, and the slack for late responses."""
 
     drain_grace_ms: Amount = 250.0
     cold_from: Annotated[float, Field(gt=0, le=1)] = 0.2
@@ -101,7 +101,7 @@
 
 
 class AllowedSection(Section):
-    """`[allowed]`: what a gateway may do."""
+    """`[allowed]`: limits on attempts, connections, Retry-After, counter calls and units per request."""
 
     submissions: Annotated[int, Field(ge=1, le=10)] = 3
     second_copies: bool = False
@@ -114,7 +114,7 @@
 
 
 class LimitsSection(Section):
-    """`[limits]`: what the process may use of its machine."""
+    """`[limits]`: the resources that the process may use."""
 
     sockets: Annotated[int, Field(ge=64, le=10**6)] = 1024
     memory_mb: Count = 192
@@ -122,14 +122,14 @@
 
 
 class LogSection(Section):
-    """`[log]`: the form and the level of the log."""
+    """`[log]`: the format and the minimum level of log lines."""
 
     form: Literal["text", "json"] = "text"
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
 
 
 class KnownEndpointSection(Section):
-    """`[[worker]]`: an endpoint known before discovery is heard."""
+    """`[[worker]]`: an endpoint that can be used before discovery has responded."""
 
     id: Name
     address: Address
