--- a/drumgw/config/sections.py
+++ b/drumgw/config/sections.py
@@ -81,7 +81,7 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> PlanSection:
-        """Raises ValueError if the quota or ceiling holds less than a unit, or the ceiling rate is lower."""
+        """Raises ValueError if a burst is below 1 unit, or the ceiling's rate is below the quota's."""
         if self.units_per_s and self.burst_units < 1:
             raise ValueError("a plan with units_per_s needs burst_units of 1 or more")
         if self.ceiling_per_s and not (self.ceiling_burst >= 1 and self.ceiling_per_s >= self.units_per_s):
