--- a/drumgw/cli/exit_codes.py
+++ b/drumgw/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""How a command ends: its exit code, and the message of one that cannot do its work."""
+"""Exit codes of the commands, and the way in which they report a fatal error."""
 
 from __future__ import annotations
 
@@ -10,23 +10,26 @@
 
 
 class ExitCode(IntEnum):
-    """The exit codes of all commands; the help text and docs/configuration.md name them too."""
+    """Exit codes of all commands. EXIT_CODES_HELP and docs/configuration.md list them too."""
 
     DONE = 0
-    RULE_BROKEN = 1
-    UNUSABLE_INPUT = 2
+    RULE_VIOLATED = 1
+    INVALID_INPUT = 2
     CANNOT_RUN = 3
     STOPPED = 130
 
 
 EXIT_CODES_HELP = (
-    "Exit codes: 0 done; 1 a rule was broken, or a run is invalid; 2 unusable input; "
+    "Exit codes: 0 success; 1 a rule was violated, or a run is invalid; 2 invalid input; "
     "3 the scenario could not be run; 130 stopped by a signal."
 )
 
 
-def exit_with_error(error: object, code: ExitCode = ExitCode.UNUSABLE_INPUT) -> NoReturn:
-    """Prints an error to standard error and ends; an error of several lines names its file in each."""
+def exit_with_error(error: object, code: ExitCode = ExitCode.INVALID_INPUT) -> NoReturn:
+    """Prints an error to standard error and exits.
+
+    An error of several lines has no prefix "drumgw: ", as each of its lines starts with the file's path.
+    """
     message = str(error)
     click.echo(message if "\n" in message else f"drumgw: {message}", err=True)
     sys.exit(code)
--- a/drumgw/cli/lab_commands.py
+++ b/drumgw/cli/lab_commands.py
@@ -1,4 +1,4 @@
-"""drumgw lab: scenarios played against gateways in the testbed, and reports on them."""
+"""`drumgw lab`: runs scenarios against gateways in the testbed, and reports on the runs."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @click.group()
 def lab() -> None:
-    """The testbed: play a scenario against gateways, check the rules, report."""
+    """Run scenarios in the testbed, check the rules, and report."""
 
 
 @lab.command("run")
@@ -23,14 +23,14 @@
 @click.option(
     "--virtual",
     is_flag=True,
-    help="On a virtual clock in this process, instead of real gateways on sockets.",
+    help="Run on a virtual clock in this process, instead of with real gateways on sockets.",
 )
 @click.option(
-    "--out", type=click.Path(file_okay=False), help="Where to leave the run.  [default: runs/NAME-SEED]"
+    "--out", type=click.Path(file_okay=False), help="Folder for the run's files.  [default: runs/NAME-SEED]"
 )
-@click.option("--quiet", is_flag=True, help="Print nothing but broken rules.")
+@click.option("--quiet", is_flag=True, help="Print rule violations only.")
 def run_scenario(scenario: str, seed: int, virtual: bool, out: str | None, quiet: bool) -> None:
-    """Play SCENARIO, a scenario file, with real gateways on loopback, or on a virtual clock."""
+    """Run the scenario file SCENARIO with real gateways on loopback, or on a virtual clock."""
     from drumgw.config.file_reader import FileError
     from drumgw.testbed import runner
     from drumgw.testbed.report import format_runs, violation_lines
@@ -56,15 +56,15 @@
     "--against",
     multiple=True,
     type=click.Path(exists=True, file_okay=False),
-    help="A run to set beside them; may be given several times.",
+    help="A run to compare RUNS with; may be given several times.",
 )
-@click.option("--json", "as_json", is_flag=True, help="The figures for programs.")
-@click.option("--plots", type=click.Path(file_okay=False), help="Draw plots into this folder.")
+@click.option("--json", "as_json", is_flag=True, help="Print the figures as JSON.")
+@click.option("--plots", type=click.Path(file_okay=False), help="Write plots to this folder.")
 @click.option("--form", type=click.Choice(["svg", "png"]), default="svg", show_default=True)
 def report(
     runs: tuple[str, ...], against: tuple[str, ...], as_json: bool, plots: str | None, form: str
 ) -> None:
-    """Report on RUNS, folders that `lab run` left: together with their spread, or beside others."""
+    """Report on RUNS, folders written by `lab run`: means with their spread, or a comparison."""
     from drumgw.config.file_reader import FileError
     from drumgw.testbed import report as reports
     from drumgw.testbed.event_log import EventLogError
@@ -81,17 +81,17 @@
     else:
         click.echo(reports.format_runs(figures))
     if plots is not None:
-        _draw(figures, plots, form)
+        _write_plots(figures, plots, form)
     sys.exit(_exit_code(figures))
 
 
-def _draw(figures: list[dict[str, Any]], folder: str, form: str) -> None:
+def _write_plots(figures: list[dict[str, Any]], folder: str, form: str) -> None:
     from drumgw.testbed.plots import plot_runs
 
     for path in plot_runs(figures, folder, form):
-        click.echo(f"drawn: {path}")
+        click.echo(f"plot written: {path}")
 
 
 def _exit_code(figures: list[dict[str, Any]]) -> ExitCode:
-    broken = any(run["breaches"] or not run["valid"] for run in figures)
-    return ExitCode.RULE_BROKEN if broken else ExitCode.DONE
+    has_failed = any(run["breaches"] or not run["valid"] for run in figures)
+    return ExitCode.RULE_VIOLATED if has_failed else ExitCode.DONE
