--- a/drumgw/cli/__init__.py
+++ b/drumgw/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one module for each group of commands, and the runners that they import when called."""
+"""Command line: one module for each group of commands, and the runners that these import when called."""
--- a/drumgw/cli/__main__.py
+++ b/drumgw/cli/__main__.py
@@ -1,6 +1,6 @@
-"""drumgw: the command line.
+"""The `drumgw` command.
 
-The commands import what they need when they are called: `drumgw --help` loads no gateway and no testbed.
+Subcommands import their dependencies when called, so that `drumgw --help` loads neither gateway nor testbed.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def installed_version() -> str:
-    """Returns the version of the installed package, if it is installed."""
+    """Returns the version of the installed package; "not installed" when run from a source tree."""
     try:
         return version("drumgw")
     except PackageNotFoundError:
