--- a/drumgw/cli/admin_client.py
+++ b/drumgw/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Calls the administration API of a host over HTTP."""
+"""HTTP client of a host's administration API."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class ApiResponse(NamedTuple):
-    """What the API answered.
+    """A response of the API.
 
     Attributes:
-        headers: as received.
-        body: the JSON.
+        headers: by name as received.
+        body: the parsed JSON; None for an empty body.
     """
 
     headers: dict[str, str]
@@ -27,7 +27,7 @@
 
 
 class ApiProblemError(click.ClickException):
-    """The API answered with problem details, which go to standard error as they are; exit code 1."""
+    """The API responded with problem details (RFC 9457). Printed to standard error; the exit code is 1."""
 
     def __init__(self, status: int, problem: dict[str, Any]) -> None:
         lines = [f"{problem.get('title', status)}: {problem.get('detail', '')}"]
@@ -35,12 +35,12 @@
         super().__init__("\n".join(lines))
 
     def show(self, file: Any = None) -> None:
-        """Prints the problem; click would put "Error:" before it."""
+        """Prints the problem without the prefix "Error:" that click would add."""
         click.echo(self.message, err=True)
 
 
 class AdminClient:
-    """A caller of the API with its token."""
+    """Client of the API at one address, with a bearer token."""
 
     def __init__(self, api: str, token: str) -> None:
         self._api = api
@@ -50,46 +50,46 @@
         """Calls the API.
 
         Args:
-            method: of HTTP.
-            path: with its query.
-            body: sent as JSON, unless it is None.
-            **headers: sent too; underscores in their names become dashes.
+            method: the HTTP method.
+            path: the path, with the query string if there is one.
+            body: sent as JSON; None sends no body.
+            **headers: further request headers; underscores in their names become dashes.
 
         Raises:
-            ApiProblemError: the API did not do it.
-            click.ClickException: the API cannot be reached, or what answers is no such API.
+            ApiProblemError: the status of the response is 400 or above.
+            click.ClickException: the API cannot be reached, or its response is not HTTP with JSON.
         """
-        fields = {"Authorization": f"Bearer {self._token}"}
-        fields |= {name.replace("_", "-"): value for name, value in headers.items()}
+        request_headers = {"Authorization": f"Bearer {self._token}"}
+        request_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
         content = None
         if body is not None:
             content = json.dumps(body).encode()
-            fields["Content-Type"] = "application/json"
-        status, response = self._exchange(method, path, content, fields)
+            request_headers["Content-Type"] = "application/json"
+        status, response = self._exchange(method, path, content, request_headers)
         if status >= 400:
             raise ApiProblemError(status, response.body)
         return response
 
     def _exchange(
-        self, method: str, path: str, content: bytes | None, fields: dict[str, str]
+        self, method: str, path: str, content: bytes | None, request_headers: dict[str, str]
     ) -> tuple[int, ApiResponse]:
         connection = http.client.HTTPConnection(self._api, timeout=CALL_TIMEOUT_S)
         try:
-            connection.request(method, path, content, fields)
-            answer = connection.getresponse()
-            body = json.loads(answer.read() or b"null")
-            return answer.status, ApiResponse(dict(answer.getheaders()), body)
+            connection.request(method, path, content, request_headers)
+            http_response = connection.getresponse()
+            body = json.loads(http_response.read() or b"null")
+            return http_response.status, ApiResponse(dict(http_response.getheaders()), body)
         except (OSError, http.client.HTTPException, ValueError) as error:
-            raise click.ClickException(f"no answer from the API at {self._api}: {error}") from error
+            raise click.ClickException(f"no valid response from the API at {self._api}: {error}") from error
         finally:
             connection.close()
 
-    def current_version(self, tenant: str) -> str:
-        """Returns the entity tag of a tenant, for If-Match."""
+    def current_etag(self, tenant: str) -> str:
+        """Returns the entity tag of a tenant's current version, for use in If-Match."""
         return self.call("GET", tenant_path(tenant)).headers["ETag"]
 
     def wait_for_operation(self, operation: Any, timeout_s: float) -> Any:
-        """Polls a long-running operation until it ends or the time is over; returns its last state."""
+        """Polls a long-running operation until it ends or the time-out expires; returns it as last read."""
         deadline = time.monotonic() + timeout_s
         while operation["state"] == "running" and time.monotonic() < deadline:
             time.sleep(POLL_INTERVAL_S)
@@ -98,10 +98,10 @@
 
 
 def tenant_path(name: str) -> str:
-    """Returns the path of a tenant."""
+    """Returns the API path of a tenant, with the name percent-encoded."""
     return f"/v1/tenants/{quote(name, safe='')}"
 
 
 def operation_path(operation_id: str) -> str:
-    """Returns the path of a long-running operation."""
+    """Returns the API path of a long-running operation, with the id percent-encoded."""
     return f"/v1/operations/{quote(operation_id, safe='')}"
--- a/drumgw/cli/tenant_commands.py
+++ b/drumgw/cli/tenant_commands.py
@@ -1,4 +1,4 @@
-"""drumgw tenants: the administration API from the command line."""
+"""`drumgw tenants`: calls the administration API of a host."""
 
 from __future__ import annotations
 
@@ -16,18 +16,21 @@
 
 
 @click.group()
-@click.option("--api", default="127.0.0.1:9090", show_default=True, help="Where the host's API listens.")
-@click.option("--token-file", type=click.Path(), help="Holds the token.  [default: $DRUMGW_TOKEN]")
+@click.option("--api", default="127.0.0.1:9090", show_default=True, help="Address of the host's API.")
+@click.option("--token-file", type=click.Path(), help="File that holds the token.  [default: $DRUMGW_TOKEN]")
 @click.pass_context
 def tenants(context: click.Context, api: str, token_file: str | None) -> None:
-    """Manage the tenants of a host. What is printed is JSON; refusals go to standard error, exit code 1."""
+    """Manage the tenants of a host.
+
+    All subcommands but list print JSON. API errors go to standard error, with exit code 1.
+    """
     context.obj = AdminClient(api, _read_token(token_file))
 
 
 @tenants.command("list")
 @click.pass_obj
 def list_tenants(client: AdminClient) -> None:
-    """A line each: name, state, version."""
+    """List all tenants, one a line: name, state, version."""
     after: str | None = ""
     while after is not None:
         query = urlencode({"after": after, "limit": PAGE_SIZE})
@@ -39,20 +42,20 @@
 
 @tenants.command("show")
 @click.argument("name")
-@click.option("--use", "usage", is_flag=True, help="What it uses now, in place of what it is made of.")
+@click.option("--use", "usage", is_flag=True, help="Show current usage instead of the specification.")
 @click.pass_obj
 def show_tenant(client: AdminClient, name: str, usage: bool) -> None:
-    """What NAME is made of."""
+    """Show the specification of tenant NAME."""
     path = tenant_path(name) + ("/use" if usage else "")
     _print_json(client.call("GET", path).body)
 
 
 @tenants.command()
 @click.argument("file")
-@click.option("--key", help="Idempotency key: a repeat under it acts once.")
+@click.option("--key", help="Idempotency key: repeated calls with the same key take effect once.")
 @click.pass_obj
 def create(client: AdminClient, file: str, key: str | None) -> None:
-    """Create the tenant that FILE (JSON; - for standard input) describes."""
+    """Create a tenant from FILE, a specification in JSON (- for standard input)."""
     headers = {"Idempotency_Key": key} if key else {}
     _print_json(client.call("POST", "/v1/tenants", _read_json(file), **headers).body)
 
@@ -60,12 +63,12 @@
 @tenants.command()
 @click.argument("name")
 @click.argument("file")
-@click.option("--part", type=click.Choice(["plans", "routes", "limits"]), help="Only that.")
-@click.option("--version", help="Made from this version.  [default: the one that stands]")
+@click.option("--part", type=click.Choice(["plans", "routes", "limits"]), help="Replace this part only.")
+@click.option("--version", help="Fail unless this is the current version.  [default: the current one]")
 @click.pass_obj
 def replace(client: AdminClient, name: str, file: str, part: str | None, version: str | None) -> None:
-    """Replace what NAME is made of by FILE."""
-    if_match = f'"{version}"' if version else client.current_version(name)
+    """Replace the specification of tenant NAME, or a part of it, with FILE."""
+    if_match = f'"{version}"' if version else client.current_etag(name)
     path = tenant_path(name) + (f"/{part}" if part else "")
     _print_json(client.call("PUT", path, _read_json(file), If_Match=if_match).body)
 
@@ -74,7 +77,7 @@
 @click.argument("operation_id", metavar="NAME")
 @click.pass_obj
 def show_operation(client: AdminClient, operation_id: str) -> None:
-    """How far an operation is."""
+    """Show the state of operation NAME."""
     _print_json(client.call("GET", operation_path(operation_id)).body)
 
 
@@ -86,20 +89,22 @@
         "wait_s",
         type=click.FloatRange(0, MAX_WAIT_S),
         default=0.0,
-        help="Seconds to wait for its end.",
+        help="Seconds to wait for the operation to end.",
     )
     @click.pass_obj
     def run(client: AdminClient, name: str, wait_s: float) -> None:
-        if_match = client.current_version(name)
+        if_match = client.current_etag(name)
         result = client.call(method, tenant_path(name) + subpath, If_Match=if_match).body
         is_operation = "kind" in result
         _print_json(client.wait_for_operation(result, wait_s) if is_operation else result)
 
 
-_add_state_command("suspend", "POST", "/suspend", "Reject the requests of NAME.")
-_add_state_command("resume", "POST", "/resume", "Serve NAME again.")
-_add_state_command("drain", "POST", "/drain", "Take nothing new for NAME; its requests in flight finish.")
-_add_state_command("remove", "DELETE", "", "Remove NAME; its requests in flight finish.")
+_add_state_command("suspend", "POST", "/suspend", "Reject all requests of tenant NAME.")
+_add_state_command("resume", "POST", "/resume", "Serve the requests of tenant NAME again.")
+_add_state_command(
+    "drain", "POST", "/drain", "Accept no new requests of tenant NAME; complete those in flight."
+)
+_add_state_command("remove", "DELETE", "", "Remove tenant NAME; complete its requests in flight.")
 
 
 def _read_token(path: str | None) -> str:
