--- a/drumgw/cli/gateway_commands.py
+++ b/drumgw/cli/gateway_commands.py
@@ -1,4 +1,4 @@
-"""drumgw serve, drumgw check: one gateway from an operator's file."""
+"""`drumgw serve` and `drumgw check`: run a gateway from a configuration file, or check the file."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 if TYPE_CHECKING:
     from drumgw.config.gateway_file import GatewayFile
 
-MAX_COUNTER_LOSS_S = 86400
+MAX_COUNTER_OUTAGE_S = 86400
 
 
 @click.command()
 @click.argument("config", type=click.Path(dir_okay=False))
-@click.option("--json-logs", is_flag=True, help="Log lines as JSON objects, whatever the file says.")
+@click.option("--json-logs", is_flag=True, help="Write log lines as JSON objects, whatever the file says.")
 def serve(config: str, json_logs: bool) -> None:
-    """Run one gateway as CONFIG, an operator's file, says. SIGTERM ends it, SIGHUP reads it again."""
+    """Run one gateway from the configuration file CONFIG. SIGTERM stops it, SIGHUP reloads CONFIG."""
     from drumgw.cli.gateway_runner import run_gateway
     from drumgw.config.file_reader import FileError
     from drumgw.gateway.process_config import ConfigError
@@ -32,22 +32,22 @@
 
 @click.command()
 @click.argument("config", type=click.Path(dir_okay=False))
-@click.option("--show", is_flag=True, help="Print the configuration that it makes, as JSON.")
+@click.option("--show", is_flag=True, help="Print the resulting start-up configuration as JSON.")
 @click.option(
     "--lost",
-    "lost_s",
-    type=click.FloatRange(0, MAX_COUNTER_LOSS_S),
+    "counter_outage_s",
+    type=click.FloatRange(0, MAX_COUNTER_OUTAGE_S),
     default=10.0,
     show_default=True,
-    help="Seconds for which the counter is lost, for the bounds on quotas.",
+    help="Length of a counter outage in seconds, for the quota bounds.",
 )
 @click.option(
-    "--set", "gateways_per_customer", type=click.IntRange(1), help="Gateways of a customer.  [default: all]"
+    "--set", "gateways_per_customer", type=click.IntRange(1), help="Gateways per customer.  [default: all]"
 )
-def check(config: str, show: bool, lost_s: float, gateways_per_customer: int | None) -> None:
-    """Check CONFIG, an operator's file: every mistake in it, each on a line with the path to its key.
+def check(config: str, show: bool, counter_outage_s: float, gateways_per_customer: int | None) -> None:
+    """Check the configuration file CONFIG. Each error is one line with the path to its key.
 
-    Of a usable one it says how far quotas can be passed while the counter is lost.
+    For a valid file, print how far customers can exceed their quotas during an outage of the counter.
     """
     from drumgw.config.file_reader import FileError
     from drumgw.config.gateway_file import gateway_configuration, read_gateway_file
@@ -69,13 +69,13 @@
     )
     if gateway.counter is not None:
         gateway_count = min(gateways_per_customer or gateway.gatekeepers, gateway.gatekeepers)
-        _print_quota_bounds(file, gateway_count, lost_s)
+        _print_quota_bounds(file, gateway_count, counter_outage_s)
 
 
-def _print_quota_bounds(file: GatewayFile, gateway_count: int, lost_s: float) -> None:
+def _print_quota_bounds(file: GatewayFile, gateway_count: int, counter_outage_s: float) -> None:
     from drumgw.config.quota_bounds import describe_bound, sending_bound
 
     for plan in file.plan:
-        bound = sending_bound(plan, gateway_count, lost_s)
+        bound = sending_bound(plan, gateway_count, counter_outage_s)
         if bound is not None:
-            click.echo(describe_bound(bound, gateway_count, lost_s))
+            click.echo(describe_bound(bound, gateway_count, counter_outage_s))
