--- a/drumgw/cli/gateway_runner.py
+++ b/drumgw/cli/gateway_runner.py
@@ -1,4 +1,4 @@
-"""Runs one gateway from an operator's file (`drumgw serve`)."""
+"""Runs one gateway from a configuration file (`drumgw serve`)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """Serves until SIGTERM.
 
     Args:
-        path: the operator's file.
+        path: the configuration file; read again at SIGHUP.
         json_logs: whether log lines are JSON objects, whatever the file says.
 
     Raises:
@@ -26,10 +26,10 @@
     file = read_gateway_file(path)
     configure_logging(file.log, as_json=json_logs)
 
-    def read_again() -> GatewayConfig:
+    def reread_config() -> GatewayConfig:
         try:
             return parse_config(gateway_configuration(read_gateway_file(path)), {})
         except FileError as error:
             raise ConfigError("; ".join(error.messages)) from error
 
-    uvloop.run(serve(parse_config(gateway_configuration(file), os.environ), read_again))
+    uvloop.run(serve(parse_config(gateway_configuration(file), os.environ), reread_config))
