--- a/drumgw/cli/host_commands.py
+++ b/drumgw/cli/host_commands.py
@@ -1,4 +1,4 @@
-"""drumgw host, drumgw token: many tenants in one process, and the tokens of their administrators."""
+"""`drumgw host` and `drumgw token`: run a host of many tenants, and create tokens for its API."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--check", "only_check", is_flag=True, help="Only say whether FILE is usable.")
+@click.option("--check", "only_check", is_flag=True, help="Check FILE and exit.")
 def host(file: str, only_check: bool) -> None:
-    """Run a host of many tenants as FILE says. SIGTERM ends it; SIGHUP reads its tokens again."""
+    """Run a host of many tenants from its configuration FILE. SIGTERM stops it, SIGHUP reloads tokens."""
     from drumgw.cli.host_runner import describe_host_file, run_host
     from drumgw.config.file_reader import FileError
     from drumgw.gateway.process_config import ConfigError
@@ -27,7 +27,7 @@
 
 @click.command()
 def token() -> None:
-    """Make an administrator's token: the first line is shown once, the second is for the host's file."""
+    """Create an administrator's token. It is shown only now; its hash belongs in the host's file."""
     from drumgw.hosting.authentication import create_token
 
     text, digest = create_token()
