--- a/drumgw/cli/host_runner.py
+++ b/drumgw/cli/host_runner.py
@@ -1,4 +1,4 @@
-"""Runs or checks a host of many tenants from an operator's file (`drumgw host`)."""
+"""Runs a host of many tenants from a configuration file, or checks the file (`drumgw host`)."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 
 def run_host(path: str) -> None:
-    """Serves until SIGTERM; raises FileError or ConfigError where the file cannot be used."""
+    """Serves until SIGTERM; raises FileError or ConfigError if the file cannot be used."""
     file = read_checked_host_file(path)
     configure_logging(file.log)
     uvloop.run(serve(file, lambda: read_host_file(path)))
 
 
 def describe_host_file(path: str) -> str:
-    """Returns a line on a usable file; raises FileError or ConfigError for another."""
+    """Returns a one-line summary of a valid file; raises FileError or ConfigError for an invalid one."""
     file = read_checked_host_file(path)
-    source = f"stored in {file.host.state}" if file.host.state else "of this file; the API reads only"
+    source = f"stored in {file.host.state}" if file.host.state else "from this file, read-only in the API"
     return f"{path}: usable: {len(file.tenant)} tenant(s), {len(file.token)} token(s), tenants {source}"
 
 
 def read_checked_host_file(path: str) -> HostFile:
-    """Reads a file whose tenants can be served together.
+    """Reads a file and checks that all its tenants can be served together.
 
     Raises:
-        FileError: the file has mistakes.
-        ConfigError: two tenants have one route, or no service can be made of a tenant's settings.
+        FileError: the file cannot be read or is invalid.
+        ConfigError: two tenants share a route, or a tenant's settings cannot be used.
     """
     file = read_host_file(path)
     registry = TenantRegistry()
