--- a/drumgw/cli/logging_setup.py
+++ b/drumgw/cli/logging_setup.py
@@ -1,4 +1,4 @@
-"""The log of a process that was started from an operator's file."""
+"""Sets up the log of a process that runs from a configuration file."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def configure_logging(log: LogSection, as_json: bool = False) -> None:
-    """Logs to standard error in the form and from the level that the file says.
+    """Sends log lines to standard error, in the format and from the level that the file sets.
 
     Args:
-        log: the file's section.
+        log: the section `[log]` of the file.
         as_json: whether lines are JSON objects, whatever the file says.
     """
     logger.remove()
