--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator adapter: what it replies, what it says of bad lines, and what it forgets."""
+"""The simulator adapter: its replies, its errors for invalid lines, and the removal of retired instances."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     "keyTtlMs": 5000.0,
     "lateWorth": 0.2,
     "onTimeMs": 900.0,
-    "unheardOf": 1,
+    "unknownKey": 1,
 }
 PLAN = {
     "name": "p",
@@ -58,7 +58,7 @@
 
 
 def begin_message(**options: Any) -> dict[str, Any]:
-    """The start of instance 1, with some options replaced."""
+    """Returns a message that starts instance 1, with some options replaced."""
     return {"Begin": {"who": 1, "seed": 5, "options": {**OPTIONS, **options}}}
 
 
@@ -86,70 +86,70 @@
 
 
 @dataclass
-class Played:
-    """What came back for one round."""
+class RoundResult:
+    """The adapter's output for one round."""
 
     exit_code: int
     reply: list[Any]
     errors: str
 
     def fields_of(self, name: str) -> list[Any]:
-        """The fields of the reply's messages of one name."""
+        """Returns the fields of all messages in the reply that have this name."""
         return [message[name] for message in self.reply if name in message]
 
 
-def play(*messages: Any, at_ms: float = 50.0) -> Played:
-    """Plays one round; a message given as text is sent as it is."""
+def run_round(*messages: Any, at_ms: float = 50.0) -> RoundResult:
+    """Sends one round to the adapter; a message given as text is sent unchanged."""
     round_messages = ({"Round": {"tMs": at_ms}}, *messages, {"Flush": {}})
     lines = [message if isinstance(message, str) else json.dumps(message) for message in round_messages]
     sink = io.StringIO()
     errors = io.StringIO()
     exit_code = serve(io.StringIO("\n".join(lines) + "\n"), sink, errors)
     reply = [json.loads(line) for line in sink.getvalue().splitlines()]
-    return Played(exit_code, reply, errors.getvalue().strip())
+    return RoundResult(exit_code, reply, errors.getvalue().strip())
 
 
 class SimulatorAdapterTest(unittest.TestCase):
-    """One round, played over the program's streams."""
+    """Single rounds, sent through the program's streams."""
 
     def test_request_is_forwarded(self) -> None:
-        played = play(*BEGIN_MESSAGES, REQUEST_MESSAGE)
-        self.assertEqual((played.exit_code, played.errors), (0, ""))
-        self.assertIn({"Deliver": {"who": 1, "rid": 3, "worker": 9, "stopAtMs": 950.0}}, played.reply)
-        self.assertEqual(played.reply[-1], {"Next": {}})
+        result = run_round(*BEGIN_MESSAGES, REQUEST_MESSAGE)
+        self.assertEqual((result.exit_code, result.errors), (0, ""))
+        self.assertIn({"Deliver": {"who": 1, "rid": 3, "worker": 9, "stopAtMs": 950.0}}, result.reply)
+        self.assertEqual(result.reply[-1], {"Next": {}})
 
-    def test_retired_instance_is_forgotten_and_begins_afresh(self) -> None:
-        """An instance is retired with an attempt in flight, and another begins under its number.
+    def test_instance_number_is_reused_without_state_of_the_retired_instance(self) -> None:
+        """An instance is retired with an attempt in flight, and another one starts with the same number.
 
-        The client then disconnects. The new instance does not know the request, so it cancels nothing.
+        When the client then disconnects, the new instance must not cancel the attempt of the old one.
         """
-        played = play(
+        result = run_round(
             *BEGIN_MESSAGES,
             REQUEST_MESSAGE,
             {"Retire": {"who": 1}},
             *BEGIN_MESSAGES,
             {"Left": {"who": 1, "rid": 3}},
         )
-        self.assertEqual((played.exit_code, played.errors), (0, ""))
-        self.assertEqual(played.fields_of("Cancel"), [])
+        self.assertEqual((result.exit_code, result.errors), (0, ""))
+        self.assertEqual(result.fields_of("Cancel"), [])
 
-    def test_retired_instance_takes_no_more_messages(self) -> None:
-        """A message for an instance that was retired is an error, as for one that never began."""
+    def test_message_for_a_retired_instance_is_an_error(self) -> None:
+        """The error is the same as for an instance that was never started."""
         disconnect = {"Left": {"who": 1, "rid": 3}}
-        played = play(*BEGIN_MESSAGES, {"Retire": {"who": 1}}, disconnect)
-        self.assertEqual((played.exit_code, played.errors), (2, "line 6: Left: instance 1 is not running"))
+        result = run_round(*BEGIN_MESSAGES, {"Retire": {"who": 1}}, disconnect)
+        self.assertEqual((result.exit_code, result.errors), (2, "line 6: Left: instance 1 is not running"))
 
     def test_list_number_reused_within_a_round(self) -> None:
-        """The simulator sends two endpoint lists under one number, each followed by its update.
+        """The simulator sends two endpoint lists with the same number, each followed by its update.
 
-        The second list counts for the second update: the request goes to its endpoint.
+        The second update must use the second list, so the request is forwarded to the endpoint in it.
         """
         second_rows = {"SnapshotRows": {"rosterId": 0, "entries": [{**ENDPOINT_ROW, "worker": 8}]}}
         second_update = {"Endpoints": {"who": 1, "revision": 2, "rosterId": 0, "form": "snapshot"}}
-        played = play(*BEGIN_MESSAGES, second_rows, second_update, REQUEST_MESSAGE)
-        self.assertEqual([fields["worker"] for fields in played.fields_of("Deliver")], [8])
+        result = run_round(*BEGIN_MESSAGES, second_rows, second_update, REQUEST_MESSAGE)
+        self.assertEqual([fields["worker"] for fields in result.fields_of("Deliver")], [8])
 
-    def test_bad_lines_are_named(self) -> None:
+    def test_invalid_lines_are_reported_with_their_number(self) -> None:
         query_fields = REQUEST_MESSAGE["Query"]
         no_deadline = {"Query": {key: value for key, value in query_fields.items() if key != "graceMs"}}
         cases: list[tuple[list[Any], str]] = [
@@ -162,5 +162,5 @@
         ]
         for messages, expected in cases:
             with self.subTest(expected):
-                played = play(*messages)
-                self.assertEqual((played.exit_code, played.errors), (2, expected))
+                result = run_round(*messages)
+                self.assertEqual((result.exit_code, result.errors), (2, expected))
