--- a/tests/test_operator_files.py
+++ b/tests/test_operator_files.py
@@ -1,4 +1,4 @@
-"""Operators' files of one gateway: what they make, and every mistake in them with its path."""
+"""Configuration files of a gateway: the resulting settings, and the errors reported for invalid files."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 GATEWAY_TOML = GATEWAY_FILE.read_text()
 
 
-class GatewayFiles(CommandLineCase):
-    """`drumgw check` on usable and unusable files."""
+class GatewayFileTest(CommandLineCase):
+    """`drumgw check` on valid and invalid files."""
 
-    def mistakes(self, text: str) -> list[str]:
-        """Returns the lines that `drumgw check` prints for an unusable file, without the file's name."""
+    def error_lines(self, text: str) -> list[str]:
+        """Returns the lines that `drumgw check` prints for an invalid file, without the file's path."""
         result = self.drumgw("check", self.write_file(text))
         self.assertEqual(result.exit_code, 2, result.output)
         return [line.split("file.toml: ", 1)[1] for line in result.output.splitlines()]
 
-    def test_the_example_makes_a_configuration(self) -> None:
+    def test_example_file_is_valid_and_converted_to_settings(self) -> None:
         result = self.drumgw("check", str(GATEWAY_FILE))
         self.assertEqual(result.exit_code, 0, result.output)
         self.assertIn("usable: n0 at 127.0.0.1:8080", result.output)
@@ -34,28 +34,28 @@
         shown = json.loads(self.drumgw("check", "--show", str(GATEWAY_FILE)).output)
         self.assertEqual(shown["settings"]["classes"][1]["idempotency"], "once")
 
-    def test_every_mistake_is_reported_at_once_with_its_path(self) -> None:
+    def test_all_errors_are_reported_at_once_with_their_paths(self) -> None:
         text = (
             GATEWAY_TOML.replace("expiry_ms = 2500", "expiri_ms = 2500")
             .replace('zone = "a"', 'zone = "q"', 1)
             .replace("units_per_s = 1", "units_per_s = nan")
             .replace('repeat = "once-only"', 'repeat = "twice"')
-            .replace("[limits]", "[limits]\nsockets = 3\nmarvel = 1")
+            .replace("[limits]", "[limits]\nsockets = 3\nunknown = 1")
         )
-        mistakes = "\n".join(self.mistakes(text + "\n[spare]\nx = 1\n"))
+        output = "\n".join(self.error_lines(text + "\n[spare]\nx = 1\n"))
         for line in (
             "gateway: zone 'q' is none of zones",
             "limits.sockets: expected greater than or equal to 64, found 3",
-            "limits.marvel: no such key; expected one of sockets, memory_mb, cores",
+            "limits.unknown: no such key; expected one of sockets, memory_mb, cores",
             "product[2].expiri_ms: no such key; did you mean 'expiry_ms'?",
             "product[2].expiry_ms: missing",
             "product[2].repeat: expected 'inquiry-like', 'referenced' or 'once-only', found 'twice'",
             "plan[1].units_per_s: expected a finite number, found nan",
             "spare: no such key",
         ):
-            self.assertIn(line, mistakes)
+            self.assertIn(line, output)
 
-    def test_contradictions_and_what_is_no_file_are_one_line_each(self) -> None:
+    def test_contradictions_and_unreadable_files_are_reported_in_one_line(self) -> None:
         same_names = GATEWAY_TOML.replace('name = "sold-copy"', 'name = "preview"')
         late_objective = GATEWAY_TOML.replace("sla_ms = 3000", "sla_ms = 99000")
         for text, line in (
@@ -68,6 +68,6 @@
             (late_objective, "sla_ms 99000 is beyond expiry_ms"),
             (GATEWAY_TOML.replace('"127.0.0.1:8080"', '"8080"'), "gateway.listen: expected host:port"),
         ):
-            mistakes = self.mistakes(text)
-            self.assertTrue(len(mistakes) == 1 and line in mistakes[0], mistakes)
+            errors = self.error_lines(text)
+            self.assertTrue(len(errors) == 1 and line in errors[0], errors)
         self.assertIn("No such file", self.drumgw("check", str(self.folder / "none")).output)
