--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: help, `drumgw serve`, and the testbed's runs on a virtual clock with their reports."""
+"""The command line: help, imports, `drumgw serve`, and `drumgw lab` on a virtual clock."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from tests.scenarios import DEFAULT_VALUES, SCENARIO_TEMPLATE
 
 
-class Commands(CommandLineCase):
-    """Help, imports and `drumgw serve`."""
+class CommandTest(CommandLineCase):
+    """Help texts, imports and `drumgw serve`."""
 
-    def test_help_says_what_each_command_is_for(self) -> None:
+    def test_each_command_has_a_help_text(self) -> None:
         for command in ((), ("serve",), ("check",), ("lab",), ("lab", "run"), ("lab", "report")):
             result = self.drumgw(*command, "--help")
             self.assertEqual((result.exit_code, "Usage:" in result.output), (0, True))
@@ -24,8 +24,8 @@
         self.assertIn("version", self.drumgw("--version").output)
         self.assertEqual(self.drumgw("lab", "run").exit_code, 2)
 
-    def test_run_imports_none_of_it(self) -> None:
-        """Someone imports a tool's library in the gateway, and each start takes longer and more memory.
+    def test_gateway_process_imports_no_libraries_of_the_tools(self) -> None:
+        """Importing a library of the tools in the gateway would make each start slower and use more memory.
 
         `python -m drumgw` must load neither the schema library nor the command line nor the testbed.
         """
@@ -37,8 +37,8 @@
         result = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True)
         self.assertEqual(result.stdout.strip(), "[]")
 
-    def test_serve_logs_json_keeps_the_old_file_on_a_bad_new_one_and_ends_with_0(self) -> None:
-        """An operator writes a file with a mistake and sends SIGHUP: the gateway says so and serves on."""
+    def test_serve_logs_json_rejects_an_invalid_reload_and_exits_with_0(self) -> None:
+        """SIGHUP with an error in the file is logged, and the gateway keeps its configuration."""
         text = re.sub(r'listen = ".*"', 'listen = "127.0.0.1:0"', GATEWAY_FILE.read_text())
         path = self.write_file(text)
         process = subprocess.Popen(
@@ -62,19 +62,19 @@
         self.assertEqual(process.wait(), 0)
 
 
-class LabRuns(CommandLineCase):
+class LabCommandTest(CommandLineCase):
     """`drumgw lab` on a virtual clock."""
 
-    def rejection(self, text: str) -> str:
-        """Returns what `drumgw lab run` prints for an unusable scenario; nothing was started."""
+    def error_output(self, text: str) -> str:
+        """Returns what `drumgw lab run` prints for an invalid scenario; checks that no run was started."""
         result = self.drumgw("lab", "run", self.write_file(text), "--out", str(self.folder / "out"))
         self.assertEqual((result.exit_code, (self.folder / "out").exists()), (2, False), result.output)
         return result.output
 
-    def test_an_impossible_scenario_is_refused_before_anything_starts(self) -> None:
+    def test_invalid_scenario_is_rejected_before_anything_starts(self) -> None:
         text = SCENARIO_TEMPLATE.format(**DEFAULT_VALUES)
         fault = '\n[[trouble]]\nkind = "{}"\nat_s = 1\n{}\n'
-        for bad, line in (
+        for invalid, line in (
             ("", "empty"),
             (text[: len(text) // 2], "file.toml: "),
             (text + "[fleet]\n", "not TOML"),
@@ -83,14 +83,14 @@
             (text + fault.format("silent", "part = 1"), "'silent' needs for_s"),
             (text + fault.format("zone lost", 'zone = "q"\nfor_s = 1'), "no such zone 'q'"),
             (text + fault.format("crash", "worker = 6\nfor_s = 1"), "numbered 0 to 5"),
-            (text + fault.format("marvel", ""), "trouble[1].kind: expected"),
+            (text + fault.format("unknown", ""), "trouble[1].kind: expected"),
             (text + fault.format("kill", "part = 1").replace("at_s = 1", "at_s = 9"), "after the scenario's"),
             (text.replace("number = 20", "number = 900000\nuse = 2"), "more than 2000000"),
             (text.replace('plan = "flagship"', 'plan = "gold"'), "no such plan 'gold'"),
         ):
-            self.assertIn(line, self.rejection(bad))
+            self.assertIn(line, self.error_output(invalid))
 
-    def test_runs_are_reported_beside_each_other_and_drawn(self) -> None:
+    def test_runs_are_reported_compared_and_plotted(self) -> None:
         path = self.write_file(SCENARIO_TEMPLATE.format(**DEFAULT_VALUES))
         for seed in ("1", "2"):
             out = str(self.folder / seed)
@@ -99,8 +99,8 @@
         runs = [str(self.folder / seed) for seed in ("1", "2")]
         both = self.drumgw("lab", "report", *runs, "--plots", str(self.folder / "plots"))
         self.assertRegex(both.output, r"2 run\(s\), seed 1, 2\n(.|\n)*±(.|\n)*rules kept")
-        drawn = sorted(path.name for path in (self.folder / "plots").iterdir())
-        self.assertEqual(drawn, ["load.svg", "over-time.svg"])
+        plots = sorted(path.name for path in (self.folder / "plots").iterdir())
+        self.assertEqual(plots, ["load.svg", "over-time.svg"])
         self.assertIn(b"<svg", (self.folder / "plots" / "load.svg").read_bytes())
         compared = self.drumgw("lab", "report", runs[0], "--against", runs[1])
         self.assertRegex(compared.output, r"whole, served +0\.\d+ +0\.\d+ +[+-]")
@@ -108,8 +108,8 @@
         self.assertEqual([run["seed"] for run in figures], [1, 2])
         self.assertEqual(figures[0], json.loads((self.folder / "1" / "figures.json").read_text()))
 
-    def test_a_broken_rule_or_a_cut_event_log_is_exit_code_1(self) -> None:
-        """A run's event log has no end, or lacks an answer: no figure of it may be taken for a good run's."""
+    def test_rule_violations_and_incomplete_event_logs_have_exit_code_1(self) -> None:
+        """An event log without its end, or without a response, must not be reported as a valid run."""
         path = self.write_file(SCENARIO_TEMPLATE.format(**DEFAULT_VALUES))
         out = self.folder / "out"
         event_log = out / "record.jsonl"
@@ -126,6 +126,6 @@
         event_log.write_text("{}\n")
         self.assertEqual(self.drumgw("lab", "report", str(out)).exit_code, 2)
 
-    def test_the_scenario_files_of_the_examples_can_be_read(self) -> None:
+    def test_example_scenarios_are_valid(self) -> None:
         names = {read_scenario(str(path)).name for path in (EXAMPLES / "days").glob("*.toml")}
         self.assertEqual(names, {"calm", "herd-200", "lost-200", "replaced-200", "swapped", "troubled"})
