--- a/drumgw/hosting/errors.py
+++ b/drumgw/hosting/errors.py
@@ -1,6 +1,7 @@
-"""What the administration API answers in place of a result: one exception a cause.
+"""The errors of the administration API: one exception class for each cause.
 
-Each has the status and the title of its problem details (RFC 9457). Nothing was changed where one is raised.
+Each carries the status and title of its problem details (RFC 9457). An operation that raises one has changed
+nothing.
 """
 
 from __future__ import annotations
@@ -11,20 +12,20 @@
 
 @dataclass(frozen=True)
 class FieldError:
-    """A mistake in a body: a JSON pointer to the field, and what is wrong there."""
+    """An invalid field: a JSON pointer into the body, or the name of a parameter or header, and the error."""
 
     pointer: str
     detail: str
 
 
 class ApiError(Exception):
-    """A call that is not done.
+    """A failed API call, sent to the caller as problem details.
 
     Attributes:
         status: the HTTP status.
-        title: a few words for the kind of problem, the same each time.
-        detail: this problem, in one line.
-        field_errors: the fields that caused it, if any did.
+        title: a short text that is the same for every error of the class; HttpStatusError sets it per error.
+        detail: this occurrence of the problem, in one line.
+        field_errors: the fields that caused the error; empty if it concerns the call as a whole.
     """
 
     status = 500
@@ -37,14 +38,14 @@
 
 
 class InternalError(ApiError):
-    """A fault of this program; the log has its trace."""
+    """An unhandled exception in this program; its traceback is in the log."""
 
     def __init__(self) -> None:
-        super().__init__("a fault of our own; nothing was changed")
+        super().__init__("internal error; nothing was changed")
 
 
 class HttpStatusError(ApiError):
-    """A status that the HTTP library chose: unknown path, method not allowed, body too large."""
+    """An error that the HTTP library raised: unknown path, method not allowed, body too large."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -52,58 +53,58 @@
         self.title = reason
 
 
-# Who calls
+# Authentication, authorization and limits
 
 
 class AuthenticationRequiredError(ApiError):
-    """The call has no token that this host knows."""
+    """The call has no token, or one that is unknown to this host."""
 
     status = 401
     title = "No token"
 
     def __init__(self) -> None:
-        super().__init__("say Authorization: Bearer and a token of this host")
+        super().__init__("send Authorization: Bearer with a valid token of this host")
 
 
 class PermissionDeniedError(ApiError):
-    """The token is known but does not permit this."""
+    """The token is valid, but its role does not permit the operation on this resource."""
 
     status = 403
     title = "Not yours"
 
 
 class ReadOnlyError(ApiError):
-    """A change was requested on a host without a state folder."""
+    """A change was requested on a host without a state folder, where it would not survive a restart."""
 
     status = 405
     title = "Read only"
 
     def __init__(self) -> None:
-        super().__init__("tenants come from the operator's file: no folder lasts here")
+        super().__init__("no state folder is set: tenants are defined by the operator's file only")
 
 
 class TooManyCallsError(ApiError):
-    """As many calls as the host takes are open already."""
+    """The limit of concurrent API calls is reached."""
 
     status = 429
     title = "Too many calls"
 
     def __init__(self, max_calls: int) -> None:
-        super().__init__(f"{max_calls} calls are open")
+        super().__init__(f"limit of {max_calls} concurrent API calls reached")
 
 
-# What was sent
+# Invalid requests
 
 
 class MalformedBodyError(ApiError):
-    """The body is no JSON."""
+    """The body cannot be parsed as JSON."""
 
     status = 400
     title = "Not JSON"
 
 
 class OutOfRangeError(ApiError):
-    """A parameter or header is beyond its range."""
+    """A query parameter or header has a value or length outside its range."""
 
     status = 400
     title = "Out of range"
@@ -113,37 +114,37 @@
 
 
 class BodyTimeoutError(ApiError):
-    """The body was not received in time."""
+    """The body was not received within the time limit."""
 
     status = 408
     title = "Too slow"
 
     def __init__(self) -> None:
-        super().__init__("the body was not complete in time")
+        super().__init__("the request body was not received within the time limit")
 
 
 class UnsupportedMediaTypeError(ApiError):
-    """The body is declared as something else than JSON."""
+    """The Content-Type is not application/json."""
 
     status = 415
     title = "Not JSON"
 
     def __init__(self) -> None:
-        super().__init__("say Content-Type: application/json")
+        super().__init__("the Content-Type must be application/json")
 
 
 class InvalidSpecError(ApiError):
-    """A spec that is JSON but cannot be used."""
+    """The body is JSON, but not a valid spec, or no gateway can be configured from it."""
 
     status = 422
     title = "Unusable"
 
 
-# What stands
+# Missing resources and conflicts with the stored state
 
 
 class TenantNotFoundError(ApiError):
-    """There is no tenant of this name."""
+    """There is no tenant with this name."""
 
     status = 404
     title = "No such tenant"
@@ -153,42 +154,42 @@
 
 
 class OperationNotFoundError(ApiError):
-    """There is no such long-running operation, or it was dropped since."""
+    """The long-running operation never existed, was dropped as one of the oldest, or is another tenant's."""
 
     status = 404
     title = "No such operation"
 
 
 class InvalidTransitionError(ApiError):
-    """The tenant's state does not allow this command."""
+    """The command is not possible in the tenant's current state."""
 
     status = 409
     title = "Not now"
 
 
 class NameTakenError(ApiError):
-    """A tenant of this name exists."""
+    """A tenant with this name already exists."""
 
     status = 409
     title = "Name taken"
 
     def __init__(self, name: str) -> None:
-        detail = f"there is a tenant {name!r}"
+        detail = f"a tenant named {name!r} already exists"
         super().__init__(detail, [FieldError("/name", detail)])
 
 
 class TooManyTenantsError(ApiError):
-    """The host has as many tenants as it takes."""
+    """The limit of tenants on this host is reached."""
 
     status = 409
     title = "Full"
 
     def __init__(self, max_tenants: int) -> None:
-        super().__init__(f"there are {max_tenants} tenants")
+        super().__init__(f"limit of {max_tenants} tenants reached")
 
 
 class RouteTakenError(ApiError):
-    """Another tenant has one of the routes."""
+    """A route conflicts with one of another tenant."""
 
     status = 409
     title = "Route taken"
@@ -198,40 +199,40 @@
 
 
 class CreatedTenantGoneError(ApiError):
-    """An idempotency key came again, and what it created was removed meanwhile."""
+    """A create was repeated with its idempotency key, but its tenant has been removed since."""
 
     status = 410
     title = "Gone"
 
     def __init__(self, name: str) -> None:
-        super().__init__(f"what this key created is no more: {name!r}")
+        super().__init__(f"the tenant that this idempotency key created has been removed: {name!r}")
 
 
 class VersionMismatchError(ApiError):
-    """The tenant changed since the version that the caller read."""
+    """If-Match does not name the tenant's current version: it changed after the caller read it."""
 
     status = 412
     title = "Changed meanwhile"
 
     def __init__(self, name: str, version: int) -> None:
-        super().__init__(f"{name!r} is at version {version}")
+        super().__init__(f"tenant {name!r} is at version {version}")
 
 
 class IdempotencyKeyReusedError(ApiError):
-    """An idempotency key came again with another body."""
+    """An idempotency key was sent again with a different body."""
 
     status = 422
     title = "Key used"
 
     def __init__(self) -> None:
-        super().__init__("this idempotency key came with another body")
+        super().__init__("this idempotency key was already used with a different body")
 
 
 class VersionRequiredError(ApiError):
-    """A change without If-Match."""
+    """A change was sent without If-Match."""
 
     status = 428
     title = "Version wanted"
 
     def __init__(self) -> None:
-        super().__init__("say in If-Match which version this was made from")
+        super().__init__("If-Match must name the version that the change is based on")
