--- a/drumgw/hosting/problem_details.py
+++ b/drumgw/hosting/problem_details.py
@@ -1,4 +1,4 @@
-"""Answers of the administration API: JSON, and problem details (RFC 9457) for what is not done."""
+"""Builds the error responses of the administration API: problem details (RFC 9457)."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 
 def problem_response(error: ApiError, headers: dict[str, str] | None = None) -> web.Response:
-    """Returns the problem details of an error."""
+    """Returns an error as a problem details response.
+
+    A 401 gets the WWW-Authenticate header in place of the given headers.
+    """
     body: dict[str, Any] = {
         "type": "about:blank",
         "title": error.title,
@@ -32,15 +35,15 @@
 
 
 def allowed_methods(error: web.HTTPException) -> dict[str, str] | None:
-    """Returns the Allow header of a 405 that the HTTP library raised."""
+    """Returns the Allow header of a 405 that the HTTP library raised; None for its other errors."""
     return {"Allow": error.headers["Allow"]} if "Allow" in error.headers else None
 
 
 def invalid_spec(error: ValidationError) -> InvalidSpecError:
-    """Returns the mistakes of a body, each with the pointer to its field."""
+    """Converts a validation error; lists at most MAX_FIELD_ERRORS fields, with the total in the detail."""
     details = error.errors(include_url=False, include_input=False)[:MAX_FIELD_ERRORS]
     field_errors = [FieldError(_json_pointer(detail["loc"]), detail["msg"]) for detail in details]
-    return InvalidSpecError(f"{error.error_count()} mistake(s)", field_errors)
+    return InvalidSpecError(f"{error.error_count()} validation error(s)", field_errors)
 
 
 def _json_pointer(location: tuple[int | str, ...]) -> str:
