--- a/drumgw/hosting/authentication.py
+++ b/drumgw/hosting/authentication.py
@@ -1,6 +1,7 @@
-"""Who calls the administration API, and what each role may do. No I/O.
+"""Authentication and authorization of the administration API. No I/O.
 
-Tokens are known by their SHA-256 only: the operator's file, the memory and the log hold none.
+Only the SHA-256 of each token is kept: the operator's file, the log and the host's long-lived state never
+contain a token itself.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 
 
 class Role(Enum):
-    """What a token's holder administers; the value is what the operator's file says."""
+    """What the holder of a token administers; the value is the role's name in the operator's file."""
 
-    OPERATOR = "operator"  # the host with all its tenants
+    OPERATOR = "operator"  # the host and all its tenants
     TENANT = "tenant"  # one tenant
 
 
 class Permission(Enum):
-    """What a caller may be allowed to do; the value is the word of audit lines and refusals."""
+    """A right to an operation; the value appears in audit log lines and error messages."""
 
     DESCRIBE = "describe"
     LIST = "list"
@@ -40,9 +41,9 @@
     REPLACE_PART = "replace part"
 
 
-PERMISSIONS = {
+PERMISSIONS_BY_ROLE = {
     Role.OPERATOR: frozenset(Permission),
-    # Only with itself: is_allowed compares the tenant's name too.
+    # Limited to the caller's own tenant by is_allowed, which also compares the tenant's name.
     Role.TENANT: frozenset(
         {
             Permission.LIST,
@@ -58,19 +59,19 @@
     ),
 }
 
-# Keys of a tenant's spec that only an operator changes: they decide what other tenants get.
+# Keys of a tenant's spec that only an operator may change: routes and weights affect other tenants.
 OPERATOR_ONLY_KEYS = ("route", "weight")
 
 
 @dataclass(frozen=True)
 class ApiToken:
-    """An administrator's token.
+    """A configured access token.
 
     Attributes:
-        id: the name in audit lines.
-        role: what its holder administers.
-        tenant: the tenant of a holder with Role.TENANT.
-        sha256: the token's hash, in hexadecimal digits.
+        id: identifies the caller in audit log lines.
+        role: decides which permissions the caller has.
+        tenant: the one tenant that Role.TENANT gives access to.
+        sha256: the token's SHA-256 in lower-case hexadecimal digits.
     """
 
     id: str
@@ -80,16 +81,16 @@
 
 
 class Authenticator:
-    """Finds the token that a call came with."""
+    """Checks the bearer tokens of calls against the configured ones."""
 
     def __init__(self, tokens: Iterable[ApiToken]) -> None:
         self._tokens = tuple(tokens)
 
     def authenticate(self, authorization: str | None) -> ApiToken | None:
-        """Returns the token of an Authorization header, or None where it has none of ours.
+        """Returns the token that an Authorization header holds, or None if it holds no valid one.
 
-        Compares with all tokens in constant time each: the time of an answer says nothing of which token
-        is near.
+        Compares the hash with that of every token, each in constant time, so that response times reveal
+        neither which token matches nor how close a guess is.
         """
         scheme, _, token = (authorization or "").partition(" ")
         digest = hash_token(token.strip()) if scheme.lower() == "bearer" else ""
@@ -101,18 +102,21 @@
 
 
 def is_allowed(caller: ApiToken, permission: Permission, tenant: str | None) -> bool:
-    """Returns whether the caller may do this; tenant is the one that the call names, if it names one."""
-    if permission not in PERMISSIONS[caller.role]:
+    """Returns whether the caller has a permission on a tenant; None means that the path names no tenant."""
+    if permission not in PERMISSIONS_BY_ROLE[caller.role]:
         return False
     return caller.role is Role.OPERATOR or tenant is None or tenant == caller.tenant
 
 
 def hash_token(token: str) -> str:
-    """Returns a token's SHA-256 in hexadecimal digits."""
+    """Returns a token's SHA-256 in lower-case hexadecimal digits, as ApiToken.sha256 holds it."""
     return hashlib.sha256(token.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 def create_token() -> tuple[str, str]:
-    """Returns a new token and its hash. Only the hash is stored: the token is shown once."""
+    """Generates a random token; returns it and its hash.
+
+    Only the hash is stored, so the token cannot be shown again.
+    """
     token = secrets.token_urlsafe(TOKEN_BYTES)
     return token, hash_token(token)
