--- a/drumgw/hosting/api_operations.py
+++ b/drumgw/hosting/api_operations.py
@@ -1,6 +1,7 @@
-"""The operations of the administration API: the one table that serving and describing are made of.
+"""The table of the administration API's operations.
 
-Paths, summaries and the names of body schemas are on the wire.
+Both the routes that are served and the OpenAPI document are generated from it, so that they cannot differ.
+Paths, summaries, response descriptions and the names of body schemas are published: clients depend on them.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 TENANT_PATH = "/v1/tenants/{tenant}"
 OPERATION_PATH = "/v1/operations/{operation}"
 
-# Parts of a tenant's spec with a path of their own, and their keys in it.
-SPEC_KEYS_OF_PARTS = {"plans": "plan", "routes": "route", "limits": "allowed"}
+# Parts of a tenant's spec that can be read and replaced on their own: path segment to key of the spec.
+SPEC_KEY_BY_PART = {"plans": "plan", "routes": "route", "limits": "allowed"}
 
 
 class BodySchema(Enum):
-    """What an operation's body must be; the value is the published name of the schema."""
+    """The schema of a request body; the value is its published name in the OpenAPI document."""
 
     NAMED_SPEC = "Named"
     SPEC = "Spec"
@@ -34,13 +35,14 @@
     """An operation of the API.
 
     Attributes:
-        method: of HTTP.
-        path: with its parameters in braces.
-        permission: what a caller needs.
-        summary: for readers of the description.
-        responses: the statuses beside those that any call may get, with a word on each.
-        body: what its body must be; None for an operation without one.
-        spec_key: the key of the tenant's spec that it reads or replaces; None for all of it.
+        method: the HTTP method.
+        path: the path, with its parameters in braces.
+        permission: the permission that a caller needs.
+        summary: its summary in the OpenAPI document.
+        responses: descriptions by status, without the statuses that possible_responses adds.
+        body: the schema of its request body; None if it has no body.
+        spec_key: the key of the tenant's spec that it reads or replaces; None for the whole spec, or where
+            it does neither.
     """
 
     method: str
@@ -53,35 +55,35 @@
 
     @property
     def is_public(self) -> bool:
-        """Whether it needs no token."""
+        """Whether it can be called without a token."""
         return self.permission is Permission.DESCRIBE
 
     @property
     def is_change(self) -> bool:
-        """Whether it may change something: such calls are audited."""
+        """Whether it may change state. Such calls are audited, and fail on a host without a state folder."""
         return self.method in ("POST", "PUT", "DELETE")
 
     @property
     def requires_version(self) -> bool:
-        """Whether a caller must name the version that its change was made from."""
+        """Whether a caller must send If-Match with the version that the change is based on."""
         return 428 in self.responses
 
 
-FOUND_BY_NAME = {404: "no such tenant"}
-FOUND_AT_VERSION = {
-    **FOUND_BY_NAME,
+NOT_FOUND_RESPONSE = {404: "no such tenant"}
+VERSIONED_CHANGE_ERRORS = {
+    **NOT_FOUND_RESPONSE,
     409: "not now, or a route taken",
     412: "changed meanwhile",
     428: "no If-Match",
 }
-TENANT_FOUND = {200: "the tenant", **FOUND_BY_NAME}
-TENANT_CHANGED = {200: "the tenant", **FOUND_AT_VERSION}
-OPERATION_BEGUN = {202: "an operation to poll", **FOUND_AT_VERSION}
+TENANT_READ_RESPONSES = {200: "the tenant", **NOT_FOUND_RESPONSE}
+TENANT_CHANGE_RESPONSES = {200: "the tenant", **VERSIONED_CHANGE_ERRORS}
+OPERATION_STARTED_RESPONSES = {202: "an operation to poll", **VERSIONED_CHANGE_ERRORS}
 
-_DESCRIBE = ApiOperation(
+_OPENAPI_OPERATION = ApiOperation(
     "GET", "/openapi.json", Permission.DESCRIBE, "This text", responses={200: "OpenAPI 3.1"}
 )
-_TENANTS = [
+_TENANT_OPERATIONS = [
     ApiOperation(
         "GET",
         TENANTS_PATH,
@@ -97,13 +99,13 @@
         responses={201: "created", 409: "name or route taken", 410: "what the key created is gone"},
         body=BodySchema.NAMED_SPEC,
     ),
-    ApiOperation("GET", TENANT_PATH, Permission.READ, "Read a tenant", responses=TENANT_FOUND),
+    ApiOperation("GET", TENANT_PATH, Permission.READ, "Read a tenant", responses=TENANT_READ_RESPONSES),
     ApiOperation(
         "PUT",
         TENANT_PATH,
         Permission.REPLACE,
         "Replace what a tenant is made of",
-        responses=TENANT_CHANGED,
+        responses=TENANT_CHANGE_RESPONSES,
         body=BodySchema.SPEC,
     ),
     ApiOperation(
@@ -111,35 +113,39 @@
         TENANT_PATH,
         Permission.REMOVE,
         "Remove a tenant; its requests in flight finish",
-        responses=OPERATION_BEGUN,
+        responses=OPERATION_STARTED_RESPONSES,
     ),
 ]
-_COMMANDS = [
+_COMMAND_OPERATIONS = [
     ApiOperation(
         "POST",
         f"{TENANT_PATH}/suspend",
         Permission.SUSPEND,
         "Reject its requests",
-        responses=TENANT_CHANGED,
+        responses=TENANT_CHANGE_RESPONSES,
     ),
     ApiOperation(
-        "POST", f"{TENANT_PATH}/resume", Permission.RESUME, "Serve it again", responses=TENANT_CHANGED
+        "POST",
+        f"{TENANT_PATH}/resume",
+        Permission.RESUME,
+        "Serve it again",
+        responses=TENANT_CHANGE_RESPONSES,
     ),
     ApiOperation(
         "POST",
         f"{TENANT_PATH}/drain",
         Permission.DRAIN,
         "Take nothing new; its requests in flight finish",
-        responses=OPERATION_BEGUN,
+        responses=OPERATION_STARTED_RESPONSES,
     ),
 ]
-_STATUS = [
+_STATUS_OPERATIONS = [
     ApiOperation(
         "GET",
         f"{TENANT_PATH}/use",
         Permission.READ_USAGE,
         "Use and state now",
-        responses={200: "use", **FOUND_BY_NAME},
+        responses={200: "use", **NOT_FOUND_RESPONSE},
     ),
     ApiOperation(
         "GET",
@@ -149,16 +155,16 @@
         responses={200: "it", 404: "unknown, or long ago"},
     ),
 ]
-_PARTS = [
+_SPEC_PART_OPERATIONS = [
     operation
-    for part, spec_key in SPEC_KEYS_OF_PARTS.items()
+    for part, spec_key in SPEC_KEY_BY_PART.items()
     for operation in (
         ApiOperation(
             "GET",
             f"{TENANT_PATH}/{part}",
             Permission.READ_PART,
             f"Read its {part}",
-            responses={200: part, **FOUND_BY_NAME},
+            responses={200: part, **NOT_FOUND_RESPONSE},
             spec_key=spec_key,
         ),
         ApiOperation(
@@ -166,18 +172,24 @@
             f"{TENANT_PATH}/{part}",
             Permission.REPLACE_PART,
             f"Replace its {part}",
-            responses=TENANT_CHANGED,
+            responses=TENANT_CHANGE_RESPONSES,
             body=BodySchema(part),
             spec_key=spec_key,
         ),
     )
 ]
-OPERATIONS = (_DESCRIBE, *_TENANTS, *_COMMANDS, *_STATUS, *_PARTS)
+OPERATIONS = (
+    _OPENAPI_OPERATION,
+    *_TENANT_OPERATIONS,
+    *_COMMAND_OPERATIONS,
+    *_STATUS_OPERATIONS,
+    *_SPEC_PART_OPERATIONS,
+)
 
-ANY_CALL = {401: "no token", 403: "not yours", 429: "too many calls", 500: "a fault of ours"}
-PUBLIC_CALL = {429: ANY_CALL[429], 500: ANY_CALL[500]}
-ANY_CHANGE = {405: "read only"}
-ANY_BODY = {
+AUTHENTICATED_CALL_ERRORS = {401: "no token", 403: "not yours", 429: "too many calls", 500: "a fault of ours"}
+PUBLIC_CALL_ERRORS = {429: AUTHENTICATED_CALL_ERRORS[429], 500: AUTHENTICATED_CALL_ERRORS[500]}
+CHANGE_ERRORS = {405: "read only"}
+BODY_ERRORS = {
     400: "not JSON",
     405: "read only",
     408: "too slow",
@@ -188,11 +200,11 @@
 
 
 def possible_responses(operation: ApiOperation) -> dict[int, str]:
-    """Returns every status that a call of the operation may get, with a word on each."""
+    """Returns the description of every status that a call of the operation may get."""
     if operation.is_public:
-        return {**operation.responses, **PUBLIC_CALL}
+        return {**operation.responses, **PUBLIC_CALL_ERRORS}
     if operation.body is not None:
-        return {**ANY_CALL, **ANY_BODY, **operation.responses}
+        return {**AUTHENTICATED_CALL_ERRORS, **BODY_ERRORS, **operation.responses}
     if operation.is_change:
-        return {**ANY_CALL, **ANY_CHANGE, **operation.responses}
-    return {**ANY_CALL, **operation.responses}
+        return {**AUTHENTICATED_CALL_ERRORS, **CHANGE_ERRORS, **operation.responses}
+    return {**AUTHENTICATED_CALL_ERRORS, **operation.responses}
