--- a/drumgw/hosting/openapi.py
+++ b/drumgw/hosting/openapi.py
@@ -1,7 +1,7 @@
-"""The OpenAPI document: made of the table of operations and of the models that check their bodies.
+"""Generates the OpenAPI document from the table of operations and the models that validate request bodies.
 
-The published names of the models are mapped here, in one table: clients generate their code from them, and no
-renamed class or docstring of ours may reach them.
+Clients generate code from the document, so it must not change when a model's class or docstring does:
+PUBLISHED_SCHEMAS fixes the name and description under which each model is published.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class PublishedSchema:
-    """How a model appears in the document."""
+    """The published name and description of a model; None publishes no description."""
 
     name: str
     description: str | None = None
@@ -56,7 +56,7 @@
 
 
 def openapi_document() -> JsonObject:
-    """Returns the document, ready to be written as JSON."""
+    """Returns the OpenAPI 3.1 document as a JSON object."""
     schemas: JsonObject = {}
     paths: JsonObject = {}
     for operation in OPERATIONS:
@@ -111,12 +111,12 @@
     return parameters
 
 
-def _parameter(name: str, place: str, required: bool) -> JsonObject:
-    return {"name": name, "in": place, "required": required, "schema": {"type": "string"}}
+def _parameter(name: str, location: str, required: bool) -> JsonObject:
+    return {"name": name, "in": location, "required": required, "schema": {"type": "string"}}
 
 
 def _publish_body(body_type: Any, schemas: JsonObject) -> JsonObject:
-    """Returns the schema of a body under its published names; adds the schemas it refers to to schemas."""
+    """Returns a body's schema under published names, and adds the schemas that it references to `schemas`."""
     schema: JsonObject = TypeAdapter(body_type).json_schema(ref_template=REF_PREFIX + "{model}")
     for class_name, definition in schema.pop("$defs", {}).items():
         schemas[_PUBLISHED_BY_CLASS_NAME[class_name].name] = _publish_schema(definition)
@@ -124,7 +124,7 @@
 
 
 def _publish_schema(schema: JsonObject) -> JsonObject:
-    """Replaces a model's class name and docstring, and the class names in references."""
+    """Replaces, in place, the class name and docstring of a model and the class names in references."""
     published = _PUBLISHED_BY_CLASS_NAME.get(schema.get("title", ""))
     if published is not None:
         schema["title"] = published.name
