--- a/drumgw/hosting/admin_api.py
+++ b/drumgw/hosting/admin_api.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from drumgw.gateway.process_config import ConfigError
-from drumgw.hosting.admin_handlers import HANDLERS, AdminHandlers, ApiCall, Handler, describe
+from drumgw.hosting.admin_handlers import HANDLERS, AdminHandlers, ApiCall, Handler, openapi_response
 from drumgw.hosting.api_operations import OPERATIONS, ApiOperation
 from drumgw.hosting.authentication import ApiToken, Authenticator, is_allowed
 from drumgw.hosting.errors import (
@@ -93,7 +93,7 @@
     def _route_handler(self, operation: ApiOperation) -> Callable[[web.Request], Awaitable[web.Response]]:
         async def handle(request: web.Request) -> web.Response:
             if operation.is_public:
-                return describe()
+                return openapi_response()
             call = ApiCall(operation, request, self._authorize(operation, request))
             handler = HANDLERS[operation.permission]
             if operation.is_change:
--- a/drumgw/hosting/admin_handlers.py
+++ b/drumgw/hosting/admin_handlers.py
@@ -1,4 +1,4 @@
-"""What each operation of the administration API does, and the form of its resources on the wire."""
+"""The handlers of the administration API's operations, and the JSON representation of its resources."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 BODY_TIMEOUT_S = 5.0
 DEFAULT_PAGE_SIZE = "50"
 MAX_PAGE_SIZE = 200
-MAX_PAGE_SIZE_DIGITS = 6  # guards int() against numbers of any length
+MAX_PAGE_SIZE_DIGITS = 6  # of limit, that the range check parses: guards int() against huge numbers
 MAX_IDEMPOTENCY_KEY_LENGTH = 128
 MAX_PARSE_ERROR_LENGTH = 200
 
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class ApiCall:
-    """A permitted call: its operation, its request and its caller."""
+    """An authorized call: the operation, its HTTP request and the caller's token."""
 
     operation: ApiOperation
     request: web.Request
@@ -55,22 +55,22 @@
 
     @property
     def tenant_name(self) -> str:
-        """The tenant that the path names."""
+        """The tenant name in the path; raises KeyError for a path without one."""
         return self.request.match_info["tenant"]
 
     @property
     def if_match(self) -> str | None:
-        """The version that the change was made from, as an entity tag."""
+        """The entity tag of the version that the change is based on; None without If-Match."""
         return self.request.headers.get("If-Match")
 
 
-def describe() -> web.Response:
-    """Answers with the API's description."""
+def openapi_response() -> web.Response:
+    """Returns the OpenAPI document as a response."""
     return web.json_response(openapi_document())
 
 
 class AdminHandlers:
-    """The handlers. Those that change something return only when the change is stored."""
+    """One handler for each kind of operation. A handler that makes a change returns once it is stored."""
 
     def __init__(self, services: TenantServices) -> None:
         self._services = services
@@ -80,29 +80,29 @@
         return self._services.registry
 
     async def list_tenants(self, call: ApiCall) -> web.Response:
-        """A page of the tenants that the caller may see."""
+        """Returns a page of the tenants that the caller may see, and the name to continue after, if any."""
         after = call.request.query.get("after", "")
         limit = _parse_page_size(call.request.query.get("limit", DEFAULT_PAGE_SIZE))
-        tenants, further = self._registry.list_page(after, limit, only=call.caller.tenant)
+        tenants, next_after = self._registry.list_page(after, limit, only=call.caller.tenant)
         return web.json_response(
-            {"tenants": [tenant_resource(tenant) for tenant in tenants], "after": further}
+            {"tenants": [tenant_resource(tenant) for tenant in tenants], "after": next_after}
         )
 
     async def create(self, call: ApiCall) -> web.Response:
-        """Creates a tenant, or answers as the call before did that came with the same idempotency key."""
-        key = call.request.headers.get("Idempotency-Key")
-        if key is not None and not 1 <= len(key) <= MAX_IDEMPOTENCY_KEY_LENGTH:
+        """Creates a tenant, or returns the one that an earlier call with the same idempotency key created."""
+        idempotency_key = call.request.headers.get("Idempotency-Key")
+        if idempotency_key is not None and not 1 <= len(idempotency_key) <= MAX_IDEMPOTENCY_KEY_LENGTH:
             raise OutOfRangeError(
-                "Idempotency-Key", f"Idempotency-Key has 1 to {MAX_IDEMPOTENCY_KEY_LENGTH} characters"
+                "Idempotency-Key", f"Idempotency-Key must have 1 to {MAX_IDEMPOTENCY_KEY_LENGTH} characters"
             )
         named = parse_spec(NamedTenantSpec, await read_json(call.request))
         change = await self._services.change(
-            lambda registry: registry.create(named.name, named.spec(), idempotency_key=key)
+            lambda registry: registry.create(named.name, named.spec(), idempotency_key=idempotency_key)
         )
         return _tenant_response(change.tenant, 201, Location=f"/v1/tenants/{change.tenant.name}")
 
     async def read(self, call: ApiCall) -> web.Response:
-        """A tenant, or the part of its spec that the path names."""
+        """Returns a tenant, or the part of its spec that the path names."""
         tenant = self._registry.get(call.tenant_name)
         if call.operation.spec_key is not None:
             part = tenant.spec[call.operation.spec_key]
@@ -114,19 +114,22 @@
         body = await read_json(call.request)
         spec_key = call.operation.spec_key
 
-        def replace_in(registry: TenantRegistry) -> TenantChange:
+        def make_change(registry: TenantRegistry) -> TenantChange:
             old = registry.get(call.tenant_name).spec
-            wanted = body if spec_key is None else {**old, spec_key: body}
-            spec = parse_spec(TenantSpec, wanted).model_dump(mode="json")
+            new_spec = body if spec_key is None else {**old, spec_key: body}
+            spec = parse_spec(TenantSpec, new_spec).model_dump(mode="json")
             if call.caller.role is Role.TENANT:
                 _forbid_operator_only_changes(old, spec)
             return registry.replace_spec(call.tenant_name, spec, call.if_match)
 
-        change = await self._services.change(replace_in)
+        change = await self._services.change(make_change)
         return _tenant_response(change.tenant)
 
     async def apply_command(self, call: ApiCall) -> web.Response:
-        """Suspends, resumes, drains or removes a tenant; the last two answer with an operation to poll."""
+        """Suspends, resumes, drains or removes a tenant.
+
+        Drain and remove return a long-running operation, which the caller polls at Location.
+        """
         command = TenantCommand(call.operation.permission.value)
         change = await self._services.change(
             lambda registry: registry.apply_command(call.tenant_name, command, call.if_match)
@@ -141,15 +144,15 @@
         )
 
     async def read_usage(self, call: ApiCall) -> web.Response:
-        """What a tenant uses now."""
+        """Returns a tenant's current usage and the state of its service."""
         tenant = self._registry.get(call.tenant_name)
         return web.json_response(self._services.usage_report(tenant.name))
 
     async def read_operation(self, call: ApiCall) -> web.Response:
-        """How far a long-running operation is; a tenant sees only its own."""
+        """Returns the state of a long-running operation; a tenant's token sees only its own tenant's."""
         operation = self._registry.get_operation(call.request.match_info["operation"])
         if call.caller.role is Role.TENANT and operation.tenant != call.caller.tenant:
-            raise OperationNotFoundError("there is no such operation of yours")
+            raise OperationNotFoundError("your tenant has no such operation")
         return web.json_response(operation_resource(operation))
 
 
@@ -171,11 +174,11 @@
 }
 
 
-# The form on the wire
+# JSON representations of resources
 
 
 def tenant_resource(tenant: Tenant) -> JsonObject:
-    """Returns a tenant as the API shows it."""
+    """Returns the JSON representation of a tenant."""
     return {
         "name": tenant.name,
         "version": tenant.version,
@@ -186,7 +189,7 @@
 
 
 def operation_resource(operation: LongRunningOperation) -> JsonObject:
-    """Returns a long-running operation as the API shows it."""
+    """Returns the JSON representation of a long-running operation."""
     return {
         "id": operation.id,
         "kind": operation.kind.value,
@@ -197,7 +200,7 @@
 
 
 def entity_tag(tenant: Tenant) -> str:
-    """Returns the version of a tenant as callers name it in If-Match."""
+    """Returns a tenant's version as an entity tag, which callers send back in If-Match."""
     return f'"{tenant.version}"'
 
 
@@ -206,11 +209,15 @@
     return web.json_response(tenant_resource(tenant), status=status, headers=headers)
 
 
-# Bodies and parameters
+# Request bodies and parameters
 
 
 async def read_json(request: web.Request) -> Any:
-    """Returns the body; raises ApiError where it is late or no JSON."""
+    """Returns the parsed body of a request.
+
+    Raises:
+        ApiError: the body took longer than BODY_TIMEOUT_S, its Content-Type is wrong, or it is not JSON.
+    """
     try:
         async with asyncio.timeout(BODY_TIMEOUT_S):
             text = await request.read()
@@ -225,7 +232,7 @@
 
 
 def parse_spec(model: type[Model], body: Any) -> Model:
-    """Returns the body as a model; raises InvalidSpecError with every mistake in it."""
+    """Validates a body against a model; raises InvalidSpecError, which lists the invalid fields."""
     try:
         return model.model_validate_json(json.dumps(body))
     except ValidationError as error:
@@ -235,12 +242,12 @@
 def _parse_page_size(text: str) -> int:
     is_number = text.isascii() and text.isdigit()
     if not is_number or not 1 <= int(text[:MAX_PAGE_SIZE_DIGITS]) <= MAX_PAGE_SIZE:
-        raise OutOfRangeError("limit", f"limit is 1 to {MAX_PAGE_SIZE}")
+        raise OutOfRangeError("limit", f"limit must be 1 to {MAX_PAGE_SIZE}")
     return int(text)
 
 
 def _forbid_operator_only_changes(old: JsonObject, new: JsonObject) -> None:
     for key in OPERATOR_ONLY_KEYS:
         if new[key] != old[key]:
-            detail = f"only an operator changes {key}"
+            detail = f"only an operator may change {key}"
             raise PermissionDeniedError(detail, [FieldError(f"/{key}", detail)])
