--- a/drumgw/hosting/admin_api.py
+++ b/drumgw/hosting/admin_api.py
@@ -1,6 +1,7 @@
-"""The administration API: a listener of its own, with authentication, an audit log and a bound on its calls.
+"""The HTTP server of the administration API: routing, authorization, audit log and limits.
 
-What the operations are is said in api_operations.py, what each does in admin_handlers.py.
+It has a listener of its own. The operations are declared in api_operations.py and implemented in
+admin_handlers.py.
 """
 
 from __future__ import annotations
@@ -32,16 +33,16 @@
 MAX_OPEN_CALLS = 16
 KEEP_ALIVE_S = 10.0
 LISTEN_BACKLOG = 64
-STATUS_OF_FAULT = 500
+UNHANDLED_EXCEPTION_STATUS = 500
 
 
 class AdminApi:
-    """The listener. Its authenticator is replaced when the operator's file is read again.
+    """The listener of the API and its application.
 
     Attributes:
-        authenticator: knows the tokens.
-        open_call_count: calls that are being served.
-        app: the application with its routes.
+        authenticator: checks the callers' tokens; replaced when the operator's file is read again.
+        open_call_count: the number of calls in progress, at most MAX_OPEN_CALLS.
+        app: the aiohttp application with its routes.
     """
 
     def __init__(self, services: TenantServices, authenticator: Authenticator) -> None:
@@ -49,13 +50,15 @@
         self.open_call_count = 0
         self._services = services
         self._handlers = AdminHandlers(services)
-        self.app = web.Application(client_max_size=MAX_BODY_BYTES, middlewares=[self._guard])
+        self.app = web.Application(
+            client_max_size=MAX_BODY_BYTES, middlewares=[self._limit_calls_and_convert_errors]
+        )
         for operation in OPERATIONS:
             self.app.router.add_route(operation.method, operation.path, self._route_handler(operation))
         self._runner = web.AppRunner(self.app, access_log=None, keepalive_timeout=KEEP_ALIVE_S)
 
     async def open(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Listens, and returns the address that was bound; raises OSError where it cannot."""
+        """Starts listening and returns the bound address; raises OSError if it cannot be bound."""
         await self._runner.setup()
         site = web.TCPSite(self._runner, *address, backlog=LISTEN_BACKLOG)
         await site.start()
@@ -63,15 +66,17 @@
         return bound[0], bound[1]
 
     async def close(self) -> None:
-        """Closes the listener and its connections."""
+        """Stops listening, and closes the connections of callers."""
         await self._runner.cleanup()
 
     @web.middleware
-    async def _guard(self, request: web.Request, handler: HttpHandler) -> web.StreamResponse:
-        """Bounds the open calls, and turns whatever is raised into problem details.
+    async def _limit_calls_and_convert_errors(
+        self, request: web.Request, handler: HttpHandler
+    ) -> web.StreamResponse:
+        """Limits the concurrent calls and converts exceptions to problem details.
 
-        Guards the tenants' requests: a flood of calls, or bodies that are sent by halves, would else hold
-        memory and time of the loop that serves them.
+        The API shares its event loop with the tenants' requests: without the limit, a flood of calls or of
+        incomplete bodies would take up memory and time that those requests need.
         """
         if self.open_call_count >= MAX_OPEN_CALLS:
             return problem_response(TooManyCallsError(MAX_OPEN_CALLS), {"Retry-After": "1"})
@@ -85,7 +90,7 @@
         except ConfigError as error:
             return problem_response(InvalidSpecError(str(error)))
         except Exception as error:
-            logger.opt(exception=error).error("fault in the API: {!r}", error)
+            logger.opt(exception=error).error("unhandled exception in the administration API: {!r}", error)
             return problem_response(InternalError())
         finally:
             self.open_call_count -= 1
@@ -97,7 +102,7 @@
             call = ApiCall(operation, request, self._authorize(operation, request))
             handler = HANDLERS[operation.permission]
             if operation.is_change:
-                return await self._audited(call, handler)
+                return await self._run_audited(call, handler)
             return await handler(self._handlers, call)
 
         return handle
@@ -107,19 +112,24 @@
         if caller is None:
             raise AuthenticationRequiredError
         if not is_allowed(caller, operation.permission, request.match_info.get("tenant")):
-            raise PermissionDeniedError(f"a {caller.role.value} may not {operation.permission.value} there")
+            raise PermissionDeniedError(
+                f"role {caller.role.value} lacks permission '{operation.permission.value}' on this resource"
+            )
         return caller
 
-    async def _audited(self, call: ApiCall, handler: Handler) -> web.Response:
-        """Logs a line for each requested change, without its body and without the token."""
-        status = STATUS_OF_FAULT
-        subject = call.request.match_info.get("tenant", "")
+    async def _run_audited(self, call: ApiCall, handler: Handler) -> web.Response:
+        """Runs a handler that makes a change, and writes an audit log line whether it succeeds or fails.
+
+        The line contains neither the request body nor the token.
+        """
+        status = UNHANDLED_EXCEPTION_STATUS
+        resource = call.request.match_info.get("tenant", "")
         try:
             if self._services.state_file is None:
                 raise ReadOnlyError
             response = await handler(self._handlers, call)
             status = response.status
-            subject = response.headers.get("Location", subject)
+            resource = response.headers.get("Location", resource)
             return response
         except ApiError as error:
             status = error.status
@@ -129,4 +139,4 @@
             raise
         finally:
             permission = call.operation.permission.value
-            logger.info("audit: {} asked to {} {}: {}", call.caller.id, permission, subject, status)
+            logger.info("audit: {} asked to {} {}: {}", call.caller.id, permission, resource, status)
