--- a/drumgw/hosting/__init__.py
+++ b/drumgw/hosting/__init__.py
@@ -1,1 +1,1 @@
-"""Many tenants in one process, with an administration API (docs/tenants.md)."""
+"""Serves many tenants in one process, with an administration API to manage them (docs/tenants.md)."""
