--- a/tests/test_hosting_admin.py
+++ b/tests/test_hosting_admin.py
@@ -1,4 +1,4 @@
-"""The administration API of a host on sockets: checks, roles, versions, stored state, the command line."""
+"""Tests the administration API of a host over sockets: validation, roles, versions, state file, commands."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
 from tests.hosting_harness import OPERATOR_TOKEN, PLANS, POLL_S, TENANT_TOKEN, HostCase
 
 
-class Checks(HostCase):
-    """What is sent to the API is checked, bounded and described."""
+class ValidationAndLimits(HostCase):
+    """Validation of calls, limits on them, and the OpenAPI document."""
 
-    async def test_every_mistake_is_reported_and_nothing_is_half_applied(self) -> None:
+    async def test_invalid_calls_are_rejected_and_change_nothing(self) -> None:
         host_process = await self.start_host(await self.tenant("t1"))
-        good = await self.tenant("t2")
-        before = json.dumps(registry_to_json(host_process.services.registry))
+        valid_body = await self.tenant("t2")
+        registry_before = json.dumps(registry_to_json(host_process.services.registry))
         for body, status, pointer in (
-            ({**good, "plan": [{**PLANS[0], "units_per_s": -1.0}]}, 422, "/plan/0/units_per_s"),
-            ({**good, "plan": "p"}, 422, "/plan"),
-            ({**good, "colour": 1}, 422, "/colour"),
-            ({**good, "route": [{"host": "t1.example"}]}, 409, "/route/0"),
-            ({**good, "route": [{"host": "a/b"}]}, 422, "/route/0/host"),
-            ({**good, "name": "t1"}, 409, "/name"),
-            ({**good, "name": "T 1"}, 422, "/name"),
-            ({**good, "discovery": "nowhere"}, 422, "/discovery"),
-            ({key: value for key, value in good.items() if key != "product"}, 422, "/product"),
-            ({**good, "weight": float("nan")}, 422, "/weight"),
+            ({**valid_body, "plan": [{**PLANS[0], "units_per_s": -1.0}]}, 422, "/plan/0/units_per_s"),
+            ({**valid_body, "plan": "p"}, 422, "/plan"),
+            ({**valid_body, "colour": 1}, 422, "/colour"),
+            ({**valid_body, "route": [{"host": "t1.example"}]}, 409, "/route/0"),
+            ({**valid_body, "route": [{"host": "a/b"}]}, 422, "/route/0/host"),
+            ({**valid_body, "name": "t1"}, 409, "/name"),
+            ({**valid_body, "name": "T 1"}, 422, "/name"),
+            ({**valid_body, "discovery": "nowhere"}, 422, "/discovery"),
+            ({key: value for key, value in valid_body.items() if key != "product"}, 422, "/product"),
+            ({**valid_body, "weight": float("nan")}, 422, "/weight"),
             ([], 422, ""),
             (7, 422, ""),
         ):
@@ -59,7 +59,7 @@
             (b"x" * (MAX_BODY_BYTES + 1), 413),
         ):
             self.assertEqual((await self.call("POST", "/v1/tenants", raw=raw)).status, status)
-        response = await self.call("POST", "/v1/tenants", good, Content_Type="text/plain")
+        response = await self.call("POST", "/v1/tenants", valid_body, Content_Type="text/plain")
         self.assertEqual(response.status, 415)
         for path, status in (
             ("/v1/tenants?limit=0", 400),
@@ -70,13 +70,14 @@
         ):
             self.assertEqual((await self.call("GET", path)).status, status, path)
         self.assertEqual((await self.call("PATCH", "/v1/tenants")).status, 405)
-        self.assertEqual(json.dumps(registry_to_json(host_process.services.registry)), before)
+        self.assertEqual(json.dumps(registry_to_json(host_process.services.registry)), registry_before)
         self.assertEqual(await self.send("t1"), (200, b"t1"))
 
-    async def test_half_sent_bodies_and_a_flood_leave_serving_unharmed(self) -> None:
-        """Callers open as many calls as the API takes and send only the beginning of each body.
+    async def test_incomplete_bodies_and_excess_calls_do_not_affect_tenants(self) -> None:
+        """Guards against incomplete bodies and floods of calls that block the API or the tenants' requests.
 
-        Further calls get 429 and the tenants are served; once the callers are gone the API answers again.
+        Callers open MAX_OPEN_CALLS calls and send only the first byte of each body. Another call must get 429
+        while the tenants are served, and the API must answer again once the callers have disconnected.
         """
         host_process = await self.start_host(await self.tenant("t1"))
         writers = []
@@ -97,22 +98,22 @@
             await asyncio.sleep(POLL_S)
         self.assertEqual((await self.call("GET", "/v1/tenants")).status, 200)
 
-    async def test_the_description_says_what_is_served(self) -> None:
+    async def test_openapi_document_matches_served_operations(self) -> None:
         host_process = await self.start_host(await self.tenant("t1"))
-        status, described, _ = await self.call("GET", "/openapi.json", token=None)
-        self.assertEqual((status, described), (200, json.loads(json.dumps(openapi_document()))))
+        status, served_document, _ = await self.call("GET", "/openapi.json", token=None)
+        self.assertEqual((status, served_document), (200, json.loads(json.dumps(openapi_document()))))
         served_calls = {
             (route.method, route.resource.canonical)
             for route in host_process.api.app.router.routes()
             if route.resource and route.method != "HEAD"
         }
-        described_calls = {
-            (method.upper(), path) for path, methods in described["paths"].items() for method in methods
+        documented_calls = {
+            (method.upper(), path) for path, methods in served_document["paths"].items() for method in methods
         }
-        self.assertEqual(described_calls, served_calls)
-        self.assertEqual(described_calls, {(operation.method, operation.path) for operation in OPERATIONS})
-        references = re.findall(r'"#/components/schemas/([^"]+)"', json.dumps(described))
-        self.assertEqual(set(references) - set(described["components"]["schemas"]), set())
+        self.assertEqual(documented_calls, served_calls)
+        self.assertEqual(documented_calls, {(operation.method, operation.path) for operation in OPERATIONS})
+        references = re.findall(r'"#/components/schemas/([^"]+)"', json.dumps(served_document))
+        self.assertEqual(set(references) - set(served_document["components"]["schemas"]), set())
         for operation in OPERATIONS:
             path = operation.path.replace("{tenant}", "t1").replace("{operation}", "op-1")
             for token, body in ((OPERATOR_TOKEN, None), (TENANT_TOKEN, 7), (None, None)):
@@ -120,16 +121,16 @@
                 self.assertIn(response.status, possible_responses(operation), (operation.method, path))
 
 
-class Callers(HostCase):
-    """Roles, several administrators at once, and the audit log."""
+class RolesAndAudit(HostCase):
+    """Roles, concurrent administrators and the audit log."""
 
-    async def test_each_role_sees_and_changes_what_is_its_own(self) -> None:
+    async def test_each_role_reads_and_changes_only_what_it_may(self) -> None:
         await self.start_host(await self.tenant("t1"), await self.tenant("t2"))
         for token in (None, "", "guess", hash_token(OPERATOR_TOKEN)):
             self.assertEqual((await self.call("GET", "/v1/tenants", token=token)).status, 401)
         page = (await self.call("GET", "/v1/tenants", token=TENANT_TOKEN)).body
         self.assertEqual([tenant["name"] for tenant in page["tenants"]], ["t1"])
-        _, own, headers = await self.call("GET", "/v1/tenants/t1", token=TENANT_TOKEN)
+        _, own_tenant, headers = await self.call("GET", "/v1/tenants/t1", token=TENANT_TOKEN)
         etag = headers["ETag"]
         for path in ("", "/plans", "/use"):
             response = await self.call("GET", f"/v1/tenants/t2{path}", token=TENANT_TOKEN)
@@ -142,15 +143,19 @@
             ({"route": [{"host": "mine.example"}]}, 403),
             ({"allowed": {"submissions": 1}}, 200),
         ):
-            spec = {**own["spec"], **change}
+            spec = {**own_tenant["spec"], **change}
             response = await self.call("PUT", "/v1/tenants/t1", spec, token=TENANT_TOKEN, If_Match=etag)
             self.assertEqual(response.status, status, change)
         drain = await self.call("POST", "/v1/tenants/t2/drain", If_Match='"2"')
         response = await self.call("GET", f"/v1/operations/{drain.body['id']}", token=TENANT_TOKEN)
         self.assertEqual(response.status, 404)
 
-    async def test_administrators_at_once(self) -> None:
-        """Of many that change one version one succeeds; of many creates under one key there is one."""
+    async def test_concurrent_changes_and_creates(self) -> None:
+        """Guards against lost updates and duplicate creates.
+
+        Of concurrent changes to one version only one succeeds, and concurrent creates with one idempotency
+        key create one tenant.
+        """
         host_process = await self.start_host(await self.tenant("t1"))
         changes = [
             self.call("PUT", "/v1/tenants/t1/limits", {"submissions": 1 + n % 3}, If_Match='"1"')
@@ -165,7 +170,7 @@
         self.assertEqual(len({response.body["version"] for response in created}), 1)
         self.assertEqual(list(host_process.services.services), ["t1", "t2"])
 
-    async def test_a_line_for_each_change_without_secrets(self) -> None:
+    async def test_audit_log_has_a_line_per_change_and_no_secrets(self) -> None:
         log = self.log_lines()
         await self.start_host(await self.tenant("t1"))
         await self.call("POST", "/v1/tenants/t1/suspend", If_Match='"1"')
@@ -179,9 +184,9 @@
 
 
 class StoredState(HostCase):
-    """What a change leaves on the disk, whatever happens meanwhile."""
+    """The state file after changes, restarts, write errors and shutdown."""
 
-    async def test_what_the_api_changed_outlives_a_restart(self) -> None:
+    async def test_changes_survive_a_restart(self) -> None:
         folder = self.folder()
         first = await self.start_host(await self.tenant("t1"), state=folder)
         created = await self.call("POST", "/v1/tenants", await self.tenant("t2"))
@@ -189,7 +194,7 @@
         await self.call("DELETE", "/v1/tenants/t1", If_Match='"1"')
         while first.services.closing or first.services.awaiting_drain:
             await asyncio.sleep(POLL_S)
-        # The operator's file is for a first start: its tenant is not there
+        # The operator's file defines tenants only where no state is stored, so t3 is ignored.
         second = await self.start_host(await self.tenant("t3"), state=folder)
         self.assertEqual(list(second.services.services), ["t2"])
         self.assertEqual(await self.send("t2"), (200, b"t2"))
@@ -198,8 +203,11 @@
         with self.assertRaisesRegex(ConfigError, "newer version"):
             await self.start_host(state=folder)
 
-    async def test_a_folder_that_cannot_be_written_changes_nothing(self) -> None:
-        """The disk is full when a tenant is removed: the call fails and the tenant is served as before."""
+    async def test_failed_write_of_the_state_file_changes_nothing(self) -> None:
+        """Guards against a change that takes effect although it could not be stored.
+
+        The disk is full when a tenant is removed: the call fails and the tenant is served as before.
+        """
         host_process = await self.start_host(await self.tenant("t1"))
         assert host_process.state_file is not None
         with mock.patch.object(host_process.state_file, "save", side_effect=OSError("full")):
@@ -208,21 +216,22 @@
         self.assertEqual(await self.send("t1"), (200, b"t1"))
         self.assertEqual((await self.call("GET", "/v1/tenants/t1")).body["state"], "active")
 
-    async def test_a_stop_in_the_midst_of_a_change(self) -> None:
-        """The host is stopped while a change is being written to the disk.
+    async def test_shutdown_during_a_change_keeps_the_change(self) -> None:
+        """Guards against a stop that loses a change or reports it as failed.
 
-        The change is complete in the state file, and the caller is not answered that it failed.
+        The host is closed while a thread writes the change to disk. The state file must hold the change, and
+        the caller must get status 200 or no answer.
         """
         folder = self.folder()
         host_process = await self.start_host(await self.tenant("t1"), state=folder)
         assert host_process.state_file is not None
-        begun = threading.Event()
-        proceed = threading.Event()
+        save_started = threading.Event()
+        may_save = threading.Event()
         save = host_process.state_file.save
 
         def slow_save(content: Any) -> None:
-            begun.set()
-            proceed.wait(20)
+            save_started.set()
+            may_save.wait(20)
             save(content)
 
         with (
@@ -230,10 +239,10 @@
             mock.patch("drumgw.hosting.host_process.SHUTDOWN_LINGER_MS", 0.0),
         ):
             change = asyncio.create_task(self.call("POST", "/v1/tenants/t1/suspend", If_Match='"1"'))
-            await asyncio.to_thread(begun.wait)
+            await asyncio.to_thread(save_started.wait)
             closing = asyncio.create_task(host_process.close())
             await asyncio.sleep(0)
-            proceed.set()
+            may_save.set()
             await closing
             response = (await asyncio.gather(change, return_exceptions=True))[0]
         loaded = StateFile(folder).load()
@@ -241,18 +250,23 @@
         self.assertEqual(states, ["suspended"])
         self.assertEqual(response[0] if isinstance(response, tuple) else 200, 200)
 
-    async def test_without_a_folder_the_api_reads_only_and_says_so(self) -> None:
+    async def test_without_a_state_folder_changes_are_rejected(self) -> None:
         await self.start_host(await self.tenant("t1"), state=None)
         response = await self.call("DELETE", "/v1/tenants/t1", If_Match='"1"')
         self.assertEqual((response.status, "operator's file" in response.body["detail"]), (405, True))
         self.assertEqual((await self.call("GET", "/v1/tenants/t1")).status, 200)
 
 
-class CommandLine(HostCase):
-    """`drumgw tenants` against a host."""
+class TenantCommands(HostCase):
+    """The command `drumgw tenants` against a running host."""
 
     async def run_tenants(self, *arguments: str, body: Any = None) -> tuple[int, str]:
-        """Runs `drumgw tenants`; returns its exit code and what it printed."""
+        """Runs `drumgw tenants` with the operator's token; returns its exit code and output.
+
+        Args:
+            arguments: follow the option --api.
+            body: sent to standard input as JSON; None sends nothing.
+        """
         result = await asyncio.to_thread(
             CliRunner().invoke,
             main,
@@ -262,7 +276,7 @@
         )
         return result.exit_code, result.output
 
-    async def test_tenants_are_administered_from_the_command_line(self) -> None:
+    async def test_commands_administer_tenants(self) -> None:
         host_process = await self.start_host(await self.tenant("t1"))
         tenant = await self.tenant("t2")
         run = self.run_tenants
@@ -283,10 +297,10 @@
         self.assertEqual((await run("show", "t2"))[0], 1)
 
 
-class HostFiles(unittest.TestCase):
-    """`drumgw host --check`."""
+class HostFileCheck(unittest.TestCase):
+    """The command `drumgw host --check`."""
 
-    def test_a_host_file_is_checked_as_a_whole(self) -> None:
+    def test_host_file_check_accepts_the_example_and_reports_errors(self) -> None:
         path = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory())) / "host.toml"
         text = pathlib.Path("examples/host.toml").read_text()
         for old, new, message in (
