--- a/tests/test_hosting_openapi.py
+++ b/tests/test_hosting_openapi.py
@@ -1,4 +1,4 @@
-"""The published OpenAPI document: the names and titles that clients generate their code from."""
+"""Tests the published names and titles of the OpenAPI document, from which clients generate code."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
     "Way": "host path",
     "Worker": "address cell id kind zone",
 }
-ITEMS = {"plans": "#/components/schemas/Plan", "routes": "#/components/schemas/Way"}
+ITEM_REFERENCES = {"plans": "#/components/schemas/Plan", "routes": "#/components/schemas/Way"}
 
 
-class PublishedNames(unittest.TestCase):
-    """A renamed class or a new docstring must not reach the API's clients."""
+class PublishedDocument(unittest.TestCase):
+    """Guards against renamed model classes or changed docstrings that alter the published document."""
 
-    def test_schema_names_and_titles_stay(self) -> None:
+    def test_schema_names_and_titles_are_unchanged(self) -> None:
         schemas = openapi_document()["components"]["schemas"]
         self.assertEqual({name: schema.get("title") for name, schema in schemas.items()}, SCHEMA_TITLES)
 
-    def test_properties_and_their_titles_stay(self) -> None:
+    def test_properties_and_their_titles_are_unchanged(self) -> None:
         schemas = openapi_document()["components"]["schemas"]
         for name, properties in {**PROPERTIES, "Named": PROPERTIES["Spec"] + " name"}.items():
             with self.subTest(name):
@@ -49,11 +49,11 @@
                     if "$ref" not in schema:
                         self.assertEqual(schema["title"], key.replace("_", " ").title())
 
-    def test_descriptions_are_the_published_ones(self) -> None:
+    def test_schemas_with_descriptions_are_unchanged(self) -> None:
         schemas = openapi_document()["components"]["schemas"]
         described = {name for name, schema in schemas.items() if "description" in schema}
         self.assertEqual(described, {"Allowed", "Named", "Rules", "Spec", "Way", "Worker", "limits"})
 
-    def test_lists_refer_to_the_published_names(self) -> None:
+    def test_array_items_reference_published_names(self) -> None:
         schemas = openapi_document()["components"]["schemas"]
-        self.assertEqual({name: schemas[name]["items"]["$ref"] for name in ITEMS}, ITEMS)
+        self.assertEqual({name: schemas[name]["items"]["$ref"] for name in ITEM_REFERENCES}, ITEM_REFERENCES)
