--- a/drumgw/gateway/client_connections.py
+++ b/drumgw/gateway/client_connections.py
@@ -171,7 +171,7 @@
         self.close_was_deferred = True
         return True
 
-    def client_left(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         """Whether the client has closed the connection according to the kernel; if so, closes it here too.
 
         Prevents attempts whose client is gone. The event loop may lag by more than 0.1 s, and aiohttp stops
--- a/drumgw/gateway/endpoint_clients.py
+++ b/drumgw/gateway/endpoint_clients.py
@@ -195,7 +195,7 @@
 
         Called before the first byte of an attempt, so that nothing is sent for a client that has gone.
         """
-        if request.client_left():
+        if request.has_client_disconnected():
             self._dispatcher.client_disconnected(request.request_id)
 
     def _report(self, key: AttemptKey, result: AttemptResult) -> None:
--- a/drumgw/gateway/http_server.py
+++ b/drumgw/gateway/http_server.py
@@ -181,7 +181,9 @@
             raise BadRequestError(409, "a request with this id is in flight")
         client.enter_state(ConnectionState.IN_FLIGHT)
         head = write_head(request.method, target, request._message.raw_headers, body)
-        client_request = ClientRequest(head, body, received, client_left=client.client_left)
+        client_request = ClientRequest(
+            head, body, received, has_client_disconnected=client.has_client_disconnected
+        )
         open_request_ids.add(request_id)
         try:
             result = await dispatcher.submit(client_request)
--- a/drumgw/gateway/request_parsing.py
+++ b/drumgw/gateway/request_parsing.py
@@ -51,14 +51,15 @@
         body: The original bytes.
         received: The event for the policy engine; the request lifecycle sets its `request_id`.
         request_id: The same id; 0 until the request is submitted.
-        client_left: Returns whether the client has disconnected; called before each attempt's first byte.
+        has_client_disconnected: Returns whether the client has disconnected; called before each attempt's
+            first byte.
     """
 
     head: bytes
     body: bytes
     received: RequestReceived
     request_id: int = 0
-    client_left: Callable[[], bool] = _not_disconnected
+    has_client_disconnected: Callable[[], bool] = _not_disconnected
 
 
 def write_head(method: str, target: str, headers: Iterable[tuple[bytes, bytes]], body: bytes) -> bytes:
