--- a/drumgw/hosting/fair_turns.py
+++ b/drumgw/hosting/fair_turns.py
@@ -27,7 +27,7 @@
     admitted: Counter[str] = field(default_factory=Counter)
 
 
-class FairTurns:
+class WeightedFairLimiter:
     """Counts the latest admitted requests of each tenant and rejects the greedy ones while the loop lags.
 
     Attributes:
--- a/drumgw/hosting/request_admission.py
+++ b/drumgw/hosting/request_admission.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from drumgw.hosting.fair_turns import FairTurns
+from drumgw.hosting.fair_turns import WeightedFairLimiter
 from drumgw.hosting.resource_limits import FairShares
 
 
@@ -16,13 +16,13 @@
     Attributes:
         weights: of the tenants that are there, by key; emptied by removals.
         shares: what each tenant holds of the capacity.
-        turns: who was served lately.
+        fair_limiter: who was served lately.
     """
 
     def __init__(self, capacity: int) -> None:
         self.weights: dict[str, float] = {}
         self.shares = FairShares(capacity)
-        self.turns = FairTurns()
+        self.fair_limiter = WeightedFairLimiter()
 
     def set_weight(self, key: str, weight: float) -> None:
         """Adds a tenant or changes its weight."""
@@ -36,7 +36,7 @@
 
     def admit(self, now_ms: float, key: str) -> bool:
         """Takes a request in flight; each admitted one must be released."""
-        return self.turns.admit(now_ms, key, self.weights) and self.shares.acquire(key)
+        return self.fair_limiter.admit(now_ms, key, self.weights) and self.shares.acquire(key)
 
     def release(self, key: str) -> None:
         """Records that a request ended."""
--- a/drumgw/hosting/tenant_services.py
+++ b/drumgw/hosting/tenant_services.py
@@ -299,8 +299,8 @@
             due_ms = self.clock.now() + LAG_INTERVAL_MS
             await asyncio.sleep(LAG_INTERVAL_MS / 1000)
             late_ms = self.clock.now() - due_ms
-            turns = self.admission.turns
-            turns.lag_ms = max(late_ms, turns.lag_ms * LAG_DECAY)
+            fair_limiter = self.admission.fair_limiter
+            fair_limiter.lag_ms = max(late_ms, fair_limiter.lag_ms * LAG_DECAY)
 
 
 def _changed_keys(old: JsonObject, new: JsonObject) -> set[str]:
--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -23,7 +23,7 @@
     is_allowed,
 )
 from drumgw.hosting.errors import ApiError
-from drumgw.hosting.fair_turns import FairTurns
+from drumgw.hosting.fair_turns import WeightedFairLimiter
 from drumgw.hosting.registry_persistence import registry_from_json, registry_to_json
 from drumgw.hosting.resource_limits import FairShares
 from drumgw.hosting.routing import AmbiguousRouteError, Route, RoutingTable
@@ -124,16 +124,16 @@
         Without lag both are served. With it the rushing one is rejected until its rush is forgotten, the
         calm one never; a tenant that is alone is not rejected.
         """
-        turns = FairTurns()
+        limiter = WeightedFairLimiter()
         weights = {"rush": 1.0, "calm": 1.0}
-        calm = sum(turns.admit(now, "calm", weights) for now in range(0, 1000, 50))
-        self.assertEqual(sum(turns.admit(999.0, "rush", weights) for _ in range(400)), 400)
-        turns.lag_ms = 100.0
-        self.assertFalse(turns.admit(1000.0, "rush", weights))
-        self.assertTrue(turns.admit(1000.0, "calm", weights))
+        calm = sum(limiter.admit(now, "calm", weights) for now in range(0, 1000, 50))
+        self.assertEqual(sum(limiter.admit(999.0, "rush", weights) for _ in range(400)), 400)
+        limiter.lag_ms = 100.0
+        self.assertFalse(limiter.admit(1000.0, "rush", weights))
+        self.assertTrue(limiter.admit(1000.0, "calm", weights))
         self.assertEqual(calm, 20)
-        self.assertTrue(turns.admit(3000.0, "rush", weights))
-        self.assertEqual(sum(turns.admit(3001.0, "rush", weights) for _ in range(50)), 50)
+        self.assertTrue(limiter.admit(3000.0, "rush", weights))
+        self.assertEqual(sum(limiter.admit(3001.0, "rush", weights) for _ in range(50)), 50)
 
 
 class Registry(unittest.TestCase):
