--- a/drumgw/hosting/tenant_service.py
+++ b/drumgw/hosting/tenant_service.py
@@ -53,7 +53,7 @@
             self._on_idle = None
             on_idle()
 
-    def when_idle(self, call: Callable[[], object]) -> None:
+    def call_when_idle(self, call: Callable[[], object]) -> None:
         """Calls once no request is in flight: now, or when the last one ends."""
         if self.in_flight:
             self._on_idle = call
--- a/drumgw/hosting/tenant_services.py
+++ b/drumgw/hosting/tenant_services.py
@@ -221,7 +221,7 @@
     def _retire(self, service: TenantService) -> None:
         """Closes a service once nothing is in flight there."""
         self.closing.add(service)
-        service.when_idle(lambda: self._spawn(self._close_service(service)))
+        service.call_when_idle(lambda: self._spawn(self._close_service(service)))
 
     async def _close_service(self, service: TenantService) -> None:
         await service.close()
