--- a/drumgw/hosting/registry_persistence.py
+++ b/drumgw/hosting/registry_persistence.py
@@ -12,7 +12,7 @@
 def registry_to_json(registry: TenantRegistry) -> JsonObject:
     """Returns what the state file holds of a registry."""
     return {
-        "counted": registry.last_number,
+        "counted": registry.last_sequence_number,
         "tenants": [
             [tenant.name, tenant.serial, tenant.version, tenant.state.value, tenant.spec]
             for tenant in registry.tenants.values()
@@ -28,7 +28,7 @@
         KeyError, TypeError, ValueError, AttributeError: the content is not in the form of this version.
     """
     registry = TenantRegistry()
-    registry.last_number = content["counted"]
+    registry.last_sequence_number = content["counted"]
     for key, (digest, tenant_name, serial) in content["keys"].items():
         registry.idempotency_records[key] = IdempotencyRecord(str(digest), str(tenant_name), int(serial))
     for name, serial, version, state, spec in content["tenants"]:
--- a/drumgw/hosting/tenant_registry.py
+++ b/drumgw/hosting/tenant_registry.py
@@ -124,14 +124,14 @@
         self.tenants: dict[str, Tenant] = {}  # emptied by removals
         self.routes = RoutingTable()
         self.operations: dict[str, LongRunningOperation] = {}  # the last MAX_OPERATIONS
-        self.removals: dict[int, str] = {}  # serial: id of its removal; emptied as requests end
+        self.pending_removals: dict[int, str] = {}  # serial: id of its removal; emptied as requests end
         self.idempotency_records: dict[str, IdempotencyRecord] = {}  # by key; the last MAX_IDEMPOTENCY_KEYS
-        self.last_number = 0  # versions, serials and operations are numbered in one sequence
+        self.last_sequence_number = 0  # versions, serials and operations are numbered in one sequence
 
-    def next_number(self) -> int:
+    def next_sequence_number(self) -> int:
         """Returns a number that was never used."""
-        self.last_number += 1
-        return self.last_number
+        self.last_sequence_number += 1
+        return self.last_sequence_number
 
     def copy(self) -> TenantRegistry:
         """Returns a registry to make a change in; it takes this one's place once the change is stored."""
@@ -139,9 +139,9 @@
         new.tenants = {name: replace(tenant) for name, tenant in self.tenants.items()}
         new.routes = self.routes
         new.operations = dict(self.operations)
-        new.removals = dict(self.removals)
+        new.pending_removals = dict(self.pending_removals)
         new.idempotency_records = dict(self.idempotency_records)
-        new.last_number = self.last_number
+        new.last_sequence_number = self.last_sequence_number
         return new
 
     # Reading
@@ -189,7 +189,7 @@
         if len(self.tenants) >= MAX_TENANTS:
             raise TooManyTenantsError(MAX_TENANTS)
         self.routes = self._routes_with(name, spec)
-        number = self.next_number()
+        number = self.next_sequence_number()
         tenant = Tenant(name, number, number, spec)
         self.tenants[name] = tenant
         if idempotency_key is not None:
@@ -202,7 +202,7 @@
         tenant = self._get_at_version(name, if_match)
         self.routes = self._routes_with(name, spec)
         tenant.spec = spec
-        tenant.version = self.next_number()
+        tenant.version = self.next_sequence_number()
         return TenantChange(ChangeKind.SPEC_REPLACED, tenant)
 
     def apply_command(self, name: str, command: TenantCommand, if_match: str | None) -> TenantChange:
@@ -216,7 +216,7 @@
         if transition is None:
             raise InvalidTransitionError(f"{name!r} is {tenant.state.value}: {command.value} is not possible")
         tenant.state = transition.state
-        tenant.version = self.next_number()
+        tenant.version = self.next_sequence_number()
         match transition.effect:
             case TransitionEffect.BEGIN_DRAIN:
                 self._begin_operation(tenant, command)
@@ -230,14 +230,14 @@
 
     def finish_drain(self, serial: int) -> Tenant | None:
         """Records that no request of a tenant is in flight any more; returns the tenant if it is there."""
-        removal = self.removals.pop(serial, None)
+        removal = self.pending_removals.pop(serial, None)
         if removal is not None:
             self._end_operation(removal, OperationState.DONE)
             return None
         tenant = next((tenant for tenant in self.tenants.values() if tenant.serial == serial), None)
         if tenant is not None and tenant.state is TenantState.DRAINING:
             tenant.state = TenantState.DRAINED
-            tenant.version = self.next_number()
+            tenant.version = self.next_sequence_number()
             self._end_operation(tenant.operation_id, OperationState.DONE)
             tenant.operation_id = None
         return tenant
@@ -272,7 +272,7 @@
 
     def _remove(self, tenant: Tenant) -> None:
         self._end_operation(tenant.operation_id, OperationState.CANCELLED)
-        self.removals[tenant.serial] = self._begin_operation(tenant, TenantCommand.REMOVE)
+        self.pending_removals[tenant.serial] = self._begin_operation(tenant, TenantCommand.REMOVE)
         del self.tenants[tenant.name]
         self.rebuild_routes()
 
@@ -282,7 +282,7 @@
 
     def _begin_operation(self, tenant: Tenant, kind: TenantCommand) -> str:
         operation = LongRunningOperation(
-            id=f"op-{self.next_number()}",
+            id=f"op-{self.next_sequence_number()}",
             kind=kind,
             tenant=tenant.name,
             serial=tenant.serial,
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -206,7 +206,7 @@
         self.assertEqual(list(services.admission.shares.tenants), [key])
         self.assertEqual(list(services.admission.weights), [key])
         self.assertEqual(services.awaiting_drain, {})
-        self.assertEqual((services.registry.removals, list(services.services)), ({}, ["t1"]))
+        self.assertEqual((services.registry.pending_removals, list(services.services)), ({}, ["t1"]))
 
     async def test_plans_lowered_below_what_was_used(self) -> None:
         """A plan is lowered below what its customer used of it already.
--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -251,7 +251,7 @@
             registry.apply_command("t", TenantCommand.DRAIN, f'"{tenant.version}"')
             registry.apply_command("t", TenantCommand.REMOVE, f'"{tenant.version}"')
             registry.finish_drain(tenant.serial)
-        self.assertEqual((len(registry.tenants), len(registry.removals)), (0, 0))
+        self.assertEqual((len(registry.tenants), len(registry.pending_removals)), (0, 0))
         self.assertEqual(registry.routes.tenants_by_host, {})
         self.assertEqual(len(registry.idempotency_records), MAX_IDEMPOTENCY_KEYS)
         self.assertEqual(len(registry.operations), MAX_OPERATIONS)
@@ -273,7 +273,7 @@
         )
         self.assertEqual(restored.routes.find("b.example", "/p"), ("b", "/p"))
         self.assertEqual(restored.create("a", spec(("a.example", "")), "k").kind, ChangeKind.NONE)
-        self.assertGreater(restored.next_number(), registry.last_number)
+        self.assertGreater(restored.next_sequence_number(), registry.last_sequence_number)
 
     def test_a_stored_registry_keeps_its_form(self) -> None:
         """A state file of the release before must be read, and one of this release by the one before."""
