--- a/drumgw/hosting/host_process.py
+++ b/drumgw/hosting/host_process.py
@@ -1,4 +1,4 @@
-"""A host from its start to its end: the listener, the tenants' services and the administration API."""
+"""The life cycle of a host process: its listener, the tenants' services and the administration API."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 from drumgw.hosting.tenant_services import TenantServices
 
 DESCRIPTORS_PER_API_CALL = 2
-REQUESTING_CLIENTS_FRACTION = (3, 4)  # of the connections that clients may hold
-CONNECTION_SHUTDOWN_S = 0.1
+REQUESTING_CLIENTS_FRACTION = (3, 4)  # of the client connections, for those that have sent a request
+SERVER_SHUTDOWN_TIMEOUT_S = 0.1
 
 Address = tuple[str, int]
 
 
 class HostProcess:
-    """The parts of a host, put together."""
+    """Creates the components of a host, and starts and stops them in order."""
 
     def __init__(self, file: HostFile) -> None:
         self.clock = StallAwareClock(MonotonicClock(), asyncio.get_running_loop())
@@ -45,10 +45,10 @@
         self._file = file
 
     async def open(self) -> tuple[Address, Address]:
-        """Starts everything; returns the bound addresses of the listener and of the API.
+        """Starts all components; returns the bound addresses of the listener and of the API.
 
         Raises:
-            ConfigError: an address cannot be listened at.
+            ConfigError: the listener or the API cannot listen on its address.
         """
         self.clock.start_heartbeat()
         await self.http_server.bind()
@@ -56,54 +56,64 @@
         try:
             api_address = await self.api.open(parse_address(self._file.host.api, "api"))
         except OSError as error:
-            raise ConfigError(f"cannot listen at {self._file.host.api}: {error}") from error
+            raise ConfigError(f"cannot listen on {self._file.host.api}: {error}") from error
         client_address = await self.http_server.open()
         logger.info(
-            "host {} serves at {}:{}, its API at {}:{}: {} tenants, {}",
+            "host {} serves at {}:{}, API at {}:{}: {} tenants, {}",
             self._file.host.name,
             *client_address,
             *api_address,
             len(self.services.registry.tenants),
-            "state in a folder" if self.state_file else "read only",
+            "tenants stored in the state folder" if self.state_file else "no state folder, API is read-only",
         )
         return client_address, api_address
 
     async def close(self) -> None:
-        """Serves what still comes for a while, finishes what is in flight, then closes everything."""
+        """Shuts down gracefully.
+
+        New clients are served for SHUTDOWN_LINGER_MS after readiness is withdrawn; then the requests in
+        flight are completed, within the longest deadline of any tenant, and all components are closed.
+        """
         self.http_server.withdraw_readiness()
         await self.api.close()
         await asyncio.sleep(SHUTDOWN_LINGER_MS / 1000)
         await self.http_server.drain(self.clock.now() + self.services.longest_deadline_ms())
         await self.http_server.wait_until_closed()
-        await self.http_server.server.shutdown(CONNECTION_SHUTDOWN_S)
+        await self.http_server.server.shutdown(SERVER_SHUTDOWN_TIMEOUT_S)
         await self.services.close()
-        logger.info("host {} ends", self._file.host.name)
+        logger.info("host {} has shut down", self._file.host.name)
+
+    def reload_tokens(self, read_file: Callable[[], HostFile]) -> None:
+        """Reloads the API tokens from the host file; called on SIGHUP.
 
-    def reload_tokens(self, read: Callable[[], HostFile]) -> None:
-        """Reads the tokens again (SIGHUP). Tenants change through the API, all else with a restart."""
+        Tenants are changed through the API only; every other setting needs a restart.
+
+        Args:
+            read_file: reads the host file again.
+        """
         try:
-            file = read()
+            file = read_file()
         except ValueError as error:
-            logger.warning("SIGHUP: {}; the old file stands", str(error).splitlines()[0])
+            logger.warning("SIGHUP: {}; keeping the previous API tokens", str(error).splitlines()[0])
             return
         self.api.authenticator = _authenticator(file)
-        logger.info("SIGHUP: {} tokens", len(file.token))
+        logger.info("SIGHUP: {} API tokens loaded", len(file.token))
 
 
-async def serve(file: HostFile, read_again: Callable[[], HostFile]) -> None:
+async def serve(file: HostFile, reload_file: Callable[[], HostFile]) -> None:
     """Runs a host until SIGTERM.
 
     Args:
-        file: the operator's file.
-        read_again: reads it anew, for SIGHUP.
+        file: the host file.
+        reload_file: reads the host file again; called on SIGHUP.
 
     Raises:
-        ConfigError: the file cannot be used.
+        ConfigError: the host cannot start with this file or with the stored state.
     """
     host_process = HostProcess(file)
     loop = asyncio.get_running_loop()
     handle_signal(loop, signal.SIGTERM, host_process.stop_requested.set)
-    handle_signal(loop, signal.SIGHUP, lambda: host_process.reload_tokens(read_again))
+    handle_signal(loop, signal.SIGHUP, lambda: host_process.reload_tokens(reload_file))
     try:
         await host_process.open()
     except ConfigError:
@@ -118,9 +128,9 @@
 
 
 def _load_registry(file: HostFile, state_file: StateFile | None) -> TenantRegistry:
-    """Returns the tenants of the state folder where it holds any state, else those of the operator's file."""
+    """Returns the tenants of the state folder if it holds a state file, else those of the host file."""
     stored = _load_stored_registry(state_file) if state_file is not None else None
-    return stored if stored is not None else _registry_of_file(file)
+    return stored if stored is not None else _registry_from_host_file(file)
 
 
 def _load_stored_registry(state_file: StateFile) -> TenantRegistry | None:
@@ -134,25 +144,29 @@
     except StateFileError as error:
         raise ConfigError(str(error)) from error
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise ConfigError(f"{state_file.path}: not as this version writes it: {error!r}") from error
+        raise ConfigError(
+            f"{state_file.path}: content is not in the format of this version: {error!r}"
+        ) from error
 
 
-def _registry_of_file(file: HostFile) -> TenantRegistry:
+def _registry_from_host_file(file: HostFile) -> TenantRegistry:
     registry = TenantRegistry()
-    for named in file.tenant:
+    for entry in file.tenant:
         try:
-            registry.create(named.name, named.spec())
+            registry.create(entry.name, entry.spec())
         except ApiError as error:
-            raise ConfigError(f"tenant {named.name}: {error.detail}") from error
+            raise ConfigError(f"tenant {entry.name}: {error.detail}") from error
     return registry
 
 
 def _listener_config(file: HostFile, capacity: int) -> ListenerConfig:
-    """Gives clients the descriptors that the requests in flight, the API and the process itself leave."""
+    """Returns limits that leave descriptors for the process, the API and the requests in flight."""
     reserved = RESERVED_DESCRIPTORS + DESCRIPTORS_PER_API_CALL * MAX_OPEN_CALLS + capacity
     max_connections = file.limits.sockets - reserved
     if max_connections < 1:
-        raise ConfigError(f"limits.sockets is {file.limits.sockets}, too few")
+        raise ConfigError(
+            f"limits.sockets is {file.limits.sockets}, which leaves none for client connections"
+        )
     numerator, denominator = REQUESTING_CLIENTS_FRACTION
     return ListenerConfig(
         listen=parse_address(file.host.listen, "listen"),
