--- a/drumgw/hosting/http_server.py
+++ b/drumgw/hosting/http_server.py
@@ -1,7 +1,8 @@
-"""The clients' side of a host: finds the tenant of each request, then forwards it through that service.
+"""The client listener of a host: routes each request to its tenant and forwards it through that service.
 
-Connections are handled as in one gateway (drumgw/gateway/http_server.py). None belongs to a tenant for good:
-a client may reach several on one connection, so each counts for the tenant of its last request.
+Connections are handled as in a single-tenant gateway (drumgw/gateway/http_server.py). A connection is not
+bound to a tenant: a client may send requests for several tenants on it, so it counts for the tenant of its
+last request.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 
 @dataclass(frozen=True)
 class ListenerConfig:
-    """What the listener needs of a gateway's configuration.
+    """The part of a gateway's configuration that the listener needs.
 
     Attributes:
         listen: host and port.
-        max_client_connections: connections at most.
-        max_requesting_clients: of them, those that have sent a request.
+        max_client_connections: limit on open connections.
+        max_requesting_clients: limit on the connections among them that have sent a request.
     """
 
     listen: tuple[str, int]
@@ -38,22 +39,22 @@
 
 
 class ListenerDispatcher:
-    """What the listener needs of a dispatcher beside the requests: the clock, the loop and the log."""
+    """The part of a dispatcher that the listener itself needs; requests go to the tenants' dispatchers."""
 
     def __init__(self, clock: StallAwareClock) -> None:
         self.clock = clock
         self.loop = clock.loop
 
     def log_fault(self, error: Exception, where: str) -> None:
-        """Logs a fault of this program with its trace."""
-        logger.opt(exception=error).error("fault in {}: {!r}", where, error)
+        """Logs an internal error with its traceback."""
+        logger.opt(exception=error).error("internal error in {}: {!r}", where, error)
 
 
 class TenantConnectionLimits(ConnectionLimits):
-    """Bounds on the connections of all tenants' clients.
+    """Limits on client connections, shared by all tenants.
 
     Attributes:
-        connection_counts: open connections by the key of the tenant of their last request.
+        connection_counts: open connections, by the key of the tenant of their last request.
     """
 
     def __init__(self, bounds: ListenerConfig, services: TenantServices) -> None:
@@ -62,22 +63,22 @@
         self._services = services
 
     def closed(self, client: ClientConnection) -> None:
-        """Counts the connection no more, for its tenant neither."""
+        """Stops counting a closed connection, both in total and for its tenant."""
         super().closed(client)
-        self._count_for_no_tenant(client)
+        self._unassign_tenant(client)
 
-    def count_for_tenant(self, client: ClientConnection, tenant_key: str) -> None:
-        """Counts the connection for the tenant of its last request."""
+    def assign_tenant(self, client: ClientConnection, tenant_key: str) -> None:
+        """Counts a connection for the tenant of its latest request, and no longer for the one before."""
         if client.tenant_key != tenant_key:
-            self._count_for_no_tenant(client)
+            self._unassign_tenant(client)
             client.tenant_key = tenant_key
             self.connection_counts[tenant_key] += 1
 
     def longest_idle(self) -> ClientConnection | None:
-        """Returns the idle connection to close where one must go.
+        """Returns the idle connection to close when there are too many.
 
-        Guards tenants whose clients keep few connections against one whose clients keep hundreds: a tenant
-        with more connections than its part by weight loses one first.
+        Connections of tenants that hold more than their share by weight are closed first: otherwise a tenant
+        whose clients keep hundreds of idle connections would displace those whose clients keep few.
         """
         now_ms = self.clock.now()
         weights = self._services.admission.weights
@@ -91,7 +92,7 @@
                 return client
         return super().longest_idle()
 
-    def _count_for_no_tenant(self, client: ClientConnection) -> None:
+    def _unassign_tenant(self, client: ClientConnection) -> None:
         if client.tenant_key:
             self.connection_counts[client.tenant_key] -= 1
             if not self.connection_counts[client.tenant_key]:
@@ -100,10 +101,10 @@
 
 
 class HostHttpServer(HttpServer):
-    """The listener of a host.
+    """The HTTP server that clients of all tenants connect to.
 
     Attributes:
-        tenant_limits: the bounds on connections, shared by the tenants' clients.
+        tenant_limits: the limits on client connections, shared by all tenants.
     """
 
     def __init__(self, config: ListenerConfig, services: TenantServices) -> None:
@@ -113,7 +114,7 @@
         self._services = services
 
     async def serve(self, request: BaseRequest, target: str, client: ClientConnection) -> CompleteResponse:
-        """Answers a request through the service of its tenant, or rejects it with a Retry-After."""
+        """Forwards a request through its tenant's service, or rejects it with 503 and a Retry-After."""
         route = self._services.registry.routes.find(request.headers.get("Host"), target)
         if route is None:
             raise BadRequestError(404, "no tenant is served there")
@@ -121,7 +122,7 @@
         if service is None:
             await self.read(request)
             return CompleteResponse(503, b"", f"Retry-After: {retry_after_ms / 1000:.3f}\r\n")
-        self.tenant_limits.count_for_tenant(client, service.key)
+        self.tenant_limits.assign_tenant(client, service.key)
         gateway_service = service.gateway_service
         serving = ServingService(gateway_service.config, gateway_service.dispatcher, service.open_request_ids)
         try:
