--- a/drumgw/hosting/registry_persistence.py
+++ b/drumgw/hosting/registry_persistence.py
@@ -1,6 +1,6 @@
-"""The form in which the state file holds a registry: the edge between its JSON and the registry's types.
+"""Converts the tenant registry to and from the JSON content of the state file.
 
-Operations are not stored: they wait for requests in flight, and a process that ended has none.
+Operations are not stored: they wait for requests in flight, and none are left after a restart.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 def registry_to_json(registry: TenantRegistry) -> JsonObject:
-    """Returns what the state file holds of a registry."""
+    """Returns the content of the state file for a registry."""
     return {
         "counted": registry.last_sequence_number,
         "tenants": [
@@ -22,10 +22,10 @@
 
 
 def registry_from_json(content: JsonObject) -> TenantRegistry:
-    """Returns the registry that a state file holds.
+    """Returns the registry for the content of a state file.
 
     Raises:
-        KeyError, TypeError, ValueError, AttributeError: the content is not in the form of this version.
+        KeyError, TypeError, ValueError, AttributeError: the content is not in the format of this version.
     """
     registry = TenantRegistry()
     registry.last_sequence_number = content["counted"]
@@ -38,6 +38,6 @@
 
 
 def _state_after_restart(stored: str) -> TenantState:
-    """Nothing is in flight in a new process: a tenant that was draining has drained."""
+    """Returns DRAINED for a tenant that was draining: no request is in flight in a new process."""
     state = TenantState(stored)
     return TenantState.DRAINED if state is TenantState.DRAINING else state
