--- a/drumgw/hosting/request_admission.py
+++ b/drumgw/hosting/request_admission.py
@@ -1,7 +1,9 @@
-"""Whether a tenant's request is admitted on a shared host. No I/O, no clock.
+"""Admits or rejects the requests of the tenants that share a host.
 
-Two rules, each in a module of its own: the tenant must have a turn while the event loop lags (fair_turns.py),
-and a unit of capacity (resource_limits.py).
+A request must pass two limits: its tenant's fair share of the requests while the event loop lags
+(fair_turns.py), and its tenant's share of the host's capacity (resource_limits.py).
+
+This module does no I/O and reads no clock: the caller passes the time.
 """
 
 from __future__ import annotations
@@ -11,12 +13,12 @@
 
 
 class RequestAdmission:
-    """Admits requests in flight by the weights of the tenants.
+    """Admits requests according to the tenants' weights.
 
     Attributes:
-        weights: of the tenants that are there, by key; emptied by removals.
-        shares: what each tenant holds of the capacity.
-        fair_limiter: who was served lately.
+        weights: by tenant key; an entry is dropped when its tenant is removed.
+        shares: limits the requests in flight of each tenant.
+        fair_limiter: limits the request rate of each tenant while the event loop lags.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -30,19 +32,19 @@
         self.weights[key] = weight
 
     def remove(self, key: str) -> None:
-        """Admits nothing more of a tenant; what is in flight counts until it is released."""
+        """Rejects all further requests of a tenant; those in flight count until they are released."""
         self.shares.remove(key)
         self.weights.pop(key, None)
 
     def admit(self, now_ms: float, key: str) -> bool:
-        """Takes a request in flight; each admitted one must be released."""
+        """Returns whether a request may be forwarded; if so, the caller must call release when it ends."""
         return self.fair_limiter.admit(now_ms, key, self.weights) and self.shares.acquire(key)
 
     def release(self, key: str) -> None:
-        """Records that a request ended."""
+        """Records the end of an admitted request."""
         self.shares.release(key)
 
     def has_requests_in_flight(self, key: str) -> bool:
-        """Returns whether a tenant holds any request, whichever service has it."""
+        """Returns whether a tenant has requests in flight, in its current service or in a replaced one."""
         share = self.shares.tenants.get(key)
         return share is not None and share.in_use > 0
