--- a/drumgw/hosting/resource_limits.py
+++ b/drumgw/hosting/resource_limits.py
@@ -1,27 +1,30 @@
-"""How much of a host's capacity each tenant may hold at a time. No I/O, no clock.
+"""Divides a host's capacity, counted in requests in flight, among its tenants.
 
-A part of the capacity is guaranteed: each tenant has its share of that by weight, one unit at least, and
-nobody else gets it. The rest can be borrowed, first come, first served, up to a limit for one tenant. So a
-tenant whose endpoints stall fills its own share and what it may borrow, and the others have theirs.
+A fixed fraction of the capacity is guaranteed: each tenant has a share of it by weight, at least one unit,
+that no other tenant can use. The rest can be borrowed, first come, first served, up to a limit for each
+tenant. A tenant whose endpoints stall can therefore use up its own share and its borrowing limit, but not the
+guaranteed shares of the others.
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-GUARANTEED_FRACTION = 0.5  # of the capacity
-MAX_BORROWED_FRACTION = 0.5  # of what is borrowable, for one tenant
+GUARANTEED_FRACTION = 0.5  # of the capacity, for all tenants together
+MAX_BORROWED_FRACTION = 0.5  # of the borrowable units, for each tenant
 
 
 @dataclass(slots=True)
 class TenantShare:
-    """One tenant's part of the capacity. Dropped when the tenant is removed and holds nothing.
+    """The share of one tenant, kept until the tenant is removed and its last unit is released.
 
     Attributes:
-        weight: of the tenant; 0 once it is removed.
-        guaranteed: units that nobody else gets.
-        in_use: units that it holds, borrowed ones among them.
-        refused_count: how often it was refused one.
+        weight: the tenant's weight; 0 once it is removed.
+        guaranteed: units reserved for this tenant.
+        in_use: units in use, including borrowed ones.
+        refused_count: how often a unit was refused to the tenant while it existed.
     """
 
     weight: float
@@ -31,7 +34,7 @@
 
     @property
     def borrowed(self) -> int:
-        """Units that it holds beyond its guaranteed ones."""
+        """Units in use beyond the guaranteed ones."""
         return max(0, self.in_use - self.guaranteed)
 
 
@@ -40,40 +43,43 @@
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
-        self.borrowed = 0  # by all tenants
-        self.tenants: dict[str, TenantShare] = {}  # by key; emptied as tenants are removed
+        self.borrowed = 0  # units, by all tenants together
+        self.tenants: dict[str, TenantShare] = {}  # by tenant key
 
     def set_weight(self, tenant: str, weight: float) -> None:
         """Adds a tenant or changes its weight."""
         self.tenants.setdefault(tenant, TenantShare(weight)).weight = weight
-        self._divide()
+        self._update_guarantees()
 
     def remove(self, tenant: str) -> None:
-        """Takes a tenant's guaranteed units away; what it still holds counts as borrowed until released."""
+        """Withdraws a tenant's guaranteed units; units still in use count as borrowed until released."""
         share = self.tenants.get(tenant)
         if share is None:
             return
         share.weight = 0.0
         if not share.in_use:
             del self.tenants[tenant]
-        self._divide()
+        self._update_guarantees()
 
     @property
     def borrowable(self) -> int:
-        """Units that are guaranteed to nobody."""
+        """Units not guaranteed to any tenant."""
         return self.capacity - sum(share.guaranteed for share in self.tenants.values())
 
     @property
     def max_borrowed(self) -> int:
-        """Units that one tenant may borrow."""
+        """Units that each tenant may borrow."""
         return int(self.borrowable * MAX_BORROWED_FRACTION)
 
     def limit_of(self, tenant: str) -> int:
-        """Returns the units that a tenant can hold while nobody else borrows."""
+        """Returns how many units a tenant can use when no other tenant borrows."""
         return self.tenants[tenant].guaranteed + self.max_borrowed
 
     def acquire(self, tenant: str) -> bool:
-        """Takes a unit for a tenant; returns False where it may hold no more."""
+        """Takes a unit for a tenant.
+
+        Returns False if the tenant is at its limit or was removed, or if nothing is left to borrow.
+        """
         share = self.tenants.get(tenant)
         if share is None or not share.weight:
             return False
@@ -86,7 +92,7 @@
         return True
 
     def release(self, tenant: str) -> None:
-        """Gives a unit back; borrowed ones first."""
+        """Returns a unit to the capacity; borrowed units are returned first."""
         share = self.tenants[tenant]
         if share.borrowed:
             self.borrowed -= 1
@@ -94,7 +100,7 @@
         if not share.in_use and not share.weight:
             self.remove(tenant)
 
-    def _divide(self) -> None:
+    def _update_guarantees(self) -> None:
         total_weight = sum(share.weight for share in self.tenants.values())
         for share in self.tenants.values():
             if share.weight:
