--- a/drumgw/hosting/routing.py
+++ b/drumgw/hosting/routing.py
@@ -1,7 +1,8 @@
-"""Which tenant a request is for: a compiled table of hosts and path prefixes. No I/O.
+"""Finds the tenant of a request by its host and path prefix.
 
-The exact host goes before any host, then the longer prefix. A prefix ends where a segment of the path ends.
-A table is replaced, never changed, once it is in use: a request that was routed by the old one stays with it.
+Routes for the exact host take precedence over routes for any host; among those of a host, the longest prefix
+wins. Prefixes match whole path segments. A table in use is never changed but replaced as a whole, so requests
+that the old table has routed are not affected.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 
 
 class Route(NamedTuple):
-    """Where a tenant's requests come in.
+    """A host and path prefix whose requests belong to one tenant.
 
     Attributes:
-        host: in lower case, without a port; or ANY_HOST.
-        prefix: of the path: "" or /segment/segment.
+        host: in lower case and without a port, or ANY_HOST.
+        prefix: the path prefix, such as /segment/segment; "" matches every path.
     """
 
     host: str
@@ -28,11 +29,11 @@
 
 
 class RouteMatch(NamedTuple):
-    """The tenant of a request.
+    """The result of routing a request.
 
     Attributes:
-        tenant: its name.
-        path: the target behind the prefix, from which the request class is read.
+        tenant: the tenant's name.
+        path: the request target without the prefix; it determines the request class.
     """
 
     tenant: str
@@ -40,7 +41,7 @@
 
 
 class AmbiguousRouteError(ValueError):
-    """Two tenants have the same route; its text is one line."""
+    """Two tenants have the same route; the message is a single line."""
 
     def __init__(self, route: Route, first: str, second: str) -> None:
         super().__init__(
@@ -53,14 +54,14 @@
 
     def __init__(self, routes: Iterable[tuple[str, Route]] = ()) -> None:
         self.tenants_by_host: dict[str, dict[PathSegments, str]] = {}
-        self._max_depth: dict[str, int] = {}  # segments of the longest prefix of a host
+        self._max_depth: dict[str, int] = {}  # by host: number of segments of its longest prefix
         for count, (tenant, route) in enumerate(routes):
             if count >= MAX_ROUTES:
                 raise ValueError(f"more than {MAX_ROUTES} routes")
             self.add(tenant, route)
 
     def add(self, tenant: str, route: Route) -> None:
-        """Adds a route while the table is built; raises AmbiguousRouteError where another tenant has it."""
+        """Adds a route; raises AmbiguousRouteError if another tenant has it. Not for a table in use."""
         tenants = self.tenants_by_host.setdefault(route.host, {})
         segments = split_path(route.prefix)
         owner = tenants.get(segments, tenant)
@@ -70,7 +71,7 @@
         self._max_depth[route.host] = max(self._max_depth.get(route.host, 0), len(segments))
 
     def find(self, host: str | None, target: str) -> RouteMatch | None:
-        """Returns the tenant for a Host header and a request target, or None."""
+        """Returns the route match for a Host header and a request target; None if no route matches."""
         path = target.partition("?")[0]
         for name in (normalize_host(host), ANY_HOST) if host else (ANY_HOST,):
             tenants = self.tenants_by_host.get(name)
@@ -86,14 +87,14 @@
 
 
 def split_path(path: str) -> PathSegments:
-    """Returns the segments of a path; none for an empty one."""
+    """Returns the segments of a path; an empty tuple for a path of slashes only."""
     return tuple(path.removeprefix("/").split("/")) if path.strip("/") else ()
 
 
 def normalize_host(host: str) -> str:
-    """Returns the name in a Host header.
+    """Returns the host name of a Host header in lower case, without a port or a trailing dot.
 
-    Browsers and proxies send it with a port, with a dot at its end, or in capitals.
+    Browsers and proxies send a port, a trailing dot or capitals at times. An IPv6 address keeps its brackets.
     """
     name = host.strip().lower()
     if name.startswith("["):
