--- a/drumgw/hosting/state_file.py
+++ b/drumgw/hosting/state_file.py
@@ -1,6 +1,7 @@
-"""The state file: written beside the old one, synced, renamed; the one before stays as the last good copy.
+"""Reads and writes the state file atomically, keeping the previous version as the last good copy.
 
-Two lines of JSON, a header with the version, length and checksum of the second, and the content:
+The file consists of two lines of JSON: a header with the format version and the content's length and
+checksum, and the content:
 
     {"drumgw state": 1, "bytes": N, "sha256": "..."}
     {...}
@@ -15,27 +16,27 @@
 from dataclasses import dataclass
 from typing import Any
 
-VERSION = 1
+FORMAT_VERSION = 1
 VERSION_KEY = "drumgw state"
 MAX_CONTENT_BYTES = 64 * 2**20
 MAX_HEADER_BYTES = 4096
 
 
 class StateFileError(ValueError):
-    """A state file that is not used; its text is one line."""
+    """A state file cannot be used; the message is a single line."""
 
 
 class NewerVersionError(StateFileError):
-    """A state file of a later release: an older copy of it must not take its place."""
+    """A later release wrote the state file: the older last good copy must not be used in its place."""
 
 
 @dataclass(frozen=True)
 class LoadedState:
-    """What was read.
+    """The result of loading the state.
 
     Attributes:
-        content: as it was given to save.
-        warning: a line that says why it is the last good copy's; None where it is the file's own.
+        content: the value that was passed to StateFile.save.
+        warning: a single line that says why the last good copy was used; None if the file itself was.
     """
 
     content: Any
@@ -43,29 +44,29 @@
 
 
 class FileSystem:
-    """The few calls that a write is made of; tests end the process at each of them."""
+    """The file system calls that a save consists of; tests replace them to interrupt a save at each call."""
 
     def write(self, path: pathlib.Path, data: bytes) -> None:
-        """Writes a file and syncs it."""
+        """Writes a file and flushes it to disk (fsync)."""
         with open(path, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
 
     def link(self, source: pathlib.Path, target: pathlib.Path) -> None:
-        """Gives a file a second name."""
+        """Creates a hard link to a file."""
         os.link(source, target)
 
     def replace(self, source: pathlib.Path, target: pathlib.Path) -> None:
-        """Renames a file over another, in one step."""
+        """Atomically renames a file, replacing the target."""
         os.replace(source, target)
 
     def remove(self, path: pathlib.Path) -> None:
-        """Removes a file, if it is there."""
+        """Removes a file if it exists."""
         path.unlink(missing_ok=True)
 
     def sync(self, folder: pathlib.Path) -> None:
-        """Makes the renames in a folder durable."""
+        """Flushes the renames in a folder to disk (fsync)."""
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
@@ -74,7 +75,7 @@
 
 
 class StateFile:
-    """A folder's state file and its last good copy."""
+    """The state file of a folder, and its last good copy."""
 
     def __init__(self, folder: str, file_system: FileSystem | None = None) -> None:
         self.folder = pathlib.Path(folder)
@@ -83,10 +84,10 @@
         self._file_system = file_system or FileSystem()
 
     def save(self, content: Any) -> None:
-        """Writes the content; raises OSError where the disk does.
+        """Replaces the stored content; raises OSError if that fails.
 
-        Guards against a process that ends at any point: until the last rename the old file has its name, and
-        it has a second one before that, so one complete file is always found.
+        The process may be killed at any point: the old file keeps its name until the new one is renamed over
+        it, and has become the last good copy by then, so a complete file always exists.
         """
         new_path = self.path.with_suffix(".new")
         spare_path = self.path.with_suffix(".spare")
@@ -99,11 +100,11 @@
         self._file_system.sync(self.folder)
 
     def load(self) -> LoadedState | None:
-        """Reads the file, or its last good copy where the file is damaged; None where there is neither.
+        """Reads the file, or the last good copy if the file is missing or damaged; None if neither exists.
 
         Raises:
             NewerVersionError: a later release wrote the file.
-            StateFileError: the file is damaged and there is no usable copy.
+            StateFileError: the file is missing or damaged, and so is the last good copy.
         """
         if not self.path.exists() and not self.last_good_path.exists():
             return None
@@ -114,12 +115,12 @@
         except StateFileError as error:
             if not self.last_good_path.exists():
                 raise
-            return LoadedState(_read(self.last_good_path), f"{error}; the last good state stands")
+            return LoadedState(_read(self.last_good_path), f"{error}; using the last good copy")
 
 
 def _encode(content: Any) -> bytes:
     text = json.dumps(content, separators=(",", ":")).encode()
-    header = {VERSION_KEY: VERSION, "bytes": len(text), "sha256": hashlib.sha256(text).hexdigest()}
+    header = {VERSION_KEY: FORMAT_VERSION, "bytes": len(text), "sha256": hashlib.sha256(text).hexdigest()}
     return json.dumps(header).encode() + b"\n" + text
 
 
@@ -134,7 +135,7 @@
     try:
         return json.loads(text)
     except ValueError as error:
-        raise StateFileError(f"{path}: damaged") from error
+        raise StateFileError(f"{path}: damaged, content is not JSON") from error
 
 
 def _check_header(path: pathlib.Path, header_line: bytes, text: bytes) -> None:
@@ -144,10 +145,10 @@
         size = header["bytes"]
         digest = header["sha256"]
     except (ValueError, KeyError, TypeError) as error:
-        raise StateFileError(f"{path}: no state file") from error
-    if version != VERSION:
-        if isinstance(version, int) and version > VERSION:
-            raise NewerVersionError(f"{path}: of a newer version, {version!r}")
-        raise StateFileError(f"{path}: of an unknown version, {version!r}")
+        raise StateFileError(f"{path}: not a state file") from error
+    if version != FORMAT_VERSION:
+        if isinstance(version, int) and version > FORMAT_VERSION:
+            raise NewerVersionError(f"{path}: has the format of a newer version, {version!r}")
+        raise StateFileError(f"{path}: has an unknown format version, {version!r}")
     if len(text) != size or hashlib.sha256(text).hexdigest() != digest:
-        raise StateFileError(f"{path}: damaged")
+        raise StateFileError(f"{path}: damaged, length or checksum does not match the header")
--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -418,9 +418,9 @@
             state_file.path.write_bytes(damaged)
             loaded = self.load()
             self.assertEqual(loaded.content, {"n": 1})
-            self.assertIn("the last good state stands", loaded.warning or "")
+            self.assertIn("using the last good copy", loaded.warning or "")
         state_file.last_good_path.unlink()
-        with self.assertRaisesRegex(StateFileError, "no state file"):
+        with self.assertRaisesRegex(StateFileError, "not a state file"):
             state_file.load()
 
     def test_a_file_of_a_newer_version_is_refused_in_one_line(self) -> None:
