--- a/drumgw/hosting/tenant_registry.py
+++ b/drumgw/hosting/tenant_registry.py
@@ -1,8 +1,10 @@
-"""The tenants of a host, their versions, and the long-running operations on them. No I/O, no clock.
+"""The tenants of a host, their versions, and the long-running operations on them.
 
-Every change gives the tenant a version that nothing ever had, and a caller names the version that its change
-was made from: two administrators cannot overwrite each other without knowing. The name of a removed tenant is
-free at once; what is still in flight there belongs to the old serial number.
+Every change gives the tenant a version that was never used before, and the caller of a change must name the
+version that it is based on, so two administrators cannot overwrite each other's changes unknowingly. The name
+of a removed tenant can be reused at once; requests still in flight belong to the old tenant's serial number.
+
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -44,15 +46,15 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """A tenant. Written by the registry only.
+    """A tenant; only the registry changes it.
 
     Attributes:
-        name: unique among the tenants of a moment.
-        serial: unique for ever: a name made anew is another tenant.
-        version: of the last change.
-        spec: what an operator or the tenant said of it (drumgw/config/host_file.py), as JSON.
-        state: whether it is served, suspended, draining or drained.
-        operation_id: the operation that waits for its requests in flight.
+        name: unique among the current tenants.
+        serial: never reused: a tenant created again under the same name has another serial.
+        version: changes with every change of the tenant.
+        spec: its settings (TenantSpec in drumgw/config/host_file.py), as JSON.
+        state: whether it is active, suspended, draining, drained or removed.
+        operation_id: the running operation that waits for its requests in flight; None if there is none.
     """
 
     name: str
@@ -64,25 +66,25 @@
 
     @property
     def key(self) -> str:
-        """Identifies what it holds: shares, weights, connections."""
+        """Identifies the tenant wherever its shares, weight and connections are counted."""
         return f"{self.name}#{self.serial}"
 
     @property
     def routes(self) -> list[Route]:
-        """Where its requests come in."""
+        """The hosts and path prefixes of its requests, from the spec."""
         return _routes_of(self.spec)
 
 
 @dataclass(frozen=True)
 class LongRunningOperation:
-    """A drain or a removal, which takes as long as requests are in flight.
+    """A drain or a removal, which is done when no request of the tenant is in flight.
 
     Attributes:
-        id: unique for ever.
-        kind: the command that began it.
+        id: never reused.
+        kind: the command that started it.
         tenant: the tenant's name.
         serial: the tenant's serial number.
-        state: how far it is.
+        state: running, done or cancelled.
     """
 
     id: str
@@ -93,7 +95,7 @@
 
 
 class IdempotencyRecord(NamedTuple):
-    """What a create under an idempotency key did: the body's digest and the tenant it created."""
+    """The result of a create with an idempotency key: the request's digest and the tenant created."""
 
     digest: str
     tenant: str
@@ -101,17 +103,17 @@
 
 
 class ChangeKind(Enum):
-    """What became of a tenant; the value is the word in the log."""
+    """How a change affected a tenant; the value is used in the log."""
 
-    NONE = "unchanged"  # a repeat of a create that was made before
-    CREATED = "opened"
-    SPEC_REPLACED = "changed"
+    NONE = "unchanged"  # a repeated create with the same idempotency key
+    CREATED = "created"
+    SPEC_REPLACED = "spec replaced"
     STATE_CHANGED = "state changed"
     REMOVED = "removed"
 
 
 class TenantChange(NamedTuple):
-    """The result of a change, from which the services of the tenant follow."""
+    """The result of a change; TenantServices updates the tenant's services accordingly."""
 
     kind: ChangeKind
     tenant: Tenant
@@ -121,20 +123,20 @@
     """The tenants by name, the routing table, the operations and the idempotency keys."""
 
     def __init__(self) -> None:
-        self.tenants: dict[str, Tenant] = {}  # emptied by removals
+        self.tenants: dict[str, Tenant] = {}  # by name; dropped on removal
         self.routes = RoutingTable()
-        self.operations: dict[str, LongRunningOperation] = {}  # the last MAX_OPERATIONS
-        self.pending_removals: dict[int, str] = {}  # serial: id of its removal; emptied as requests end
-        self.idempotency_records: dict[str, IdempotencyRecord] = {}  # by key; the last MAX_IDEMPOTENCY_KEYS
+        self.operations: dict[str, LongRunningOperation] = {}  # by id; the latest MAX_OPERATIONS
+        self.pending_removals: dict[int, str] = {}  # operation id by serial; dropped as they end
+        self.idempotency_records: dict[str, IdempotencyRecord] = {}  # by key; the latest MAX_IDEMPOTENCY_KEYS
         self.last_sequence_number = 0  # versions, serials and operations are numbered in one sequence
 
     def next_sequence_number(self) -> int:
-        """Returns a number that was never used."""
+        """Returns the next number of the sequence; no number is used twice, also across restarts."""
         self.last_sequence_number += 1
         return self.last_sequence_number
 
     def copy(self) -> TenantRegistry:
-        """Returns a registry to make a change in; it takes this one's place once the change is stored."""
+        """Returns a copy to change; it replaces this registry once the change is stored."""
         new = TenantRegistry()
         new.tenants = {name: replace(tenant) for name, tenant in self.tenants.items()}
         new.routes = self.routes
@@ -154,12 +156,12 @@
         return tenant
 
     def list_page(self, after: str, limit: int, only: str | None = None) -> tuple[list[Tenant], str | None]:
-        """Returns tenants in the order of their names, and the name to go on after where there are more.
+        """Returns a page of tenants in name order, and its last name if there are more, else None.
 
         Args:
-            after: the last name of the page before, or "".
-            limit: how many at most.
-            only: the one tenant that the caller may see, or None.
+            after: the last name of the previous page; "" for the first page.
+            limit: the maximum number of tenants.
+            only: the only tenant to list; None lists all.
         """
         names = sorted(name for name in self.tenants if name > after and only in (None, name))
         page = [self.tenants[name] for name in names[:limit]]
@@ -175,11 +177,11 @@
     # Changes
 
     def create(self, name: str, spec: JsonObject, idempotency_key: str | None = None) -> TenantChange:
-        """Adds a tenant, or returns the one that the same call under this key added before.
+        """Adds a tenant, or returns the one that an earlier call with the same key and arguments added.
 
         Raises:
-            ApiError: the name or a route is taken, the registry is full, or the key came with something else
-                or belongs to a tenant that is gone.
+            ApiError: the name or a route is taken, the registry is full, the key was used with other
+                arguments, or the tenant created with it was removed.
         """
         digest = hashlib.sha256(json.dumps([name, spec], sort_keys=True).encode()).hexdigest()
         if idempotency_key is not None and idempotency_key in self.idempotency_records:
@@ -198,7 +200,7 @@
         return TenantChange(ChangeKind.CREATED, tenant)
 
     def replace_spec(self, name: str, spec: JsonObject, if_match: str | None) -> TenantChange:
-        """Replaces a tenant's spec; raises ApiError where the version or a route does not allow it."""
+        """Replaces a tenant's spec; raises ApiError if the version does not match or a route is taken."""
         tenant = self._get_at_version(name, if_match)
         self.routes = self._routes_with(name, spec)
         tenant.spec = spec
@@ -229,7 +231,11 @@
         return TenantChange(ChangeKind.REMOVED if removed else ChangeKind.STATE_CHANGED, tenant)
 
     def finish_drain(self, serial: int) -> Tenant | None:
-        """Records that no request of a tenant is in flight any more; returns the tenant if it is there."""
+        """Ends the drain or removal that waited for a tenant's requests in flight.
+
+        Returns:
+            The tenant; None if it was removed. A tenant that is no longer draining is returned unchanged.
+        """
         removal = self.pending_removals.pop(serial, None)
         if removal is not None:
             self._end_operation(removal, OperationState.DONE)
@@ -242,7 +248,7 @@
             tenant.operation_id = None
         return tenant
 
-    # Parts of changes
+    # Helpers of the changes
 
     def _repeat_create(self, record: IdempotencyRecord, digest: str) -> TenantChange:
         if record.digest != digest:
@@ -261,7 +267,7 @@
         return tenant
 
     def _routes_with(self, name: str, spec: JsonObject) -> RoutingTable:
-        """Returns the routing table as it would be; raises RouteTakenError."""
+        """Returns the routing table with this spec's routes for a tenant; raises RouteTakenError."""
         routes = _routing_table(tenant for tenant in self.tenants.values() if tenant.name != name)
         for position, route in enumerate(_routes_of(spec)):
             try:
@@ -277,7 +283,7 @@
         self.rebuild_routes()
 
     def rebuild_routes(self) -> None:
-        """Compiles the routing table of the tenants that are there."""
+        """Builds the routing table from the current tenants."""
         self.routes = _routing_table(self.tenants.values())
 
     def _begin_operation(self, tenant: Tenant, kind: TenantCommand) -> str:
