--- a/drumgw/hosting/tenant_service.py
+++ b/drumgw/hosting/tenant_service.py
@@ -1,4 +1,4 @@
-"""The running service of one tenant, and its requests in flight."""
+"""A tenant's running gateway service, and the count of its requests in flight."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class TenantService:
-    """A gateway service that serves one tenant under one spec.
+    """A gateway service that serves one tenant with one spec.
 
-    A spec that its gateway service cannot take over is served by a new one, which has the tenant's key and
-    serial too; the old one finishes what is in flight there.
+    A spec that the gateway service cannot adopt while it runs needs another TenantService, with the same key
+    and serial; the replaced one completes its requests in flight.
 
     Attributes:
-        name: of the tenant.
-        serial: of the tenant.
-        key: of the tenant.
-        spec: that it serves, as JSON.
+        name: the tenant's name.
+        serial: the tenant's serial number.
+        key: the tenant's key.
+        spec: the spec in use, as JSON.
         gateway_service: the policy engine, the dispatcher and the clients.
-        open_request_ids: ids of the tenant's requests in flight; emptied as they end.
-        is_ready: whether its discovery has spoken; nothing is admitted before.
-        in_flight: requests that it has.
-        admitted_count: requests that it was given since its start.
-        rejected_count: requests of the tenant that were not admitted meanwhile.
+        open_request_ids: ids of the tenant's requests in flight, shared with the service it replaces.
+        is_ready: whether the endpoint list was received; no request is admitted before.
+        in_flight: number of admitted requests that have not ended.
+        admitted_count: number of requests admitted since its start.
+        rejected_count: number of requests that RequestAdmission rejected since its start.
     """
 
     def __init__(self, tenant: Tenant, gateway_service: GatewayService) -> None:
@@ -41,26 +41,26 @@
         self._on_idle: Callable[[], object] | None = None
 
     def begin_request(self) -> None:
-        """Counts a request that was admitted."""
+        """Counts an admitted request as in flight."""
         self.in_flight += 1
         self.admitted_count += 1
 
     def end_request(self) -> None:
-        """Counts the end of a request."""
+        """Counts a request as ended; calls the callback of call_when_idle after the last one."""
         self.in_flight -= 1
         if not self.in_flight and self._on_idle is not None:
             on_idle = self._on_idle
             self._on_idle = None
             on_idle()
 
-    def call_when_idle(self, call: Callable[[], object]) -> None:
-        """Calls once no request is in flight: now, or when the last one ends."""
+    def call_when_idle(self, callback: Callable[[], object]) -> None:
+        """Calls the callback once: now if no request is in flight, else when the last one ends."""
         if self.in_flight:
-            self._on_idle = call
+            self._on_idle = callback
         else:
-            call()
+            callback()
 
     async def close(self) -> None:
-        """Returns the reservations that were not used, then closes the clients."""
+        """Returns unused reservations to the counter, then closes the clients."""
         await self.gateway_service.return_reservations()
         await self.gateway_service.close()
