--- a/drumgw/hosting/tenant_services.py
+++ b/drumgw/hosting/tenant_services.py
@@ -1,4 +1,4 @@
-"""The running services of all tenants: started, reconfigured, replaced and closed as the registry changes."""
+"""Starts, reconfigures, replaces and closes the tenants' services as the registry changes."""
 
 from __future__ import annotations
 
@@ -21,33 +21,33 @@
 from drumgw.hosting.tenant_service import TenantService
 from drumgw.hosting.tenant_states import TenantState
 
-LAG_INTERVAL_MS = 50.0  # between two measurements of the event loop's lag
-LAG_DECAY = 0.5  # of the lag from one measurement to the next
-SOCKETS_PER_REQUEST = 3  # where the operator's file does not bound the requests in flight
-NOT_SERVED_RETRY_AFTER_MS = 1000.0  # for requests of a tenant that is not served now
-REJECTED_RETRY_AFTER_MS = 500.0  # for requests beyond a tenant's share, where its settings name no time
+LAG_INTERVAL_MS = 50.0  # between two measurements of the event loop lag
+LAG_DECAY = 0.5  # factor by which a past lag decreases with each measurement
+SOCKETS_PER_REQUEST = 3  # to derive the capacity, if the host file does not set it
+NOT_SERVED_RETRY_AFTER_MS = 1000.0  # for requests of a tenant that is not active or not ready
+REJECTED_RETRY_AFTER_MS = 500.0  # for requests beyond a tenant's share, if max_retry_after_ms is not set
 
-# Keys of a spec that a running service takes over, and those that it does not know of.
+# Keys of a spec that a running service can adopt, and keys that do not concern the service.
 RECONFIGURABLE_KEYS = frozenset({"discovery", "counter"})
 KEYS_OUTSIDE_SERVICE = frozenset({"route", "weight"})
 
 
 class AdmissionResult(NamedTuple):
-    """The service that a request is for; None where it is rejected, with the time to come back after."""
+    """The service that forwards the request; None if it is rejected, with the time for Retry-After."""
 
     service: TenantService | None
     retry_after_ms: float = 0.0
 
 
 class TenantServices:
-    """The services by tenant, and the one place where the registry is changed.
+    """The services of all tenants; all changes of the registry are made here.
 
     Attributes:
-        registry: the tenants; replaced by each change.
-        services: of the tenants that are there, by name.
-        replacements: by name; each takes its tenant's place once it is ready.
-        closing: services that finish what is in flight there.
-        awaiting_drain: tenants that are removed or draining with requests in flight; key: serial.
+        registry: the tenants; each change replaces the registry.
+        services: the services of the current tenants, by tenant name.
+        replacements: services that replace the current ones once they are ready, by tenant name.
+        closing: replaced or removed services that complete their requests in flight.
+        awaiting_drain: serials of draining or removed tenants with requests in flight, by tenant key.
     """
 
     def __init__(
@@ -63,26 +63,26 @@
         self.closing: set[TenantService] = set()
         self.awaiting_drain: dict[str, int] = {}
         self._file = file
-        self._tasks: set[asyncio.Task[Any]] = set()  # emptied as they end
+        self._tasks: set[asyncio.Task[Any]] = set()  # entries are removed as the tasks end
         self._change_lock = asyncio.Lock()
 
-    # Start and end
+    # Start and stop
 
     def open(self) -> None:
-        """Starts the services of the tenants that are there."""
+        """Starts the services of the stored tenants and the measurement of the event loop lag."""
         for tenant in self.registry.tenants.values():
             self._start_service(tenant)
         self._spawn(self._measure_event_loop_lag())
 
     async def close(self) -> None:
-        """Closes all services; whoever calls has seen to it that nothing is in flight."""
+        """Closes all services; called when no request is in flight any more."""
         for task in list(self._tasks):
             task.cancel()
         for service in {*self.services.values(), *self.replacements.values(), *self.closing}:
             await service.close()
 
     def longest_deadline_ms(self) -> float:
-        """Returns the longest time that any tenant gives a request."""
+        """Returns the longest request deadline of any tenant; 0 without tenants."""
         return max(
             (service.gateway_service.config.longest_deadline_ms for service in self.services.values()),
             default=0.0,
@@ -90,23 +90,23 @@
 
     # Changes
 
-    async def change(self, make: Callable[[TenantRegistry], TenantChange]) -> TenantChange:
-        """Makes a change in a copy of the registry, stores it, then lets it take effect.
+    async def change(self, modify: Callable[[TenantRegistry], TenantChange]) -> TenantChange:
+        """Applies a change to a copy of the registry, stores the copy, then puts it into effect.
 
-        Guards against half a change: where anything fails before the copy is stored, the registry that stands
-        is untouched. Changes come one after another.
+        If any step up to the storing fails, the current registry stays as it was, so a change is never made
+        in part. Changes are made one at a time.
 
         Args:
-            make: changes the registry that it is given.
+            modify: makes the change in the registry that is passed to it.
 
         Raises:
-            ApiError: the registry does not allow the change.
-            ConfigError: no service could be made of the spec.
+            ApiError: the registry rejects the change.
+            ConfigError: the spec does not give a valid configuration.
             OSError: the state file cannot be written.
         """
         async with self._change_lock:
             registry = self.registry.copy()
-            change = make(registry)
+            change = modify(registry)
             if change.kind is ChangeKind.NONE:
                 return change
             if change.kind in (ChangeKind.CREATED, ChangeKind.SPEC_REPLACED):
@@ -127,7 +127,7 @@
     def _apply(self, change: TenantChange) -> None:
         tenant = change.tenant
         logger.info(
-            "tenant {}: {}, version {}, {}",
+            "tenant {}: {}, version {}, state {}",
             tenant.name,
             change.kind.value,
             tenant.version,
@@ -165,10 +165,10 @@
         return tenant_config(self._file, tenant.name, tenant.serial, spec, max_endpoint_connections)
 
     async def _run_until_ready(self, service: TenantService) -> None:
-        """Starts a service; it takes its tenant's requests once its own discovery has spoken.
+        """Starts a service and puts it into use once it has received its endpoint list.
 
-        Guards against rejecting what is still served: a replacement without an endpoint list would reject
-        every request that the service before it can forward.
+        A replacement without an endpoint list would reject requests that the current service can still
+        forward.
         """
         gateway_service = service.gateway_service
         gateway_service.start()
@@ -180,10 +180,10 @@
             self.services[service.name] = service
             self._retire(replaced)
         endpoint_count = len(gateway_service.discovery.membership.rows)
-        logger.info("tenant {}: serves, {} endpoints listed", service.name, endpoint_count)
+        logger.info("tenant {}: ready, {} endpoints listed", service.name, endpoint_count)
 
     def _update_service(self, tenant: Tenant) -> None:
-        """Lets a tenant's service take over the new spec, or starts a replacement where it cannot."""
+        """Applies the new spec to a tenant's service, or starts a replacement if that is not possible."""
         service = self.replacements.get(tenant.name) or self.services[tenant.name]
         self.admission.set_weight(service.key, tenant.spec["weight"])
         changed_keys = _changed_keys(service.spec, tenant.spec) - KEYS_OUTSIDE_SERVICE
@@ -200,7 +200,7 @@
 
     def _replace_service(self, tenant: Tenant, replaced: TenantService) -> None:
         replacement = self._create_service(tenant)
-        # Guards against two requests of one id: an id is open in the tenant, whichever service has it.
+        # A request id that is in flight at the replaced service must not be forwarded again by the new one.
         replacement.open_request_ids = replaced.open_request_ids
         self._discard_replacement(tenant.name)
         self.replacements[tenant.name] = replacement
@@ -219,19 +219,19 @@
             self._retire(replacement)
 
     def _retire(self, service: TenantService) -> None:
-        """Closes a service once nothing is in flight there."""
+        """Closes a service once it has no requests in flight."""
         self.closing.add(service)
         service.call_when_idle(lambda: self._spawn(self._close_service(service)))
 
     async def _close_service(self, service: TenantService) -> None:
         await service.close()
         self.closing.discard(service)
-        logger.info("tenant {}: a service of serial {} has closed", service.name, service.serial)
+        logger.info("tenant {}: closed a service of serial {}", service.name, service.serial)
 
     # Requests
 
     def admit(self, name: str) -> AdmissionResult:
-        """Admits a request for a tenant; an admitted one must be released."""
+        """Admits or rejects a request for a tenant; an admitted one must be released when it ends."""
         tenant = self.registry.tenants.get(name)
         service = self.services.get(name)
         is_served = tenant is not None and tenant.state is TenantState.ACTIVE
@@ -245,14 +245,14 @@
         return AdmissionResult(service)
 
     def release(self, service: TenantService) -> None:
-        """Records that an admitted request ended."""
+        """Records the end of an admitted request."""
         self.admission.release(service.key)
         service.end_request()
         if service.key in self.awaiting_drain:
             self._check_drained(service.key, service.serial)
 
     def _check_drained(self, key: str, serial: int) -> None:
-        """Ends a drain or removal now, or waits for the requests in flight, whichever service has them."""
+        """Ends a drain or removal, or waits while any service of the tenant has requests in flight."""
         if self.admission.has_requests_in_flight(key):
             self.awaiting_drain[key] = serial
         else:
@@ -264,10 +264,10 @@
             self.registry.finish_drain(serial)
             await self._store(self.registry)
 
-    # What is seen from outside
+    # Reports
 
     def usage_report(self, name: str) -> JsonObject:
-        """Returns what a tenant uses now, in the API's words."""
+        """Returns a tenant's current usage, in the form of the API."""
         service = self.services[name]
         gateway_service = service.gateway_service
         share = self.admission.shares.tenants[service.key]
@@ -289,8 +289,8 @@
 
     # Tasks
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -298,9 +298,9 @@
         while True:
             due_ms = self.clock.now() + LAG_INTERVAL_MS
             await asyncio.sleep(LAG_INTERVAL_MS / 1000)
-            late_ms = self.clock.now() - due_ms
+            lateness_ms = self.clock.now() - due_ms
             fair_limiter = self.admission.fair_limiter
-            fair_limiter.lag_ms = max(late_ms, fair_limiter.lag_ms * LAG_DECAY)
+            fair_limiter.lag_ms = max(lateness_ms, fair_limiter.lag_ms * LAG_DECAY)
 
 
 def _changed_keys(old: JsonObject, new: JsonObject) -> set[str]:
