--- a/drumgw/hosting/tenant_states.py
+++ b/drumgw/hosting/tenant_states.py
@@ -1,6 +1,7 @@
-"""The states of a tenant and of a long-running operation, and which command leads where. No I/O.
+"""The states of tenants and long-running operations, and the transitions between tenant states.
 
-The values of the enums are the words on the wire and in the state file.
+The values of TenantState, TenantCommand and OperationState are used in the API, and those of TenantState in
+the state file as well.
 """
 
 from __future__ import annotations
@@ -10,17 +11,17 @@
 
 
 class TenantState(Enum):
-    """Whether a tenant is served, and if not, why."""
+    """Whether a tenant's requests are admitted, and if not, why."""
 
-    ACTIVE = "active"  # served
-    SUSPENDED = "suspended"  # its requests are rejected
-    DRAINING = "draining"  # takes nothing new; requests are in flight
-    DRAINED = "drained"  # takes nothing new; none is in flight
-    REMOVED = "removed"  # its name is free; requests may be in flight
+    ACTIVE = "active"  # requests are admitted
+    SUSPENDED = "suspended"  # new requests are rejected
+    DRAINING = "draining"  # new requests are rejected; some are still in flight
+    DRAINED = "drained"  # new requests are rejected; none is in flight
+    REMOVED = "removed"  # its name can be reused; requests may still be in flight
 
 
 class TenantCommand(Enum):
-    """What an administrator may do with a tenant as a whole."""
+    """The commands of the API that change a tenant's state."""
 
     SUSPEND = "suspend"
     RESUME = "resume"
@@ -29,7 +30,7 @@
 
 
 class OperationState(Enum):
-    """How far a long-running operation is."""
+    """The progress of a long-running operation."""
 
     RUNNING = "running"
     DONE = "done"
@@ -37,12 +38,12 @@
 
 
 class TransitionEffect(Enum):
-    """What a transition does beside changing the state."""
+    """What a transition does besides changing the state."""
 
     NONE = auto()
-    BEGIN_DRAIN = auto()  # an operation begins that ends with the last request in flight
-    CANCEL_DRAIN = auto()  # that operation is cancelled
-    REMOVE = auto()  # the name is freed; an operation waits for the requests in flight
+    BEGIN_DRAIN = auto()  # starts an operation that is done when no request is in flight
+    CANCEL_DRAIN = auto()  # cancels the drain operation
+    REMOVE = auto()  # frees the name and starts an operation that is done when no request is in flight
 
 
 class Transition(NamedTuple):
@@ -56,7 +57,7 @@
 _DRAIN = Transition(TenantState.DRAINING, TransitionEffect.BEGIN_DRAIN)
 _REMOVE = Transition(TenantState.REMOVED, TransitionEffect.REMOVE)
 
-# What is not here is not possible in that state.
+# A command that is not listed for a state is rejected.
 TRANSITIONS: dict[tuple[TenantState, TenantCommand], Transition] = {
     (TenantState.ACTIVE, TenantCommand.SUSPEND): Transition(TenantState.SUSPENDED, TransitionEffect.NONE),
     (TenantState.ACTIVE, TenantCommand.DRAIN): _DRAIN,
