--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -1,4 +1,4 @@
-"""A host on sockets: tenants beside each other, none of them in another's way; specs and states change."""
+"""Tests of a host with real sockets: isolation between tenants, and changes of their specs and states."""
 
 from __future__ import annotations
 
@@ -14,22 +14,25 @@
 
 
 class TenantIsolation(HostCase):
-    """Faults, load and idle clients of one tenant reach no other."""
+    """Faults, load and idle connections of one tenant do not affect the others."""
 
-    async def test_twenty_tenants_with_one_customer_one_id_and_one_endpoint_name(self) -> None:
-        """Twenty tenants have a customer, a request id and an endpoint of the same name.
+    async def test_tenants_with_equal_customers_request_ids_and_endpoint_names_are_separate(self) -> None:
+        """Guards against state shared by tenants: all use the same customer, request id and endpoint name.
 
-        Seen from outside, each answer, endpoint, count and log line belongs to one tenant; a customer that
-        uses its quota up at one tenant is served at the others.
+        Each response, forwarded request, quota count and log line must belong to one tenant; a customer that
+        has used up its quota at one tenant is still served by the others.
         """
         counter = SharedCounter()
         counter_server = await self.start_server(counter.answer)
         names = [f"t{n}" for n in range(20)]
         small_plan = [{"name": "p", "units_per_s": 1.0, "burst_units": 6.0}]
-        # Twenty start at once: a counter call that misses its 80 ms on a slow machine would say nothing
-        patient = {"counter_wait_ms": 60000.0}
+        # With twenty starting at once, a slow machine may exceed the default of 80 ms, and a request would
+        # then be decided without the counter's answer
+        long_counter_wait = {"counter_wait_ms": 60000.0}
         tenants = [
-            await self.tenant(name, counter=counter_server.address, plan=small_plan, allowed=patient)
+            await self.tenant(
+                name, counter=counter_server.address, plan=small_plan, allowed=long_counter_wait
+            )
             for name in names
         ]
         log = self.log_lines()
@@ -43,27 +46,27 @@
         for name in names:
             heads = [head for head, _ in self.endpoints[name].requests]
             self.assertTrue(heads and all(f"Host: {name}.example".encode() in head for head in heads), name)
-        async with asyncio.timeout(20):  # the last reports may still be on their way
+        async with asyncio.timeout(20):  # the last reports to the counter may still be in flight
             while {key.split("-")[0] for key in counter.totals} != set(names):
                 await asyncio.sleep(POLL_S)
         lines = [line for line in log if not line.startswith(("host ", "process stalled"))]
         self.assertTrue(all(re.match(r"tenant t\d+: ", line) for line in lines), lines)
         self.assertEqual({line.split()[1].rstrip(":") for line in lines}, set(names))
 
-    async def test_faults_of_some_tenants_reach_no_other(self) -> None:
-        """Some tenants' endpoints reset, fail, send noise or are silent, and one's discovery is silent.
+    async def test_faults_of_some_tenants_do_not_affect_others(self) -> None:
+        """Endpoints of four tenants reset, fail, send garbage or never answer; one discovery is silent.
 
-        The others get each of their requests answered by their own endpoint, once. Nothing is admitted for
-        the tenant whose discovery never spoke.
+        Each request of the other tenants must be answered once, by their own endpoint. No request is admitted
+        for the tenant that never received an endpoint list.
         """
 
-        def noise(head: bytes, body: bytes) -> bytes:
+        def malformed_response(head: bytes, body: bytes) -> bytes:
             return b"\x00\x01 no answer\r\n\r\n"
 
         faults: dict[str, Any] = {
             "t0": b"",
             "t1": http_response(status=500),
-            "t2": noise,
+            "t2": malformed_response,
             "t3": lambda *_: None,
         }
         tenants = [await self.tenant(f"t{n}", faults.get(f"t{n}")) for n in range(12)]
@@ -72,7 +75,7 @@
         host_process = await self.start_host(*tenants, ready=False)
         while sum(service.is_ready for service in host_process.services.services.values()) < 11:
             await asyncio.sleep(POLL_S)
-        for turn in range(6):  # one request id at all of them at the same time
+        for turn in range(6):  # the same request ids at all tenants at the same time
             names = [f"t{n}" for n in range(12) for _ in range(1 + (n < 5))]
             answers = await asyncio.gather(
                 *(
@@ -92,12 +95,12 @@
         self.assertEqual(self.endpoints["t4"].requests, [])
         self.assertEqual((await self.call("GET", "/v1/tenants/t4/use")).body["taken"], 0)
 
-    async def test_idle_connections_of_one_tenant_do_not_push_out_another_s(self) -> None:
-        """One tenant's clients open dozens of connections, send one request and stay; another tenant has one.
+    async def test_idle_connections_of_one_tenant_do_not_displace_those_of_another(self) -> None:
+        """One tenant's clients keep dozens of idle connections open, more than the listener may hold.
 
-        The listener cannot hold all. It closes connections of the tenant that has more than its part,
-        and the other's stays open and is served. Turns while the event loop lags are left out: a busy
-        machine would have them reject the dozens, which is another test's story.
+        The listener must close connections of that tenant, which has more than its share; the single
+        connection of the other tenant stays open and usable. The limit for a lagging event loop is switched
+        off, because on a busy machine it would reject some of the requests.
         """
         host_process = await self.start_host(await self.tenant("t1"), await self.tenant("t2"))
         limits = host_process.http_server.tenant_limits
@@ -123,22 +126,22 @@
         quiet_writer.write(request % (b"t2", 99))
         self.assertIn(b" 200 ", (await read_message(quiet_reader))[0])
 
-    async def test_a_rush_onto_silent_endpoints_takes_nothing_of_the_others(self) -> None:
-        """A tenant's endpoints are silent while its clients rush, some with bodies that are never complete.
+    async def test_load_on_silent_endpoints_leaves_other_tenants_their_shares(self) -> None:
+        """A tenant's endpoints never answer and its clients send many requests, some with incomplete bodies.
 
-        Its requests fill its guaranteed share and what it may borrow, no more: the other tenants are served
-        throughout.
+        The requests may fill the tenant's guaranteed share and its borrowing limit, but no more: the other
+        tenants must be served throughout.
         """
         stalled = await self.tenant("t1", answer=lambda head, body: None)
         others = [await self.tenant("t2"), await self.tenant("t3")]
         host_process = await self.start_host(stalled, *others, txns=30)
         shares = host_process.services.admission.shares
         guaranteed = shares.tenants["t2#2"].guaranteed
-        rush = [
+        stalled_requests = [
             asyncio.create_task(self.send("t1", Request_Id=f"r{n}", Request_Timeout="60000m"))
             for n in range(40)
         ]
-        for n in range(40):  # the policy engine never hears of these
+        for n in range(40):  # incomplete requests do not reach the policy engine
             _, writer = await self.connect()
             writer.write(
                 f"POST /sale?account={n:016x} HTTP/1.1\r\nHost: t1.example\r\n"
@@ -152,16 +155,16 @@
         self.assertEqual(shares.tenants["t1#1"].in_use, shares.limit_of("t1#1"))
         self.assertEqual(guaranteed, 5)
         for name in ("t2", "t3"):
-            for n in range(10):  # two at once: the concurrency limit allows as many at the start
+            for n in range(10):  # two at a time: the initial concurrency limit allows two
                 answers = await asyncio.gather(*(self.send(name, Request_Id=f"{m}-{n}") for m in range(2)))
                 self.assertEqual(answers, [(200, name.encode())] * 2)
         usage = (await self.call("GET", "/v1/tenants/t1/use")).body
         self.assertGreater(usage["open"], 0)
-        for task in rush:
+        for task in stalled_requests:
             task.cancel()
-        await asyncio.gather(*rush, return_exceptions=True)
+        await asyncio.gather(*stalled_requests, return_exceptions=True)
 
-    async def test_routes_by_path_forward_the_target_as_it_was_received(self) -> None:
+    async def test_a_request_routed_by_path_is_forwarded_with_its_full_target(self) -> None:
         one = await self.tenant("t1", route=[{"path": "/one"}])
         two = await self.tenant("t2", route=[{"path": "/two"}, {"host": "t2.example", "path": "/one"}])
         await self.start_host(one, two)
@@ -173,13 +176,13 @@
 
 
 class TenantChanges(HostCase):
-    """A tenant's spec and state change while requests are in flight."""
+    """Changes of a tenant's spec and state, also while requests are in flight."""
 
     async def test_a_tenant_is_removed_with_a_request_in_flight_and_created_anew(self) -> None:
-        """A tenant is removed while an endpoint still works on a request, and its name is used again at once.
+        """A tenant is removed while a request is in flight, and another is created under its name at once.
 
-        Each request gets its one answer from the endpoint it was forwarded to; the removal ends with the
-        last of them, and then no table holds anything of the old tenant.
+        Each request must be answered by the endpoint it was forwarded to. The removal ends with the last
+        request of the old tenant, and then no table has an entry for it.
         """
         held: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         host_process = await self.start_host(await self.tenant("t1", answer=lambda head, body: held))
@@ -208,18 +211,18 @@
         self.assertEqual(services.awaiting_drain, {})
         self.assertEqual((services.registry.pending_removals, list(services.services)), ({}, ["t1"]))
 
-    async def test_plans_lowered_below_what_was_used(self) -> None:
-        """A plan is lowered below what its customer used of it already.
+    async def test_usage_is_kept_when_a_plan_is_lowered_below_it(self) -> None:
+        """A plan is lowered below what a customer has already used of it.
 
-        The new service reads the same counts: usage under the old plan is not forgotten.
+        The replacement service must use the same counter keys, or usage under the old plan would be lost.
         """
         counter = SharedCounter()
         counter_server = await self.start_server(counter.answer)
         plan = {"name": "p", "units_per_s": 0.01, "burst_units": 60.0}
-        # On a slow machine a counter call may miss its 80 ms and say nothing
-        patient = {"counter_wait_ms": 1000.0}
+        # A slow machine may exceed the default of 80 ms; a request would then be decided without the counter
+        long_counter_wait = {"counter_wait_ms": 1000.0}
         await self.start_host(
-            await self.tenant("t1", counter=counter_server.address, plan=[plan], allowed=patient)
+            await self.tenant("t1", counter=counter_server.address, plan=[plan], allowed=long_counter_wait)
         )
         for n in range(5):
             answer = await self.send("t1", Request_Id=str(n), Quota_Info="units=6,spread=1,first=0")
@@ -232,10 +235,10 @@
         self.assertEqual((await self.send("t1", Request_Id="6"))[0], 503)
         self.assertEqual(len({key.split("-")[1] for key in counter.totals}), 1)
 
-    async def test_an_id_in_flight_at_the_replaced_service_is_open_at_the_new_one(self) -> None:
-        """A spec is replaced while a request is in flight, and its client sends the same id again.
+    async def test_a_request_id_in_flight_at_the_replaced_service_is_rejected_by_the_new_one(self) -> None:
+        """A spec is replaced while a request is in flight, and the client sends the same request id again.
 
-        The replaced service has the request; the new one must not forward it a second time beside it.
+        The request is in flight at the replaced service; the new one must not forward it a second time.
         """
         held: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         await self.start_host(await self.tenant("t1", answer=lambda head, body: held))
@@ -250,7 +253,7 @@
         self.assertEqual(len(self.endpoints["t1"].requests), 1)
         self.assertEqual(await self.send("t1", Request_Id="same"), (200, b"ok"))
 
-    async def test_routes_weight_and_discovery_change_without_a_new_service(self) -> None:
+    async def test_routes_weight_and_discovery_change_without_a_replacement_service(self) -> None:
         host_process = await self.start_host(await self.tenant("t1"))
         gateway_service = host_process.services.services["t1"].gateway_service
         spec = (await self.call("GET", "/v1/tenants/t1")).body["spec"]
@@ -285,7 +288,7 @@
         await self.call("POST", "/v1/tenants/t1/resume", If_Match=f'"{version}"')
         self.assertEqual(await self.send("t1", Request_Id="3"), (200, b"ok"))
 
-    async def test_tenants_created_and_removed_by_the_hundred_leave_nothing_behind(self) -> None:
+    async def test_many_created_and_removed_tenants_leave_no_resources_behind(self) -> None:
         host_process = await self.start_host()
         tenant = await self.tenant("t1")
         descriptors = "/proc/self/fd"
