--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -1,4 +1,4 @@
-"""What a host decides without I/O: routes, shares, turns, the registry, permissions; and its state file."""
+"""Tests of a host's routing, admission, registry, permissions and state file, without sockets."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 
 def spec(*routes: tuple[str, str], **more: Any) -> dict[str, Any]:
-    """Returns a tenant's spec with these hosts and paths."""
+    """Returns a tenant's spec with routes for these pairs of host and path."""
     return {"route": [{"host": host, "path": path} for host, path in routes], "weight": 1.0, **more}
 
 
 class Routing(unittest.TestCase):
-    """Which tenant a host and a path belong to."""
+    """Finding the tenant for a host and a path."""
 
-    def test_the_exact_host_then_the_longer_prefix(self) -> None:
+    def test_the_exact_host_takes_precedence_then_the_longest_prefix(self) -> None:
         routes = RoutingTable(
             [
                 ("any", Route("", "")),
@@ -60,7 +60,7 @@
             ("A.Example.:8080", "/x/y/preview?q=/x", "a-deep", "/preview?q=/x"),
             ("a.example", "/x/yy/preview", "a-x", "/yy/preview"),
             ("a.example", "/xx/preview", "a", "/xx/preview"),
-            ("a.example", "/shop/preview", "a", "/shop/preview"),  # the host goes first
+            ("a.example", "/shop/preview", "a", "/shop/preview"),  # the exact host takes precedence
             ("b.example", "/shop/preview", "shop", "/preview"),
             ("b.example", "/shop", "shop", "/"),
             ("b.example", "/shop?x", "shop", "?x"),
@@ -72,18 +72,18 @@
         self.assertIsNone(RoutingTable([("a", Route("a.example", ""))]).find("b.example", "/"))
         self.assertIsNone(RoutingTable([("a", Route("", "/x"))]).find(None, "/%78/preview"))
 
-    def test_one_route_for_two_tenants_is_refused_with_both_names(self) -> None:
+    def test_one_route_for_two_tenants_is_rejected_with_both_names(self) -> None:
         with self.assertRaisesRegex(AmbiguousRouteError, "any host/x is routed to a and to b"):
             RoutingTable([("a", Route("", "/x")), ("a", Route("", "/x")), ("b", Route("", "/x"))])
 
 
 class SharedCapacity(unittest.TestCase):
-    """What each tenant may hold, and who waits while the event loop lags."""
+    """Limits on the requests of each tenant: its share of the capacity, and its rate while the loop lags."""
 
-    def test_each_tenant_keeps_its_share_and_nobody_borrows_all(self) -> None:
-        """Two tenants take as much as they can get before the third takes anything.
+    def test_each_tenant_keeps_its_share_and_none_borrows_everything(self) -> None:
+        """Two tenants acquire as many units as they can before the third acquires any.
 
-        Each gets its share and half of what is borrowable; the third still gets its whole share.
+        Each gets its guaranteed share and half of the borrowable units; the third still gets its full share.
         """
         shares = FairShares(100)
         for name, weight in (("big", 3.0), ("one", 1.0), ("two", 1.0)):
@@ -96,16 +96,16 @@
         self.assertTrue(shares.acquire("big"))
         self.assertEqual((shares.tenants["one"].refused_count, shares.borrowed), (965, 50))
 
-    def test_any_order_of_calls_adds_up(self) -> None:
-        chance = random.Random(5)
+    def test_counts_are_consistent_after_random_calls(self) -> None:
+        rng = random.Random(5)
         for _ in range(40):
-            shares = FairShares(chance.randint(2, 60))
+            shares = FairShares(rng.randint(2, 60))
             held: Counter[str] = Counter()
             for _ in range(400):
-                name = chance.choice("abcdef")
-                choice = chance.random()
+                name = rng.choice("abcdef")
+                choice = rng.random()
                 if choice < 0.08:
-                    shares.set_weight(name, chance.choice((0.5, 1.0, 4.0)))
+                    shares.set_weight(name, rng.choice((0.5, 1.0, 4.0)))
                 elif choice < 0.11 and name in shares.tenants:
                     shares.remove(name)
                 elif choice < 0.6:
@@ -118,26 +118,26 @@
                 borrowed = sum(max(0, share.in_use - share.guaranteed) for share in shares.tenants.values())
                 self.assertEqual(shares.borrowed, borrowed)
 
-    def test_while_the_loop_lags_a_rushing_tenant_waits_and_a_calm_one_is_served(self) -> None:
-        """One tenant rushes while another has a request now and then, and the event loop falls behind.
+    def test_a_lagging_event_loop_limits_a_busy_tenant_but_not_a_quiet_one(self) -> None:
+        """One tenant sends a burst of requests, another a few, and the event loop starts to lag.
 
-        Without lag both are served. With it the rushing one is rejected until its rush is forgotten, the
-        calm one never; a tenant that is alone is not rejected.
+        Without lag both are admitted. With lag, the busy tenant is rejected until its burst has left the
+        window, and the quiet one never is; a tenant that is the only one in the window is not rejected.
         """
         limiter = WeightedFairLimiter()
         weights = {"rush": 1.0, "calm": 1.0}
-        calm = sum(limiter.admit(now, "calm", weights) for now in range(0, 1000, 50))
+        calm_count = sum(limiter.admit(now, "calm", weights) for now in range(0, 1000, 50))
         self.assertEqual(sum(limiter.admit(999.0, "rush", weights) for _ in range(400)), 400)
         limiter.lag_ms = 100.0
         self.assertFalse(limiter.admit(1000.0, "rush", weights))
         self.assertTrue(limiter.admit(1000.0, "calm", weights))
-        self.assertEqual(calm, 20)
+        self.assertEqual(calm_count, 20)
         self.assertTrue(limiter.admit(3000.0, "rush", weights))
         self.assertEqual(sum(limiter.admit(3001.0, "rush", weights) for _ in range(50)), 50)
 
 
 class Registry(unittest.TestCase):
-    """Versions, states, idempotency keys and the stored form of the registry."""
+    """Versions, states, idempotency keys and the stored format of the tenant registry."""
 
     def assert_rejected(self, status: int, call: Callable[..., Any], *arguments: Any) -> ApiError:
         with self.assertRaises(ApiError) as context:
@@ -145,8 +145,8 @@
         self.assertEqual(context.exception.status, status, context.exception)
         return context.exception
 
-    def test_versions_keep_two_administrators_apart(self) -> None:
-        """Two administrators read a version and both change it: the second one's change is rejected."""
+    def test_a_change_based_on_a_stale_version_is_rejected(self) -> None:
+        """Two administrators change a tenant on the basis of the same version: the second is rejected."""
         registry = TenantRegistry()
         change = registry.create("a", spec(("a.example", "")))
         self.assertEqual((change.kind, change.tenant.version), (ChangeKind.CREATED, 1))
@@ -157,7 +157,7 @@
         self.assertEqual(registry.routes.find("a.example", "/x/p"), ("a", "/p"))
         self.assert_rejected(404, registry.replace_spec, "b", spec(), '"1"')
 
-    def test_a_route_of_another_tenant_is_refused_and_nothing_changes(self) -> None:
+    def test_a_route_of_another_tenant_is_rejected_and_nothing_changes(self) -> None:
         registry = TenantRegistry()
         registry.create("a", spec(("a.example", "")))
         error = self.assert_rejected(409, registry.create, "b", spec(("b.example", ""), ("a.example", "")))
@@ -168,7 +168,7 @@
         self.assert_rejected(409, registry.replace_spec, "b", spec(("a.example", "")), '"2"')
         self.assertEqual(registry.tenants["b"].version, 2)
 
-    def test_commands_lead_from_state_to_state(self) -> None:
+    def test_commands_change_the_state_of_a_tenant(self) -> None:
         registry = TenantRegistry()
         registry.create("a", spec(("a.example", "")))
         for command, state in (
@@ -192,8 +192,8 @@
         self.assertEqual(registry.get_operation(operation_id).state, OperationState.DONE)
         self.assert_rejected(412, registry.apply_command, "a", TenantCommand.RESUME, etag)
 
-    def test_the_words_on_the_wire_and_in_the_state_file_stay(self) -> None:
-        """Stored files and clients know these words; the names in the code may change, they may not."""
+    def test_enum_values_of_the_api_and_the_state_file_are_stable(self) -> None:
+        """Stored files and API clients depend on these values, whatever the enum members are called."""
         self.assertEqual(
             [state.value for state in TenantState],
             ["active", "suspended", "draining", "drained", "removed"],
@@ -204,10 +204,10 @@
         )
         self.assertEqual([role.value for role in Role], ["operator", "tenant"])
 
-    def test_a_removed_name_is_free_at_once_and_the_old_tenant_is_not_mixed_up(self) -> None:
-        """A tenant is removed and created anew under its name while requests of the old one are in flight.
+    def test_a_removed_name_can_be_reused_and_the_old_tenant_stays_separate(self) -> None:
+        """A tenant is created under the name of a removed one that still has requests in flight.
 
-        Versions, idempotency keys and the end of the removal belong to the old serial number.
+        The old versions, the old idempotency key and the end of the removal must not affect the new tenant.
         """
         registry = TenantRegistry()
         old = registry.create("a", spec(("a.example", "")), "key-1").tenant
@@ -223,8 +223,8 @@
         self.assertEqual(operation.state, OperationState.DONE)
         self.assertEqual(registry.tenants["a"].state, TenantState.ACTIVE)
 
-    def test_repeats_of_a_create_act_once(self) -> None:
-        """The answer of a create is lost and it is sent again under its idempotency key."""
+    def test_a_repeated_create_acts_once(self) -> None:
+        """The response to a create is lost, and the client repeats it with the same idempotency key."""
         registry = TenantRegistry()
         first = registry.create("a", spec(("a.example", "")), "k").tenant
         repeat = registry.create("a", spec(("a.example", "")), "k")
@@ -244,7 +244,7 @@
         self.assertEqual(([tenant.name for tenant in page], after), (["t6"], None))
         self.assertEqual([tenant.name for tenant in registry.list_page("", 9, "t4")[0]], ["t4"])
 
-    def test_thousands_come_and_go_and_no_table_grows(self) -> None:
+    def test_tables_stay_bounded_when_thousands_of_tenants_are_created_and_removed(self) -> None:
         registry = TenantRegistry()
         for n in range(3000):
             tenant = registry.create("t", spec(("h", "")), f"key-{n}").tenant
@@ -256,8 +256,8 @@
         self.assertEqual(len(registry.idempotency_records), MAX_IDEMPOTENCY_KEYS)
         self.assertEqual(len(registry.operations), MAX_OPERATIONS)
 
-    def test_what_is_stored_comes_back_and_a_copy_is_apart(self) -> None:
-        """A host is restarted: what was draining has drained, and idempotency keys are still known."""
+    def test_a_stored_registry_is_restored_and_a_copy_is_independent(self) -> None:
+        """After a restart, a draining tenant is drained and idempotency keys are still known."""
         registry = TenantRegistry()
         registry.create("a", spec(("a.example", "")), "k")
         b = registry.create("b", spec(("b.example", ""))).tenant
@@ -275,8 +275,8 @@
         self.assertEqual(restored.create("a", spec(("a.example", "")), "k").kind, ChangeKind.NONE)
         self.assertGreater(restored.next_sequence_number(), registry.last_sequence_number)
 
-    def test_a_stored_registry_keeps_its_form(self) -> None:
-        """A state file of the release before must be read, and one of this release by the one before."""
+    def test_the_stored_format_is_stable(self) -> None:
+        """State files must stay readable in both directions between this release and the previous one."""
         registry = TenantRegistry()
         registry.create("a", spec(("a.example", "")), "k")
         digest = registry.idempotency_records["k"].digest
@@ -291,9 +291,9 @@
 
 
 class Permissions(unittest.TestCase):
-    """Who calls, and what each role may do."""
+    """Authentication, and the operations that each role may call."""
 
-    def test_a_token_is_known_by_its_hash(self) -> None:
+    def test_a_token_is_authenticated_by_its_hash(self) -> None:
         text, digest = create_token()
         operator = ApiToken("one", Role.OPERATOR, None, digest)
         tenant = ApiToken("two", Role.TENANT, "a", hash_token("x"))
@@ -333,8 +333,8 @@
                 self.assertFalse(is_allowed(tenant, permission, "b"))
 
 
-class DyingFileSystem(FileSystem):
-    """Ends the process at the call of a number, or in the midst of a write."""
+class InterruptedFileSystem(FileSystem):
+    """Simulates a kill after a number of calls; a write that is interrupted leaves a part of its data."""
 
     def __init__(self, calls_left: int, written_fraction: float) -> None:
         self.calls_left = calls_left
@@ -371,7 +371,7 @@
 
 
 class StateFiles(unittest.TestCase):
-    """Kills, damage and other versions of the state file."""
+    """Interrupted writes, damaged files and other format versions."""
 
     def setUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
@@ -382,18 +382,18 @@
         return loaded
 
     def test_killed_at_every_point_of_a_write(self) -> None:
-        """The process is killed at each step of a write, again and again.
+        """The process is killed at random steps of many writes.
 
-        What was stored last, or what was being written, is read; never anything else, and without a warning.
+        The state that is read next must be the last one stored or the one being written, without a warning.
         """
-        chance = random.Random(3)
+        rng = random.Random(3)
         stored = 0
         StateFile(self.folder).save({"n": 0})
         for n in range(1, 2000):
-            calls_left = chance.randrange(7)
+            calls_left = rng.randrange(7)
             try:
-                content = {"n": n, "text": "x" * chance.randrange(99)}
-                StateFile(self.folder, DyingFileSystem(calls_left, chance.random())).save(content)
+                content = {"n": n, "text": "x" * rng.randrange(99)}
+                StateFile(self.folder, InterruptedFileSystem(calls_left, rng.random())).save(content)
                 stored = n
             except KeyboardInterrupt:
                 pass
@@ -404,10 +404,10 @@
         self.assertGreater(stored, 1900)
         self.assertLessEqual(len(os.listdir(self.folder)), 4)
 
-    def test_a_damaged_file_gives_way_to_the_last_good_one(self) -> None:
-        """The disk damages the state file: cut, emptied, or with a bit turned.
+    def test_the_last_good_copy_is_used_for_a_damaged_file(self) -> None:
+        """The state file is truncated, empty or has changed bytes.
 
-        The copy of the state before is read, with a warning; without a copy the file is refused.
+        The last good copy, with the previous state, is read with a warning; without a copy, loading fails.
         """
         state_file = StateFile(self.folder)
         self.assertIsNone(state_file.load())
@@ -423,10 +423,10 @@
         with self.assertRaisesRegex(StateFileError, "not a state file"):
             state_file.load()
 
-    def test_a_file_of_a_newer_version_is_refused_in_one_line(self) -> None:
-        """A host is started in an older release than the one that wrote its folder.
+    def test_a_file_of_a_newer_version_is_rejected(self) -> None:
+        """A host is started with an older release than the one that wrote its state folder.
 
-        The last good copy, which the older release could read, must not take the newer file's place.
+        The last good copy, which the older release could read, must not be used instead of the newer file.
         """
         state_file = StateFile(self.folder)
         state_file.save({"n": 1})
