--- a/drumgw/gateway/connection_limits.py
+++ b/drumgw/gateway/connection_limits.py
@@ -127,9 +127,9 @@
         `select_for_closing` and `close_surplus_idle` close what this returns; a subclass may choose another.
         """
         client = next(iter(self.connections[ConnectionState.IDLE]), None)
-        return client if client is not None and self.is_resting(client) else None
+        return client if client is not None and self.can_close_idle(client) else None
 
-    def is_resting(self, client: ClientConnection) -> bool:
+    def can_close_idle(self, client: ClientConnection) -> bool:
         """Whether an idle connection can be closed: the loop had time to read it and no data is pending."""
         idle_ms = self.clock.now() - client.state_since_ms
         return (
--- a/drumgw/hosting/http_server.py
+++ b/drumgw/hosting/http_server.py
@@ -88,7 +88,7 @@
                 break
             weight = weights.get(client.tenant_key, 0.0)
             fair_count = self.bounds.max_client_connections * weight / total_weight
-            if self.connection_counts[client.tenant_key] > fair_count and self.is_resting(client):
+            if self.connection_counts[client.tenant_key] > fair_count and self.can_close_idle(client):
                 return client
         return super().longest_idle()
 
