--- a/drumgw/hosting/admin_api.py
+++ b/drumgw/hosting/admin_api.py
@@ -30,7 +30,7 @@
 from drumgw.hosting.tenant_services import TenantServices
 
 MAX_BODY_BYTES = 256 * 1024
-MAX_OPEN_CALLS = 16
+MAX_CONCURRENT_CALLS = 16
 KEEP_ALIVE_S = 10.0
 LISTEN_BACKLOG = 64
 UNHANDLED_EXCEPTION_STATUS = 500
@@ -41,7 +41,7 @@
 
     Attributes:
         authenticator: checks the callers' tokens; replaced when the operator's file is read again.
-        open_call_count: the number of calls in progress, at most MAX_OPEN_CALLS.
+        open_call_count: the number of calls in progress, at most MAX_CONCURRENT_CALLS.
         app: the aiohttp application with its routes.
     """
 
@@ -78,8 +78,8 @@
         The API shares its event loop with the tenants' requests: without the limit, a flood of calls or of
         incomplete bodies would take up memory and time that those requests need.
         """
-        if self.open_call_count >= MAX_OPEN_CALLS:
-            return problem_response(TooManyCallsError(MAX_OPEN_CALLS), {"Retry-After": "1"})
+        if self.open_call_count >= MAX_CONCURRENT_CALLS:
+            return problem_response(TooManyCallsError(MAX_CONCURRENT_CALLS), {"Retry-After": "1"})
         self.open_call_count += 1
         try:
             return await handler(request)
--- a/drumgw/hosting/host_process.py
+++ b/drumgw/hosting/host_process.py
@@ -14,7 +14,7 @@
 from drumgw.gateway.process import GC_THRESHOLD, SHUTDOWN_LINGER_MS
 from drumgw.gateway.process_config import RESERVED_DESCRIPTORS, ConfigError, parse_address
 from drumgw.gateway.signals import handle_signal, ignore_signals
-from drumgw.hosting.admin_api import MAX_OPEN_CALLS, AdminApi
+from drumgw.hosting.admin_api import MAX_CONCURRENT_CALLS, AdminApi
 from drumgw.hosting.authentication import ApiToken, Authenticator, Role
 from drumgw.hosting.errors import ApiError
 from drumgw.hosting.http_server import HostHttpServer, ListenerConfig
@@ -161,7 +161,7 @@
 
 def _listener_config(file: HostFile, capacity: int) -> ListenerConfig:
     """Returns limits that leave descriptors for the process, the API and the requests in flight."""
-    reserved = RESERVED_DESCRIPTORS + DESCRIPTORS_PER_API_CALL * MAX_OPEN_CALLS + capacity
+    reserved = RESERVED_DESCRIPTORS + DESCRIPTORS_PER_API_CALL * MAX_CONCURRENT_CALLS + capacity
     max_connections = file.limits.sockets - reserved
     if max_connections < 1:
         raise ConfigError(
--- a/tests/test_hosting_admin.py
+++ b/tests/test_hosting_admin.py
@@ -16,7 +16,7 @@
 
 from drumgw.cli.__main__ import main
 from drumgw.gateway.process_config import ConfigError
-from drumgw.hosting.admin_api import MAX_BODY_BYTES, MAX_OPEN_CALLS
+from drumgw.hosting.admin_api import MAX_BODY_BYTES, MAX_CONCURRENT_CALLS
 from drumgw.hosting.api_operations import OPERATIONS, possible_responses
 from drumgw.hosting.authentication import hash_token
 from drumgw.hosting.openapi import openapi_document
@@ -76,19 +76,19 @@
     async def test_incomplete_bodies_and_excess_calls_do_not_affect_tenants(self) -> None:
         """Guards against incomplete bodies and floods of calls that block the API or the tenants' requests.
 
-        Callers open MAX_OPEN_CALLS calls and send only the first byte of each body. Another call must get 429
-        while the tenants are served, and the API must answer again once the callers have disconnected.
+        Callers open MAX_CONCURRENT_CALLS calls and send only the first byte of each body. Another call must
+        get 429 while the tenants are served, and the API must answer again once the callers have disconnected.
         """
         host_process = await self.start_host(await self.tenant("t1"))
         writers = []
-        for _ in range(MAX_OPEN_CALLS):
+        for _ in range(MAX_CONCURRENT_CALLS):
             _, writer = await asyncio.open_connection(*self.api)
             writer.write(
                 f"POST /v1/tenants HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {OPERATOR_TOKEN}\r\n"
                 "Content-Type: application/json\r\nContent-Length: 99\r\n\r\n{".encode()
             )
             writers.append(writer)
-        while host_process.api.open_call_count < MAX_OPEN_CALLS:
+        while host_process.api.open_call_count < MAX_CONCURRENT_CALLS:
             await asyncio.sleep(POLL_S)
         self.assertEqual((await self.call("GET", "/v1/tenants")).status, 429)
         self.assertEqual(await self.send("t1"), (200, b"t1"))
