--- a/drumgw/gateway/client_connections.py
+++ b/drumgw/gateway/client_connections.py
@@ -183,7 +183,7 @@
         self.abort()  # the event loop cancels the handlers in its next iteration, even if reading is paused
         return True
 
-    def is_owed_response(self) -> bool:
+    def may_owe_response(self) -> bool:
         """Whether a complete request was read and not answered yet, or may be unread in the socket."""
         if self.state is ConnectionState.IN_FLIGHT or self._messages:
             return True
@@ -195,7 +195,7 @@
         return request._payload.is_eof() or self.defer_close_if_unread()
 
     def is_reading_body(self) -> bool:
-        """Whether a handler waits for the rest of a request's body, provided `is_owed_response` is False.
+        """Whether a handler waits for the rest of a request's body, provided `may_owe_response` is False.
 
         By itself it only tells that aiohttp is handling a request.
         """
--- a/drumgw/gateway/http_server.py
+++ b/drumgw/gateway/http_server.py
@@ -248,7 +248,7 @@
             assert isinstance(client, ClientConnection)
             if client.state is ConnectionState.CLOSING:
                 continue
-            if client.is_owed_response():
+            if client.may_owe_response():
                 pending_count += 1
             elif client.is_reading_body():
                 client.abort()
