--- a/drumgw/gateway/counter_client.py
+++ b/drumgw/gateway/counter_client.py
@@ -22,7 +22,7 @@
 from drumgw.gateway.peer_connection import Exchange, PeerConnection
 from drumgw.gateway.peer_errors import CONNECTION_ERRORS
 from drumgw.gateway.process_config import MAX_COUNTER_CONNECTIONS, GatewayConfig
-from drumgw.gateway.request_parsing import read_number
+from drumgw.gateway.request_parsing import parse_finite_number
 from drumgw.gateway.response_framing import RawResponse
 from drumgw.model.actions import AddToCounter
 from drumgw.model.events import Outcome
@@ -139,7 +139,7 @@
         is closed and no further total from it is used, as a wrong one would corrupt a quota account.
         """
         call = self.calls.popleft()
-        total = read_number(response.body)
+        total = parse_finite_number(response.body)
         self.last_used_ms = self._client.clock.now()
         status = response.message.code
         if status in STATUSES_REJECTED:
--- a/drumgw/gateway/endpoint_clients.py
+++ b/drumgw/gateway/endpoint_clients.py
@@ -22,7 +22,7 @@
 from drumgw.gateway.peer_connection import Exchange
 from drumgw.gateway.peer_errors import CONNECTION_ERRORS, WriteDeadlineError
 from drumgw.gateway.process_config import GatewayConfig
-from drumgw.gateway.request_parsing import ClientRequest, read_number
+from drumgw.gateway.request_parsing import ClientRequest, parse_finite_number
 from drumgw.gateway.response_framing import RawResponse
 from drumgw.model.events import Outcome
 from drumgw.model.settings_reader import LOAD_REPORT_FIELDS
@@ -277,7 +277,7 @@
 
 def read_billed_units(text: str | None) -> float:
     """Returns the cost, or 0 for "not reported" if the header is malformed; the response stays valid."""
-    return max(0.0, read_number(text) or 0.0)
+    return max(0.0, parse_finite_number(text) or 0.0)
 
 
 def read_load_report(text: str | None) -> dict[str, float]:
@@ -285,7 +285,7 @@
     load_report: dict[str, float] = {}
     for part in (text or "").removeprefix(LOAD_REPORT_PREFIX).split(","):
         name, _, value = part.partition("=")
-        number = read_number(value)
+        number = parse_finite_number(value)
         if number is not None:
             load_report[LOAD_REPORT_FIELDS.get(name.strip(), name.strip())] = number
     return load_report
--- a/drumgw/gateway/request_parsing.py
+++ b/drumgw/gateway/request_parsing.py
@@ -154,7 +154,7 @@
     )
 
 
-def read_number(text: str | bytes | None) -> float | None:
+def parse_finite_number(text: str | bytes | None) -> float | None:
     """Parses a number that a peer sent; returns None if it is not a finite number."""
     try:
         number = float(text or "")
