--- a/drumgw/gateway/endpoint_clients.py
+++ b/drumgw/gateway/endpoint_clients.py
@@ -104,7 +104,7 @@
         """Closes all connections, also those of attempts in flight."""
         await self.pool.close()
 
-    def check_before_sending(self, check: Callable[[], None]) -> None:
+    def set_before_write_check(self, check: Callable[[], None]) -> None:
         """Calls `check` before the first byte of each attempt is written.
 
         The check reads updates of the endpoint list that arrived while the event loop was stalled or lagging,
--- a/drumgw/gateway/service.py
+++ b/drumgw/gateway/service.py
@@ -45,7 +45,7 @@
         self.discovery = DiscoveryClient(config, self.dispatcher, self.endpoint_clients)
         self.dispatcher.attempts = self.endpoint_clients
         self.dispatcher.counter = self.counter
-        self.endpoint_clients.check_before_sending(self.discovery.read_pending_updates)
+        self.endpoint_clients.set_before_write_check(self.discovery.read_pending_updates)
 
     def start(self) -> None:
         """Starts the policy engine with an empty endpoint list, which `discovery.start` fills later."""
