--- a/drumgw/gateway/commands.py
+++ b/drumgw/gateway/commands.py
@@ -28,7 +28,7 @@
     endpoint_id: int
     deadline_ms: float
     """Sent to the endpoint as the time until which the client waits for a response."""
-    write_by_ms: float = inf
+    write_deadline_ms: float = inf
     """If the request is not completely written by then, the attempt ends with `Outcome.NOT_SENT`."""
 
 
--- a/drumgw/gateway/connection_pool.py
+++ b/drumgw/gateway/connection_pool.py
@@ -112,7 +112,7 @@
 
         Raises:
             CONNECTION_ERRORS: Connecting failed, the connection broke or the response is malformed.
-            WriteDeadlineError: The last byte would have been sent after `exchange.write_by_ms`.
+            WriteDeadlineError: The last byte would have been sent after `exchange.write_deadline_ms`.
         """
         exchange.connection, connection = await self.connect(peer)
         self.before_write()
@@ -143,7 +143,7 @@
     ) -> asyncio.Future[RawResponse]:
         if not connection.is_usable():  # the transport would drop what is written
             raise aiohttp.ServerDisconnectedError
-        if self.clock.now() >= exchange.write_by_ms:
+        if self.clock.now() >= exchange.write_deadline_ms:
             raise WriteDeadlineError
         response: asyncio.Future[RawResponse] = self.loop.create_future()
         connection.on_response = partial(_set_result, response)
@@ -152,8 +152,10 @@
         if not connection.is_usable():  # the write failed and closed the transport
             raise aiohttp.ServerDisconnectedError
         exchange.written = True
-        if exchange.write_by_ms < inf and connection.writing_paused:
-            exchange.timer = self.clock.call_at(exchange.write_by_ms, partial(self._stop_writing, connection))
+        if exchange.write_deadline_ms < inf and connection.writing_paused:
+            exchange.timer = self.clock.call_at(
+                exchange.write_deadline_ms, partial(self._stop_writing, connection)
+            )
         return response
 
     def _stop_writing(self, connection: PeerConnection) -> None:
--- a/drumgw/gateway/endpoint_clients.py
+++ b/drumgw/gateway/endpoint_clients.py
@@ -162,7 +162,7 @@
         if client is None or not client.accepts_attempts or is_full:
             self._report(key, AttemptResult(Outcome.NOT_SENT))
             return
-        exchange = Exchange(command.write_by_ms, partial(self._check_client, request))
+        exchange = Exchange(command.write_deadline_ms, partial(self._check_client, request))
         task = self._dispatcher.loop.create_task(self._run(key, command, request, client, exchange))
         client.in_flight[key] = task, exchange
         self.in_flight[key] = client
--- a/drumgw/gateway/peer_connection.py
+++ b/drumgw/gateway/peer_connection.py
@@ -189,18 +189,18 @@
     Attributes:
         connection: The connector's handle, from the time the connection is established until it is released.
         written: Whether the complete request was written: from then on the peer may have processed it.
-        write_by_ms: Deadline for sending the request's last byte; afterwards no more of it is sent.
+        write_deadline_ms: Deadline for sending the request's last byte; afterwards no more of it is sent.
         before_write: Called before the request's first byte; it may close the exchange.
         timer: Enforces the write deadline while part of the request is still buffered.
     """
 
-    __slots__ = ("connection", "written", "write_by_ms", "timer", "before_write")
+    __slots__ = ("connection", "written", "write_deadline_ms", "timer", "before_write")
 
-    def __init__(self, write_by_ms: float = inf, before_write: Callable[[], None] = do_nothing) -> None:
+    def __init__(self, write_deadline_ms: float = inf, before_write: Callable[[], None] = do_nothing) -> None:
         self.before_write = before_write
         self.connection: aiohttp.connector.Connection | None = None
         self.written = False
-        self.write_by_ms = write_by_ms
+        self.write_deadline_ms = write_deadline_ms
         self.timer: Timer | None = None
 
     def close(self) -> None:
--- a/drumgw/gateway/request_lifecycle.py
+++ b/drumgw/gateway/request_lifecycle.py
@@ -264,7 +264,7 @@
         number = request.started_attempts
         request.started_attempts += 1
         deadline_ms = min(action.deadline_ms or request.deadline_ms, request.deadline_ms)
-        if not self._may_start(now, request, number, min(deadline_ms, action.write_by_ms)):
+        if not self._may_start(now, request, number, min(deadline_ms, action.write_deadline_ms)):
             self._pending_events.append(
                 AttemptEnded(
                     request.request_id,
@@ -280,7 +280,9 @@
             return
         request.attempts[number] = InFlightAttempt(action.endpoint_id, now - self.stalled_ms)
         self._commands.append(
-            StartAttempt(request.request_id, number, action.endpoint_id, deadline_ms, action.write_by_ms)
+            StartAttempt(
+                request.request_id, number, action.endpoint_id, deadline_ms, action.write_deadline_ms
+            )
         )
         if deadline_ms < request.deadline_ms:
             self._commands.append(ScheduleDeadline(deadline_ms, request.request_id, number))
--- a/drumgw/model/actions.py
+++ b/drumgw/model/actions.py
@@ -17,7 +17,7 @@
     endpoint_id: int
     deadline_ms: float
     """When the attempt is abandoned; 0 for the request's own deadline."""
-    write_by_ms: float = inf
+    write_deadline_ms: float = inf
     """Withdraw the attempt if its last byte has not been written by this time."""
 
 
--- a/drumgw/policy/request_flow.py
+++ b/drumgw/policy/request_flow.py
@@ -145,9 +145,9 @@
             self._charge(request)
         self.retries.record_attempt(is_retry)
         self.attempts.start(request, endpoint)
-        write_by_ms = self.retries.idempotent_until_ms(request)
+        write_deadline_ms = self.retries.idempotent_until_ms(request)
         self.context.actions.append(
-            ForwardRequest(request.request_id, endpoint.endpoint_id, request.deadline_ms, write_by_ms)
+            ForwardRequest(request.request_id, endpoint.endpoint_id, request.deadline_ms, write_deadline_ms)
         )
         return None
 
