--- a/drumgw/policy/context.py
+++ b/drumgw/policy/context.py
@@ -9,7 +9,7 @@
 
 NEVER_MS = float("inf")
 LONG_AGO_MS = -1e12
-RATE_MEMORY_MS = 3000.0
+RATE_TIME_CONSTANT_MS = 3000.0
 """Time constant with which recent rates decay: quota usage, completions, the answers of one endpoint."""
 
 
--- a/drumgw/policy/counter_sync.py
+++ b/drumgw/policy/counter_sync.py
@@ -10,7 +10,7 @@
 import math
 
 from drumgw.model.events import CounterReplied, Outcome
-from drumgw.policy.context import RATE_MEMORY_MS, DecisionContext
+from drumgw.policy.context import RATE_TIME_CONSTANT_MS, DecisionContext
 from drumgw.policy.counter_calls import CounterCall, CounterCalls
 from drumgw.policy.counter_encoding import (
     HALF_STEP,
@@ -162,7 +162,7 @@
         if account.counter_epoch == call.exchange.epoch:
             remote_units = max(0.0, total_units - account.counter_units - math.floor(call.amount))
             elapsed_ms = max(1.0, now_ms - account.total_received_at_ms)
-            step = min(1.0, elapsed_ms / RATE_MEMORY_MS)
+            step = min(1.0, elapsed_ms / RATE_TIME_CONSTANT_MS)
             account.remote_usage_units_per_ms += step * (
                 remote_units / elapsed_ms - account.remote_usage_units_per_ms
             )
--- a/drumgw/policy/endpoint_set.py
+++ b/drumgw/policy/endpoint_set.py
@@ -9,7 +9,7 @@
 
 from drumgw.model.events import EndpointInfo, EndpointStatus, EndpointsUpdated
 from drumgw.model.settings import GatewaySettings
-from drumgw.policy.context import RATE_MEMORY_MS, DecisionContext
+from drumgw.policy.context import RATE_TIME_CONSTANT_MS, DecisionContext
 from drumgw.policy.endpoint_state import EndpointState
 
 MIN_NEARBY_ENDPOINTS = 8
@@ -41,7 +41,7 @@
         self.with_attempts: dict[int, EndpointState] = {}
         """Endpoints with attempts in flight, by id."""
         self.recent_completions = 0.0
-        """Requests completed for this gateway, decaying over `RATE_MEMORY_MS`."""
+        """Requests completed for this gateway, decaying over `RATE_TIME_CONSTANT_MS`."""
 
     def update(self, event: EndpointsUpdated) -> None:
         """Applies a complete endpoint list or a set of changes.
@@ -106,9 +106,9 @@
 
     def decay_completions(self, elapsed_ms: float) -> None:
         """Decays the recent completions; called once per tick."""
-        self.recent_completions *= 1 - elapsed_ms / RATE_MEMORY_MS
+        self.recent_completions *= 1 - elapsed_ms / RATE_TIME_CONSTANT_MS
 
     def completion_interval_ms(self) -> float:
         """Mean time between two requests of this gateway that the same nearby endpoint completes."""
         nearby = min(self.nearby_count, len(self.preferred))
-        return RATE_MEMORY_MS * nearby / max(MIN_RECENT_COMPLETIONS, self.recent_completions)
+        return RATE_TIME_CONSTANT_MS * nearby / max(MIN_RECENT_COMPLETIONS, self.recent_completions)
--- a/drumgw/policy/latency.py
+++ b/drumgw/policy/latency.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from drumgw.policy.context import RATE_MEMORY_MS, DecisionContext
+from drumgw.policy.context import RATE_TIME_CONSTANT_MS, DecisionContext
 from drumgw.policy.endpoint_state import EndpointState
 
 HIGH_QUANTILE = 0.9
@@ -47,7 +47,7 @@
         is_slow: whether the attempt took longer than the endpoint's own estimate.
     """
     since_last_answer_ms = context.now_ms - endpoint.last_answer_at_ms
-    step = min(MAX_ENDPOINT_STEP, max(MIN_ENDPOINT_STEP, since_last_answer_ms / RATE_MEMORY_MS))
+    step = min(MAX_ENDPOINT_STEP, max(MIN_ENDPOINT_STEP, since_last_answer_ms / RATE_TIME_CONSTANT_MS))
     slowness = endpoint.slowness * quantile_factor(step, is_slow)
     endpoint.slowness = min(MAX_SLOWNESS, max(MIN_SLOWNESS, slowness))
     endpoint.last_answer_at_ms = context.now_ms
--- a/drumgw/policy/quota_account.py
+++ b/drumgw/policy/quota_account.py
@@ -10,7 +10,7 @@
 
 from drumgw.model.events import RequestReceived
 from drumgw.model.settings import Plan
-from drumgw.policy.context import LONG_AGO_MS, RATE_MEMORY_MS, DecisionContext
+from drumgw.policy.context import LONG_AGO_MS, RATE_TIME_CONSTANT_MS, DecisionContext
 from drumgw.stable_hash import stable_hash
 
 EPOCH_MS = 50000.0
@@ -191,7 +191,7 @@
         # Between totals, remote usage is extrapolated, at most at the other gateways' part of the refill rate
         max_remote_per_ms = plan.rate_units_per_ms * (1 - 1 / gateways)
         self.usage_units[-1] += min(self.remote_usage_units_per_ms, max_remote_per_ms) * elapsed_ms
-        decay = max(0.0, 1 - elapsed_ms / RATE_MEMORY_MS)
+        decay = max(0.0, 1 - elapsed_ms / RATE_TIME_CONSTANT_MS)
         self.local_usage_units_per_ms = [rate * decay for rate in self.local_usage_units_per_ms]
         self._reduce_usage(refilled)
         if now_ms - self.window_started_at_ms >= plan.window_ms:
@@ -223,7 +223,7 @@
         self.window_usage_units[class_rank] += units
         self.reserved_units[class_rank] -= units
         self.local_usage_units = min(self.plan.quota_units, self.local_usage_units + units)
-        self.local_usage_units_per_ms[class_rank] += units / RATE_MEMORY_MS
+        self.local_usage_units_per_ms[class_rank] += units / RATE_TIME_CONSTANT_MS
 
     def correct_usage(self, class_rank: int, estimated_units: float, billed_units: float) -> None:
         """Replaces the estimated units of a request by those that the back end billed."""
