--- a/drumgw/policy/counter_calls.py
+++ b/drumgw/policy/counter_calls.py
@@ -14,7 +14,7 @@
 from drumgw.model.settings import GatewaySettings
 from drumgw.policy.context import LONG_AGO_MS, DecisionContext
 from drumgw.policy.request_state import CounterExchange
-from drumgw.policy.state_machine import MachineEnum, Transitions, advance
+from drumgw.policy.state_machine import StateMachineEnum, Transitions, advance
 from drumgw.stable_hash import stable_hash
 
 COUNTER_TTL_MS = 60000.0
@@ -34,14 +34,14 @@
 """Time between calls to an unavailable counter; divided by the poll probability."""
 
 
-class CounterState(MachineEnum):
+class CounterState(StateMachineEnum):
     """Availability of the shared counter."""
 
     AVAILABLE = "available"
     UNAVAILABLE = "unavailable"
 
 
-class CounterInput(MachineEnum):
+class CounterInput(StateMachineEnum):
     """Inputs that change the counter's availability."""
 
     REPLIED = "replied"
--- a/drumgw/policy/endpoint_state.py
+++ b/drumgw/policy/endpoint_state.py
@@ -6,11 +6,11 @@
 
 from drumgw.model.events import EndpointInfo
 from drumgw.policy.context import LONG_AGO_MS, NEVER_MS
-from drumgw.policy.state_machine import MachineEnum
+from drumgw.policy.state_machine import StateMachineEnum
 from drumgw.stable_hash import stable_hash
 
 
-class HealthState(MachineEnum):
+class HealthState(StateMachineEnum):
     """Whether an endpoint receives requests of one class."""
 
     HEALTHY = "healthy"
--- a/drumgw/policy/outlier_detection.py
+++ b/drumgw/policy/outlier_detection.py
@@ -11,7 +11,7 @@
 from drumgw.policy.context import DecisionContext
 from drumgw.policy.endpoint_set import EndpointSet
 from drumgw.policy.endpoint_state import AttemptInFlight, ClassHealth, EndpointState, HealthState
-from drumgw.policy.state_machine import MachineEnum, Transitions, advance, no_effect
+from drumgw.policy.state_machine import StateMachineEnum, Transitions, advance, no_effect
 
 FAILURE_STEP = 0.2
 """Weight of the latest attempt in an endpoint's failure share."""
@@ -31,7 +31,7 @@
 """Shorter than after a failure, as an endpoint without capacity soon has some again."""
 
 
-class HealthInput(MachineEnum):
+class HealthInput(StateMachineEnum):
     """Inputs of the health state machine of one endpoint and class."""
 
     EJECTION_ENDED = "ejection ended"
--- a/drumgw/policy/overload.py
+++ b/drumgw/policy/overload.py
@@ -5,7 +5,7 @@
 from drumgw.model.actions import LogMessage
 from drumgw.policy.concurrency_limit import ConcurrencyLimit
 from drumgw.policy.context import LONG_AGO_MS, DecisionContext
-from drumgw.policy.state_machine import MachineEnum, Transitions, advance
+from drumgw.policy.state_machine import StateMachineEnum, Transitions, advance
 
 LATE_OBJECTIVE_FRACTION = 0.6
 """Answers that took longer than this fraction of the latency objective are late.
@@ -30,14 +30,14 @@
 """Decrease per update otherwise."""
 
 
-class LoadState(MachineEnum):
+class LoadState(StateMachineEnum):
     """Load state of the back end."""
 
     SPARE_CAPACITY = "has spare capacity"
     OVERLOADED = "overloaded"
 
 
-class LoadInput(MachineEnum):
+class LoadInput(StateMachineEnum):
     """Inputs that change the load state."""
 
     HIGH_LOAD = "high load"
--- a/drumgw/policy/request_state.py
+++ b/drumgw/policy/request_state.py
@@ -7,13 +7,13 @@
 from drumgw.model.settings import RequestClass
 from drumgw.policy.endpoint_state import EndpointState
 from drumgw.policy.quota_account import QuotaAccount
-from drumgw.policy.state_machine import MachineEnum
+from drumgw.policy.state_machine import StateMachineEnum
 
 NO_EPOCH = -1
 """Epoch of an exchange that does not call the counter."""
 
 
-class RequestState(MachineEnum):
+class RequestState(StateMachineEnum):
     """State of a request."""
 
     NEW = "new"
@@ -22,7 +22,7 @@
     DONE = "done"
 
 
-class RequestInput(MachineEnum):
+class RequestInput(StateMachineEnum):
     """Inputs of the request state machine."""
 
     ADMITTED = "admitted"
--- a/drumgw/policy/state_machine.py
+++ b/drumgw/policy/state_machine.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol, TypeVar
 
 
-class MachineEnum(Enum):
+class StateMachineEnum(Enum):
     """Base of states and inputs.
 
     Hashed by identity, which is faster: transitions are looked up several times for each request.
@@ -26,8 +26,8 @@
     state: Any
 
 
-StateT = TypeVar("StateT", bound=MachineEnum)
-InputT = TypeVar("InputT", bound=MachineEnum)
+StateT = TypeVar("StateT", bound=StateMachineEnum)
+InputT = TypeVar("InputT", bound=StateMachineEnum)
 OwnerT = TypeVar("OwnerT")
 RecordT = TypeVar("RecordT", bound=Stateful)
 
