--- a/drumgw/policy/request_flow.py
+++ b/drumgw/policy/request_flow.py
@@ -108,7 +108,7 @@
         if event.outcome.may_have_run and request.may_have_run_on is None:
             request.may_have_run_on = request.tried_endpoints[-1]
             request.may_have_run_at_ms = request.last_sent_at_ms
-        self.advance(request, RequestInput.CLIENT_GONE if event.is_final else RequestInput.ATTEMPT_FAILED)
+        self.advance(request, RequestInput.NO_ANSWER_DUE if event.is_final else RequestInput.ATTEMPT_FAILED)
 
     def client_disconnected(self, request_id: int) -> None:
         """Ends a request whose client has disconnected, and cancels its attempt."""
@@ -120,7 +120,7 @@
             if self.cancellation_allowed:
                 attempt = len(request.tried_endpoints) - 1
                 self.context.actions.append(CancelAttempt(request.request_id, attempt))
-        self.advance(request, RequestInput.CLIENT_GONE)
+        self.advance(request, RequestInput.NO_ANSWER_DUE)
 
     def advance(self, request: PendingRequest, request_input: RequestInput) -> None:
         """Applies an input to the state machine of a request."""
@@ -181,9 +181,9 @@
 REQUEST_TRANSITIONS: Transitions[RequestState, RequestInput, RequestFlow, PendingRequest] = {
     (RequestState.NEW, RequestInput.ADMITTED): (RequestState.IN_FLIGHT, RequestFlow.forward),
     (RequestState.NEW, RequestInput.REJECTED): (RequestState.DONE, RequestFlow.finish),
-    (RequestState.NEW, RequestInput.CLIENT_GONE): (RequestState.DONE, RequestFlow.forget),
+    (RequestState.NEW, RequestInput.NO_ANSWER_DUE): (RequestState.DONE, RequestFlow.forget),
     (RequestState.IN_FLIGHT, RequestInput.NO_ENDPOINT): (RequestState.DONE, RequestFlow.finish),
     (RequestState.IN_FLIGHT, RequestInput.ATTEMPT_FAILED): (RequestState.IN_FLIGHT, RequestFlow.retry),
     (RequestState.IN_FLIGHT, RequestInput.SUCCEEDED): (RequestState.DONE, RequestFlow.forget),
-    (RequestState.IN_FLIGHT, RequestInput.CLIENT_GONE): (RequestState.DONE, RequestFlow.forget),
+    (RequestState.IN_FLIGHT, RequestInput.NO_ANSWER_DUE): (RequestState.DONE, RequestFlow.forget),
 }
