--- a/drumgw/config/quota_bounds.py
+++ b/drumgw/config/quota_bounds.py
@@ -24,7 +24,7 @@
     plan: str
     max_units: float
     quota_units: float  # what the quota allows in that time, starting from a full account
-    held_by: str  # what limits the sum: LIMITED_BY_ACCOUNTS or LIMITED_BY_CEILING
+    limited_by: str  # what limits the sum: LIMITED_BY_ACCOUNTS or LIMITED_BY_CEILING
 
     @property
     def units_beyond_quota(self) -> float:
@@ -73,7 +73,7 @@
     line = (
         f"plan {bound.plan}, counter lost for {seconds:g} s: through {gateway_count} gateway(s) a customer "
         f"sends at most {bound.max_units:.0f} units, {bound.units_beyond_quota:.0f} beyond its quota "
-        f"({bound.ratio_to_quota:.1f} times the quota), limited by {bound.held_by}"
+        f"({bound.ratio_to_quota:.1f} times the quota), limited by {bound.limited_by}"
     )
     if bound.is_useful:
         return line
--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -186,7 +186,7 @@
             self.assertEqual((bound.max_units, bound.ratio_to_quota), (max_units, ratio))
         by_ceiling = sending_bound(CEILING_PLAN, 6, 10.0)
         assert by_ceiling
-        figures = (by_ceiling.max_units, by_ceiling.held_by, by_ceiling.is_useful)
+        figures = (by_ceiling.max_units, by_ceiling.limited_by, by_ceiling.is_useful)
         self.assertEqual(figures, (150.0, "its ceiling", True))
         self.assertIsNone(sending_bound(plan(units_per_s=0.0, burst_units=0.0), 3, 10.0))
 
