--- a/drumgw/hosting/errors.py
+++ b/drumgw/hosting/errors.py
@@ -198,7 +198,7 @@
         super().__init__(detail, [FieldError(f"/route/{position}", detail)])
 
 
-class CreatedTenantGoneError(ApiError):
+class CreatedTenantRemovedError(ApiError):
     """A create was repeated with its idempotency key, but its tenant has been removed since."""
 
     status = 410
--- a/drumgw/hosting/tenant_registry.py
+++ b/drumgw/hosting/tenant_registry.py
@@ -17,7 +17,7 @@
 from typing import Any, NamedTuple
 
 from drumgw.hosting.errors import (
-    CreatedTenantGoneError,
+    CreatedTenantRemovedError,
     IdempotencyKeyReusedError,
     InvalidTransitionError,
     NameTakenError,
@@ -255,7 +255,7 @@
             raise IdempotencyKeyReusedError
         tenant = self.tenants.get(record.tenant)
         if tenant is None or tenant.serial != record.serial:
-            raise CreatedTenantGoneError(record.tenant)
+            raise CreatedTenantRemovedError(record.tenant)
         return TenantChange(ChangeKind.NONE, tenant)
 
     def _get_at_version(self, name: str, if_match: str | None) -> Tenant:
