--- a/drumgw/cli/host_commands.py
+++ b/drumgw/cli/host_commands.py
@@ -28,7 +28,7 @@
 @click.command()
 def token() -> None:
     """Create an administrator's token. It is shown only now; its hash belongs in the host's file."""
-    from drumgw.hosting.authentication import create_token
+    from drumgw.hosting.authentication import generate_token
 
-    text, digest = create_token()
+    text, digest = generate_token()
     click.echo(f"token:  {text}\nsha256: {digest}")
--- a/drumgw/hosting/authentication.py
+++ b/drumgw/hosting/authentication.py
@@ -113,7 +113,7 @@
     return hashlib.sha256(token.encode("utf-8", "surrogateescape")).hexdigest()
 
 
-def create_token() -> tuple[str, str]:
+def generate_token() -> tuple[str, str]:
     """Generates a random token; returns it and its hash.
 
     Only the hash is stored, so the token cannot be shown again.
--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -18,7 +18,7 @@
     Authenticator,
     Permission,
     Role,
-    create_token,
+    generate_token,
     hash_token,
     is_allowed,
 )
@@ -294,7 +294,7 @@
     """Authentication, and the operations that each role may call."""
 
     def test_a_token_is_authenticated_by_its_hash(self) -> None:
-        text, digest = create_token()
+        text, digest = generate_token()
         operator = ApiToken("one", Role.OPERATOR, None, digest)
         tenant = ApiToken("two", Role.TENANT, "a", hash_token("x"))
         authenticator = Authenticator((operator, tenant))
