--- a/drumgw/hosting/request_admission.py
+++ b/drumgw/hosting/request_admission.py
@@ -1,15 +1,15 @@
 """Admits or rejects the requests of the tenants that share a host.
 
 A request must pass two limits: its tenant's fair share of the requests while the event loop lags
-(fair_turns.py), and its tenant's share of the host's capacity (resource_limits.py).
+(weighted_fair_limiter.py), and its tenant's share of the host's capacity (resource_limits.py).
 
 This module does no I/O and reads no clock: the caller passes the time.
 """
 
 from __future__ import annotations
 
-from drumgw.hosting.fair_turns import WeightedFairLimiter
 from drumgw.hosting.resource_limits import FairShares
+from drumgw.hosting.weighted_fair_limiter import WeightedFairLimiter
 
 
 class RequestAdmission:
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -115,7 +115,7 @@
         with (
             mock.patch("drumgw.hosting.http_server.STALL_THRESHOLD_MS", -1.0),
             mock.patch("drumgw.gateway.connection_limits.STALL_THRESHOLD_MS", -1.0),
-            mock.patch("drumgw.hosting.fair_turns.MAX_LAG_MS", float("inf")),
+            mock.patch("drumgw.hosting.weighted_fair_limiter.MAX_LAG_MS", float("inf")),
         ):
             for n in range(40):
                 reader, writer = await self.connect()
--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -23,7 +23,6 @@
     is_allowed,
 )
 from drumgw.hosting.errors import ApiError
-from drumgw.hosting.fair_turns import WeightedFairLimiter
 from drumgw.hosting.registry_persistence import registry_from_json, registry_to_json
 from drumgw.hosting.resource_limits import FairShares
 from drumgw.hosting.routing import AmbiguousRouteError, Route, RoutingTable
@@ -35,6 +34,7 @@
     TenantRegistry,
 )
 from drumgw.hosting.tenant_states import OperationState, TenantCommand, TenantState
+from drumgw.hosting.weighted_fair_limiter import WeightedFairLimiter
 
 
 def spec(*routes: tuple[str, str], **more: Any) -> dict[str, Any]:
