--- a/tests/test_hosting_admin.py
+++ b/tests/test_hosting_admin.py
@@ -77,7 +77,8 @@
         """Guards against incomplete bodies and floods of calls that block the API or the tenants' requests.
 
         Callers open MAX_CONCURRENT_CALLS calls and send only the first byte of each body. Another call must
-        get 429 while the tenants are served, and the API must answer again once the callers have disconnected.
+        get 429 while the tenants are served, and the API must answer again once the callers have
+        disconnected.
         """
         host_process = await self.start_host(await self.tenant("t1"))
         writers = []
