--- a/drumgw/gateway/discovery.py
+++ b/drumgw/gateway/discovery.py
@@ -360,7 +360,7 @@
         for status in (EndpointStatus.DRAINING, EndpointStatus.REMOVED):
             for name in change.changes_by_status.get(status, ()):
                 is_removed = status is EndpointStatus.REMOVED
-                self._endpoint_clients.drain(endpoint_id_of(name), gone=is_removed)
+                self._endpoint_clients.drain(endpoint_id_of(name), is_removed=is_removed)
         self._log.log_change(change, origin, self.membership.is_behind)
 
 
--- a/drumgw/gateway/endpoint_clients.py
+++ b/drumgw/gateway/endpoint_clients.py
@@ -128,13 +128,13 @@
         client.connection_owner = connection_owner
         client.accepts_attempts = True
 
-    def drain(self, endpoint_id: int, gone: bool) -> None:
-        """Stops sending attempts to an endpoint, and removes it if `gone`.
+    def drain(self, endpoint_id: int, is_removed: bool) -> None:
+        """Stops sending attempts to an endpoint, and removes it if `is_removed`.
 
         Attempts that are not fully written are withdrawn. One that still waits for a connection could
         otherwise be sent after the grace period of the drain.
         """
-        client = self.clients.pop(endpoint_id, None) if gone else self.clients.get(endpoint_id)
+        client = self.clients.pop(endpoint_id, None) if is_removed else self.clients.get(endpoint_id)
         if client is None:
             return
         client.accepts_attempts = False
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -249,7 +249,7 @@
             writer.write(http_request())
             while not gateway.endpoint_clients.in_flight:
                 await asyncio.sleep(0.001)
-            gateway.endpoint_clients.drain(endpoint_id, gone=False)
+            gateway.endpoint_clients.drain(endpoint_id, is_removed=False)
         self.assertEqual(
             (gateway.endpoint_clients.in_flight, gateway.dispatcher.lifecycle.in_flight), ({}, {})
         )
