--- a/drumgw/gateway/dispatcher.py
+++ b/drumgw/gateway/dispatcher.py
@@ -60,7 +60,7 @@
     arguments: tuple[Any, ...]
 
 
-class PendingRequest(NamedTuple):
+class UnansweredRequest(NamedTuple):
     """A request whose client is waiting for a response."""
 
     request: ClientRequest
@@ -94,7 +94,7 @@
         self.counter: CounterTransport | None = None
         """None if the service uses no shared counter."""
         # By request_id; an entry is removed when its response is sent or its client disconnects.
-        self.pending_requests: dict[int, PendingRequest] = {}
+        self.pending_requests: dict[int, UnansweredRequest] = {}
         # By request_id; an entry is removed when the lifecycle drops its request.
         self.request_deadlines: dict[int, Timer] = {}
         self._timers: dict[int, asyncio.TimerHandle] = {}  # by timer_id; few, so never removed
@@ -147,7 +147,7 @@
             request.request_id, commands = self.lifecycle.request_received(
                 self._read_clock(), request.received, self.clock.recent_stall_ms
             )
-            self.pending_requests[request.request_id] = PendingRequest(request, response)
+            self.pending_requests[request.request_id] = UnansweredRequest(request, response)
             self._execute(commands)
         finally:
             self._is_calling_lifecycle = False
