--- a/drumgw/testbed/endpoint.py
+++ b/drumgw/testbed/endpoint.py
@@ -329,9 +329,9 @@
         self._event_log.add(EndpointChanged(self._clock.now(), self.name, EndpointState.DOWN))
         self.on_down()
         if duration_ms is not None:
-            self._clock.call_at(self._clock.now() + duration_ms, self.come_back)
+            self._clock.call_at(self._clock.now() + duration_ms, self.start_cold)
 
-    def come_back(self) -> None:
+    def start_cold(self) -> None:
         """The process starts again, cold."""
         now = self._clock.now()
         self.is_up = True
--- a/drumgw/testbed/faults.py
+++ b/drumgw/testbed/faults.py
@@ -206,7 +206,7 @@
     def undo() -> None:
         for endpoint in targets:
             if environment.is_current(endpoint):
-                endpoint.come_back()
+                endpoint.start_cold()
                 _list_as_up(environment, endpoint)
 
     return undo
