--- a/drumgw/testbed/endpoint.py
+++ b/drumgw/testbed/endpoint.py
@@ -43,7 +43,7 @@
 
     QUEUED = "queued"
     RUNNING = "running"
-    OVER = "over"
+    FINISHED = "finished"
 
 
 EndCallback = Callable[["ReceivedAttempt", EndpointOutcome], None]
@@ -218,18 +218,18 @@
 
     def abandon(self, attempt: ReceivedAttempt) -> None:
         """The gateway closed its connection: what runs goes on, what waits is dropped."""
-        if attempt.state is ReceivedState.OVER:
+        if attempt.state is ReceivedState.FINISHED:
             return
         self._event_log.add(AttemptAbandoned(self._clock.now(), attempt.attempt_id, attempt.receipt))
         if attempt.state is ReceivedState.QUEUED and attempt in self.queue:
             self.queue.remove(attempt)
-        attempt.state = ReceivedState.OVER
+        attempt.state = ReceivedState.FINISHED
 
     def end_attempt(self, attempt: ReceivedAttempt, outcome: EndpointOutcome, has_run: bool) -> None:
         """Ends an attempt and tells whoever carried it here; once only."""
-        if attempt.state is ReceivedState.OVER:
+        if attempt.state is ReceivedState.FINISHED:
             return
-        attempt.state = ReceivedState.OVER
+        attempt.state = ReceivedState.FINISHED
         self._event_log.add(
             EndpointFinished(self._clock.now(), attempt.attempt_id, attempt.receipt, outcome, has_run)
         )
--- a/drumgw/testbed/socket_servers.py
+++ b/drumgw/testbed/socket_servers.py
@@ -80,7 +80,7 @@
         self._context.endpoint_connections.discard(self)
         if self._is_accepted:
             self.endpoint.connection_closed(self._gateway)
-        if self._attempt is not None and self._attempt.state is not ReceivedState.OVER:
+        if self._attempt is not None and self._attempt.state is not ReceivedState.FINISHED:
             self.endpoint.abandon(self._attempt)
 
     def message_received(self, head: bytes, body: bytes, first_byte_ms: float) -> None:
