--- a/drumgw/testbed/gateway_subprocess.py
+++ b/drumgw/testbed/gateway_subprocess.py
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class GatewaySurroundings:
+class GatewayContext:
     """What the gateways of a run share."""
 
     environment: Environment
@@ -51,36 +51,36 @@
 class GatewaySubprocess:
     """One gateway of the fleet, over the lives of its processes."""
 
-    def __init__(self, surroundings: GatewaySurroundings, number: int) -> None:
+    def __init__(self, shared: GatewayContext, number: int) -> None:
         self.number = number
         self.port = free_port()
         self.process: asyncio.subprocess.Process | None = None
         self.is_ready = False
         self.is_end_expected = False
         """The testbed ends the process, or will."""
-        self._surroundings = surroundings
-        self._environment = surroundings.environment
-        self._clock = surroundings.clock
+        self._shared = shared
+        self._environment = shared.environment
+        self._clock = shared.clock
         self._discovery_address = ""
         self._counter_address = ""
 
     async def open_services(self) -> None:
         """Opens its addresses of discovery and counter; they count from the next configuration on."""
-        network = self._surroundings.network
+        network = self._shared.network
         self._discovery_address = await network.serve_discovery(self.number)
         self._counter_address = await network.serve_counter(self.number)
 
     def write_configuration(self) -> None:
         """Writes the file that the process reads at its start and at SIGHUP."""
-        surroundings = self._surroundings
-        initial_list = surroundings.initial_list
-        rows = add_addresses(initial_list["instances"], self.number, surroundings.network.endpoint_address)
+        shared = self._shared
+        initial_list = shared.initial_list
+        rows = add_addresses(initial_list["instances"], self.number, shared.network.endpoint_address)
         configuration = {
             "name": f"n{self.number}",
             "listen": f"{HOST}:{self.port}",
             "discovery": self._discovery_address,
             "counter": self._counter_address or None,
-            "seed": f"{surroundings.random.getrandbits(64):016x}",
+            "seed": f"{shared.random.getrandbits(64):016x}",
             "limits": PROCESS_LIMITS,
             "known": {**initial_list, "instances": rows},
             "settings": self._environment.gateway_settings(self.number),
@@ -98,7 +98,7 @@
         self.process = process
         self._log_state(GatewayState.STARTED)
         self._environment.discovery.gateway_started(self.number)
-        self._surroundings.tasks.spawn(self._watch(process))
+        self._shared.tasks.spawn(self._watch(process))
         self.is_ready = await self._wait_ready(process)
         if self.is_ready:
             self._environment.clients.set_in_rotation(self.number, True)
@@ -136,10 +136,10 @@
 
     @property
     def _configuration_path(self) -> pathlib.Path:
-        return self._surroundings.folder / f"n{self.number}.json"
+        return self._shared.folder / f"n{self.number}.json"
 
     async def _create_process(self) -> asyncio.subprocess.Process:
-        with open(self._surroundings.folder / f"n{self.number}.log", "ab") as log:
+        with open(self._shared.folder / f"n{self.number}.log", "ab") as log:
             return await asyncio.create_subprocess_exec(
                 *GATEWAY_COMMAND,
                 env={**os.environ, "GW_CONFIG": str(self._configuration_path)},
--- a/drumgw/testbed/socket_runner.py
+++ b/drumgw/testbed/socket_runner.py
@@ -14,7 +14,7 @@
 from drumgw.testbed.environment import Environment
 from drumgw.testbed.event_log import EventLog, RunHeader
 from drumgw.testbed.faults import start_run
-from drumgw.testbed.gateway_subprocess import GatewaySubprocess, GatewaySurroundings
+from drumgw.testbed.gateway_subprocess import GatewayContext, GatewaySubprocess
 from drumgw.testbed.logged_events import ClockKind, GatewayChanged, GatewayState
 from drumgw.testbed.scenario import Scenario
 from drumgw.testbed.socket_clients import SocketAttemptSender
@@ -42,7 +42,7 @@
         self._tasks = BackgroundTasks()
         self._network = SocketNetwork(self._environment, self._clock, self._tasks)
         self._folder = folder
-        surroundings = GatewaySurroundings(
+        shared = GatewayContext(
             environment=self._environment,
             clock=self._clock,
             network=self._network,
@@ -51,9 +51,7 @@
             random=self._environment.workload.random_stream(RandomUse.GATEWAYS),
             initial_list=self._environment.discovery.publish_initial_list(),
         )
-        self.gateways = [
-            GatewaySubprocess(surroundings, number) for number in range(scenario.fleet.gatekeepers)
-        ]
+        self.gateways = [GatewaySubprocess(shared, number) for number in range(scenario.fleet.gatekeepers)]
         self._environment.clients.sender = SocketAttemptSender(
             self._environment.clients,
             [gateway.port for gateway in self.gateways],
