--- a/drumgw/testbed/gateway_subprocess.py
+++ b/drumgw/testbed/gateway_subprocess.py
@@ -56,7 +56,7 @@
         self.port = free_port()
         self.process: asyncio.subprocess.Process | None = None
         self.is_ready = False
-        self.is_end_expected = False
+        self.is_exit_expected = False
         """The testbed ends the process, or will."""
         self._shared = shared
         self._environment = shared.environment
@@ -92,7 +92,7 @@
     async def start(self) -> None:
         """Starts a process and waits until it takes clients."""
         self.write_configuration()
-        self.is_end_expected = False
+        self.is_exit_expected = False
         self.is_ready = False
         process = await self._create_process()
         self.process = process
@@ -102,7 +102,7 @@
         self.is_ready = await self._wait_ready(process)
         if self.is_ready:
             self._environment.clients.set_in_rotation(self.number, True)
-        elif not self.is_end_expected:
+        elif not self.is_exit_expected:
             self._log_state(GatewayState.NEVER_READY)
 
     def send_signal(self, signal_number: int) -> None:
@@ -113,9 +113,9 @@
     async def restart(self, signal_number: int) -> None:
         """Ends the process by SIGTERM or SIGKILL, and starts another after the fleet's time."""
         process = self.process
-        if process is None or process.returncode is not None or self.is_end_expected:
+        if process is None or process.returncode is not None or self.is_exit_expected:
             return
-        self.is_end_expected = True
+        self.is_exit_expected = True
         is_killed = signal_number == signal.SIGKILL
         fleet = self._environment.scenario.fleet
         self._log_state(GatewayState.KILLED if is_killed else GatewayState.STOPPING)
@@ -130,7 +130,7 @@
 
     def kill_now(self) -> None:
         """Kills the process, also where it is paused; no other is started."""
-        self.is_end_expected = True
+        self.is_exit_expected = True
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGKILL)
 
@@ -169,7 +169,7 @@
 
     async def _watch(self, process: asyncio.subprocess.Process) -> None:
         exit_code = await process.wait()
-        if not self.is_end_expected:
+        if not self.is_exit_expected:
             self._log_state(GatewayState.CRASHED, exit_code)
             self._environment.clients.set_in_rotation(self.number, False)
 
@@ -185,7 +185,7 @@
 
     def _notice_end(self, process: asyncio.subprocess.Process) -> None:
         """The load balancer notices, unless another process has taken over by now."""
-        if self.process is process and (not self.is_ready or self.is_end_expected):
+        if self.process is process and (not self.is_ready or self.is_exit_expected):
             self._environment.clients.set_in_rotation(self.number, False)
 
     def _log_state(self, state: GatewayState, exit_code: int | None = None) -> None:
--- a/drumgw/testbed/socket_runner.py
+++ b/drumgw/testbed/socket_runner.py
@@ -121,7 +121,7 @@
         for gateway in self.gateways:
             await gateway.open_services()
             gateway.write_configuration()
-            if gateway.is_ready and not gateway.is_end_expected:
+            if gateway.is_ready and not gateway.is_exit_expected:
                 gateway.send_signal(signal.SIGHUP)
         await asyncio.sleep(OLD_ADDRESS_MS / 1000.0)
         for server in old_servers:
