--- a/drumgw/testbed/socket_network.py
+++ b/drumgw/testbed/socket_network.py
@@ -43,10 +43,10 @@
         for endpoint in self._environment.endpoints.values():
             await self._listen(endpoint)
 
-    def follow_endpoints(self) -> None:
+    def register_endpoint_hooks(self) -> None:
         """From now on endpoints' servers close and open with their processes."""
         for endpoint in self._environment.endpoints.values():
-            self._follow(endpoint)
+            self._register_hooks(endpoint)
 
     async def serve_discovery(self, gateway: int) -> str:
         """Opens a discovery agent for a gateway and returns its address."""
@@ -107,7 +107,7 @@
             listening.setblocking(False)
             self._endpoint_ports[gateway, endpoint.name] = listening.getsockname()[1]
             self._tasks.spawn(self._adopt(endpoint, gateway, listening))
-        self._follow(endpoint)
+        self._register_hooks(endpoint)
 
     async def _adopt(self, endpoint: EmulatedEndpoint, gateway: int, listening: socket.socket) -> None:
         server = await asyncio.get_running_loop().create_server(
@@ -115,7 +115,7 @@
         )
         self._endpoint_servers.setdefault(endpoint.name, []).append(server)
 
-    def _follow(self, endpoint: EmulatedEndpoint) -> None:
+    def _register_hooks(self, endpoint: EmulatedEndpoint) -> None:
         """Its machine refuses connections while its process is down."""
         endpoint.on_down = partial(self._close_endpoint, endpoint)
         endpoint.on_up = lambda: self._tasks.spawn(self._listen(endpoint))
--- a/drumgw/testbed/socket_runner.py
+++ b/drumgw/testbed/socket_runner.py
@@ -78,7 +78,7 @@
         await self._network.open_endpoints()
         for gateway in self.gateways:
             await gateway.open_services()
-        self._network.follow_endpoints()
+        self._network.register_endpoint_hooks()
         await asyncio.gather(*(gateway.start() for gateway in self.gateways))
         if not all(gateway.is_ready for gateway in self.gateways):
             raise CannotRunError(
