--- a/drumgw/testbed/client_requests.py
+++ b/drumgw/testbed/client_requests.py
@@ -1,4 +1,4 @@
-"""A client's request and its attempts, as clients, gateways and endpoints of the testbed know them."""
+"""A client's request and its attempts, shared by the testbed's clients, gateways and endpoints."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ClientRequest:
-    """What a client wants answered; its attempts follow one another."""
+    """A client's request; its attempts are made one after another, never concurrently."""
 
     __slots__ = ("arrival", "deadline_ms", "attempt_count", "idempotency_key")
 
@@ -20,7 +20,10 @@
 
 
 class ClientAttempt:
-    """One sending of a request to a gateway; closed by its response, its end, or when the client leaves."""
+    """One transmission of a request to a gateway.
+
+    It is closed by its response, by a connection failure, or by the client giving up or disconnecting.
+    """
 
     __slots__ = ("attempt_id", "request", "gateway", "time_left_ms", "sent_at_ms", "is_closed", "timers")
 
@@ -37,20 +40,20 @@
 
     @property
     def request_class(self) -> RequestClassSection:
-        """The class of its request."""
+        """The request class's section of the scenario, with its deadline and retry rule."""
         return self.request.arrival.request_class
 
     @property
     def customer(self) -> Customer:
-        """Whose request it is."""
+        """The customer whose quota the request uses."""
         return self.request.arrival.customer
 
     @property
     def work_ms(self) -> float:
-        """Processor time that it costs an endpoint of speed 1."""
+        """Processor time that the request takes on an endpoint of speed 1."""
         return self.request.arrival.work_ms
 
     @property
     def idempotency_key(self) -> str:
-        """The same for all attempts of a request."""
+        """The request's idempotency key, identical for all of its attempts."""
         return self.request.idempotency_key
