--- a/drumgw/testbed/clocks.py
+++ b/drumgw/testbed/clocks.py
@@ -1,6 +1,6 @@
-"""The clocks that emulated parties live by: a virtual one, and the event loop's.
+"""The clocks of the testbed's emulated components: a virtual clock and the event loop's clock.
 
-All times are milliseconds of Unix time, with fractions.
+All times are Unix times in milliseconds, with a fractional part.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 
 
 class TimerHandle(Protocol):
-    """A callback that was scheduled."""
+    """Handle of a scheduled callback."""
 
     def cancel(self) -> None:
-        """Drops the callback, if it has not run yet."""
+        """Cancels the callback; does nothing if it has already run."""
 
 
 class TestbedClock(Protocol):
-    """What emulated parties need of a clock."""
+    """The clock interface that the emulated components use."""
 
     def now(self) -> float:
-        """The time, in milliseconds."""
+        """Current Unix time in milliseconds."""
 
     def call_at(self, at_ms: float, callback: Callback) -> TimerHandle:
-        """Calls back at this time, or as soon as possible where it has passed."""
+        """Schedules a callback at a time, or as soon as possible if that time has passed."""
 
 
 class ScheduledCall:
-    """A callback of the virtual clock."""
+    """A callback scheduled on the virtual clock."""
 
     __slots__ = ("callback",)
 
@@ -40,15 +40,15 @@
         self.callback: Callback | None = callback
 
     def cancel(self) -> None:
-        """Drops the callback, if it has not run yet."""
+        """Cancels the callback; its entry stays in the heap and is skipped when due."""
         self.callback = None
 
 
 class VirtualClock:
-    """Time that moves from one callback to the next.
+    """A simulated clock that jumps from one scheduled callback to the next.
 
-    Callbacks run in the order of their times, and where these are equal in the order of their scheduling: the
-    same program gives the same run.
+    Callbacks run in order of time; callbacks due at the same time run in the order in which they were
+    scheduled. This makes runs deterministic.
     """
 
     def __init__(self, start_ms: float) -> None:
@@ -57,18 +57,18 @@
         self._calls: list[tuple[float, int, ScheduledCall]] = []
 
     def now(self) -> float:
-        """The time, in milliseconds."""
+        """Current simulated Unix time in milliseconds."""
         return self._now_ms
 
     def call_at(self, at_ms: float, callback: Callback) -> ScheduledCall:
-        """Calls back at this time, or at the present time where it has passed."""
+        """Schedules a callback at a time, or at the current time if that time has passed."""
         call = ScheduledCall(callback)
         self._scheduled_count += 1
         heapq.heappush(self._calls, (max(at_ms, self._now_ms), self._scheduled_count, call))
         return call
 
     def run_until(self, end_ms: float) -> None:
-        """Runs what falls due up to this time, and sets the time to it."""
+        """Runs all callbacks due up to and including `end_ms`, then advances the clock to it."""
         while self._calls and self._calls[0][0] <= end_ms:
             self._now_ms, _, call = heapq.heappop(self._calls)
             if call.callback is not None:
@@ -77,16 +77,19 @@
 
 
 class LoopClock:
-    """The running event loop's time, as milliseconds of Unix time."""
+    """The running event loop's monotonic clock, shifted to Unix time in milliseconds.
+
+    The offset to Unix time is taken once, so later changes of the system clock have no effect.
+    """
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         self._offset_ms = time.time() * 1000.0 - self.loop.time() * 1000.0
 
     def now(self) -> float:
-        """The time, in milliseconds."""
+        """Current Unix time in milliseconds."""
         return self._offset_ms + self.loop.time() * 1000.0
 
     def call_at(self, at_ms: float, callback: Callback) -> TimerHandle:
-        """Calls back at this time, or as soon as possible where it has passed."""
+        """Schedules a callback at a time, or as soon as possible if that time has passed."""
         return self.loop.call_at((at_ms - self._offset_ms) / 1000.0, callback)
