--- a/drumgw/testbed/deduplication.py
+++ b/drumgw/testbed/deduplication.py
@@ -1,28 +1,30 @@
-"""The memory in which endpoints look up idempotency keys."""
+"""The store in which emulated endpoints look up idempotency keys."""
 
 from __future__ import annotations
 
 from drumgw.testbed.clocks import TestbedClock
 
 CLEANUP_SIZE = 1000
-"""With so many entries, expired ones are dropped."""
+"""From this number of entries on, expired entries are removed before each lookup."""
 
 
 class DeduplicationStore:
-    """Idempotency keys that endpoints have seen, by the scope whose endpoints share the memory."""
+    """Idempotency keys that endpoints have seen; a scope identifies the endpoints that share keys."""
 
     def __init__(self, clock: TestbedClock) -> None:
         self._clock = clock
-        self._remembered_until: dict[tuple[str, object], float] = {}
+        self._expires_at_ms: dict[tuple[str, object], float] = {}
 
     def is_repeat(self, key: str, scope: object, window_ms: float) -> bool:
-        """Whether the key is remembered in this scope; if not, it is from now on, for the window."""
+        """Returns whether the key is stored for this scope; if not, stores it for `window_ms`."""
         now = self._clock.now()
-        if len(self._remembered_until) >= CLEANUP_SIZE:
-            self._remembered_until = {
-                entry: until for entry, until in self._remembered_until.items() if until > now
+        if len(self._expires_at_ms) >= CLEANUP_SIZE:
+            self._expires_at_ms = {
+                entry: expires_at_ms
+                for entry, expires_at_ms in self._expires_at_ms.items()
+                if expires_at_ms > now
             }
-        if self._remembered_until.get((key, scope), 0.0) > now:
+        if self._expires_at_ms.get((key, scope), 0.0) > now:
             return True
-        self._remembered_until[key, scope] = now + window_ms
+        self._expires_at_ms[key, scope] = now + window_ms
         return False
