--- a/drumgw/testbed/clients.py
+++ b/drumgw/testbed/clients.py
@@ -1,4 +1,7 @@
-"""The clients, behind a load balancer: they send when the workload says, and retry as their classes allow."""
+"""The emulated clients and the load balancer in front of the gateways.
+
+Clients send requests at the workload's arrival times and retry as their request classes allow.
+"""
 
 from __future__ import annotations
 
@@ -22,35 +25,36 @@
 from drumgw.testbed.statuses import REJECTION_STATUSES, STATUS_SUCCEEDED
 from drumgw.testbed.workload import Arrival, Customer, RandomUse, Workload
 
-GIVE_UP_AFTER_MS = 500.0
-"""A client listens so long beyond its deadline; a response in that time earns nothing."""
+GIVE_UP_GRACE_MS = 500.0
+"""How long a client still waits after an attempt's deadline; a response in this time has no value."""
 DRAIN_NOTICED_MS = 300.0
-"""Until the load balancer sends nothing more to a gateway that shuts down."""
+"""Time from the start of a gateway's shutdown until the load balancer stops sending it requests."""
 MAX_LATENESS_MS = 20.0
-"""A request sent later than intended by more than this: the testbed could not keep up."""
-LEAVE_BETWEEN = (0.05, 0.6)
-"""A client that leaves early does so after a share of its time between these."""
-BACKOFF_BETWEEN = (0.5, 1.5)
-"""A backoff is spread by a factor between these."""
+"""A request sent more than this after its arrival time is logged as late: the testbed did not keep up."""
+LEAVE_FRACTION_RANGE = (0.05, 0.6)
+"""A client that disconnects early does so after a fraction of its time left within this range."""
+BACKOFF_FACTOR_RANGE = (0.5, 1.5)
+"""Range of the random factor that a retry's backoff is multiplied by."""
 MIN_TIME_LEFT_MS = 5.0
-"""With less time left, nothing is sent any more."""
+"""An attempt that would have less time than this is not sent."""
 
 
 class AttemptSender(Protocol):
-    """How attempts reach gateways.
+    """Transport that carries clients' attempts to gateways.
 
-    It reports back with `response_received`, `connection_closed` or `connect_failed`.
+    It reports the result to the `ClientPopulation` through `response_received`, `connection_closed` or
+    `connect_failed`.
     """
 
     def send(self, attempt: ClientAttempt) -> None:
-        """Sends an attempt to its gateway."""
+        """Sends an attempt to its gateway; returns without waiting for the response."""
 
     def cancel(self, attempt: ClientAttempt) -> None:
-        """The client closes the attempt's connection."""
+        """Closes the attempt's connection because the client disconnects or gives up."""
 
 
 class ClientPopulation:
-    """All clients of a scenario, and what their load balancer believes of the gateways."""
+    """All clients of a scenario, and the load balancer's view of which gateways are in rotation."""
 
     def __init__(
         self, scenario: Scenario, workload: Workload, clock: TestbedClock, event_log: EventLog
@@ -58,7 +62,7 @@
         self.sender: AttemptSender | None = None
         self.start_ms = 0.0
         self.known_attempts: dict[str, ClientAttempt] = {}
-        """By id: what endpoints may still see; an attempt is forgotten a while after its end."""
+        """By id: attempts that may still reach endpoints; removed twice the expiry time after they close."""
         self.leave_share = scenario.clients.leave
         self.sent_count = 0
         self.sent_late_count = 0
@@ -71,13 +75,13 @@
         self._in_rotation = [True] * scenario.fleet.gatekeepers
 
     def start(self) -> None:
-        """From now on requests come."""
+        """Starts the load; arrival times count from now."""
         self.start_ms = self._clock.now()
         self._arrivals = self._workload.arrivals()
         self._schedule_next()
 
     def receive_arrival(self, arrival: Arrival) -> None:
-        """A client wants a request answered; its time runs from when it should have been sent."""
+        """Sends a request at its arrival; its deadline counts from the intended time, even if sent late."""
         self._schedule_next()
         now = self._clock.now()
         intended_ms = self.start_ms + arrival.at_ms
@@ -98,15 +102,15 @@
         self._send_attempt(ClientRequest(arrival, intended_ms))
 
     def set_in_rotation(self, gateway: int, is_ready: bool) -> None:
-        """The load balancer learns that a gateway takes clients, or that it does not."""
+        """Puts a gateway into the load balancer's rotation, or takes it out."""
         self._in_rotation[gateway] = is_ready
 
-    # What comes back
+    # Results reported by the sender
 
     def response_received(
         self, attempt: ClientAttempt, status: int, made_for: str, retry_after_ms: float
     ) -> None:
-        """A response is here; `made_for` is the attempt that its body names."""
+        """Handles a complete response; `made_for` is the id of the attempt that its body names."""
         now = self._clock.now()
         if attempt.is_closed:
             self._event_log.add(
@@ -123,13 +127,13 @@
             self._retry_if_idempotent(attempt)
 
     def connection_closed(self, attempt: ClientAttempt) -> None:
-        """The gateway's connection ended without a complete response."""
+        """Handles a connection that the gateway closed before a complete response."""
         if self._close(attempt):
             self._event_log.add(ConnectionClosed(self._clock.now(), attempt.attempt_id))
             self._retry_if_idempotent(attempt)
 
     def connect_failed(self, attempt: ClientAttempt) -> None:
-        """No connection came up: the gateway never had it, so that a retry is harmless."""
+        """Handles a failed connect; the gateway never received the request, so any class may be retried."""
         if self._close(attempt):
             self._event_log.add(ConnectFailed(self._clock.now(), attempt.attempt_id))
             self._retry(attempt)
@@ -143,8 +147,8 @@
 
     def _send_attempt(self, request: ClientRequest) -> None:
         now = self._clock.now()
-        patience = self._random.uniform(self._scenario.clients.patience, 1.0)
-        time_left_ms = (request.deadline_ms - now) * patience
+        time_share = self._random.uniform(self._scenario.clients.patience, 1.0)
+        time_left_ms = (request.deadline_ms - now) * time_share
         if time_left_ms < MIN_TIME_LEFT_MS:
             return
         gateway = self._choose_gateway(request.arrival.customer)
@@ -153,11 +157,11 @@
         attempt = ClientAttempt(attempt_id, request, gateway, round(time_left_ms, 3), now)
         self.known_attempts[attempt_id] = attempt
         self._log_sent(attempt)
-        give_up_ms = now + time_left_ms + GIVE_UP_AFTER_MS
+        give_up_ms = now + time_left_ms + GIVE_UP_GRACE_MS
         attempt.timers.append(self._clock.call_at(give_up_ms, lambda: self._give_up(attempt)))
         if self.leave_share and self._random.random() < self.leave_share:
-            leave_ms = now + time_left_ms * self._random.uniform(*LEAVE_BETWEEN)
-            attempt.timers.append(self._clock.call_at(leave_ms, lambda: self._leave(attempt)))
+            leave_ms = now + time_left_ms * self._random.uniform(*LEAVE_FRACTION_RANGE)
+            attempt.timers.append(self._clock.call_at(leave_ms, lambda: self._disconnect(attempt)))
         assert self.sender is not None
         self.sender.send(attempt)
 
@@ -178,7 +182,7 @@
         )
 
     def _choose_gateway(self, customer: Customer) -> int:
-        """One of the customer's gateways that are in rotation; of all, where none is."""
+        """Picks one of the customer's gateways in rotation by weight, or any of them if none is."""
         weighted = list(zip(customer.gateways, customer.weights, strict=True))
         usable = [pair for pair in weighted if self._in_rotation[pair[0]]] or weighted
         gateways = [gateway for gateway, _ in usable]
@@ -186,7 +190,7 @@
         return int(self._random.choices(gateways, weights)[0])
 
     def _close(self, attempt: ClientAttempt) -> bool:
-        """Nothing more is expected of it; False where that was so before."""
+        """Closes an attempt and cancels its timers; returns False if it was already closed."""
         if attempt.is_closed:
             return False
         attempt.is_closed = True
@@ -199,13 +203,13 @@
     def _forget(self, attempt: ClientAttempt) -> None:
         self.known_attempts.pop(attempt.attempt_id, None)
 
-    def _leave(self, attempt: ClientAttempt) -> None:
+    def _disconnect(self, attempt: ClientAttempt) -> None:
         if self._close(attempt):
             self._event_log.add(ClientLeft(self._clock.now(), attempt.attempt_id))
             self._cancel(attempt)
 
     def _give_up(self, attempt: ClientAttempt) -> None:
-        """Never answered; the oracle says whose fault that is."""
+        """Closes an attempt that got no response; the oracle decides whether a gateway is at fault."""
         if self._close(attempt):
             self._event_log.add(ClientGaveUp(self._clock.now(), attempt.attempt_id))
             self._cancel(attempt)
@@ -216,18 +220,22 @@
         self.sender.cancel(attempt)
 
     def _retry_if_idempotent(self, attempt: ClientAttempt) -> None:
-        """It may have run: only an idempotent request is sent again."""
+        """Retries after a failure in which the request may have run, which only idempotent requests allow."""
         if attempt.request_class.repeat == IDEMPOTENT:
             self._retry(attempt)
 
     def _retry(self, attempt: ClientAttempt, retry_after_ms: float = 0.0) -> None:
-        """Sends the request again after Retry-After, or after a backoff, where time is left then."""
+        """Schedules a retry after Retry-After or a backoff, if retries and time remain."""
         section = self._scenario.clients
         request = attempt.request
         if request.attempt_count > section.retries:
             return
-        observes = retry_after_ms > 0 and self._random.random() < section.observe
-        wait_ms = retry_after_ms if observes else section.backoff_ms * self._random.uniform(*BACKOFF_BETWEEN)
+        honors_retry_after = retry_after_ms > 0 and self._random.random() < section.observe
+        wait_ms = (
+            retry_after_ms
+            if honors_retry_after
+            else section.backoff_ms * self._random.uniform(*BACKOFF_FACTOR_RANGE)
+        )
         retry_ms = self._clock.now() + wait_ms
         if retry_ms < request.deadline_ms:
             self._clock.call_at(retry_ms, lambda: self._send_attempt(request))
