--- a/drumgw/testbed/discovery.py
+++ b/drumgw/testbed/discovery.py
@@ -1,7 +1,7 @@
-"""Emulated discovery: one endpoint list, of which each gateway's agent hears late, or not at all.
+"""Emulated discovery: one endpoint list, whose changes reach each gateway's agent late or not at all.
 
-What a gateway's agent has counts as known to the gateway, from the first moment of a new process, whether the
-gateway read it or not. Rows and updates have the names of the discovery protocol.
+Whatever a gateway's agent has received counts as known to the gateway, even if the gateway has not read it
+yet. For a new gateway process this holds from its start. Rows and updates use the discovery protocol's names.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from drumgw.testbed.scenario import DiscoverySection
 
 MAX_CHANGES = 200
-"""Changes that are remembered; who is further behind gets the complete list."""
-RETRY_MS = 100.0
-"""How often an agent asks again while discovery is silent."""
+"""Number of changes kept; a watcher that is further behind receives the complete list."""
+SILENT_RETRY_MS = 100.0
+"""Interval at which a change is offered to an agent again while discovery is silent."""
 
 
 class EndpointRow(TypedDict):
-    """One endpoint of the list, under the discovery protocol's names."""
+    """One endpoint of the list, with the discovery protocol's field names."""
 
     instanceId: str
     zone: str
@@ -35,7 +35,7 @@
 
 
 class ListUpdate(TypedDict):
-    """The complete list (`reset`), or what changed since an earlier generation."""
+    """The complete list (`reset` is true), or the rows that changed since an earlier generation."""
 
     generation: int
     reset: bool
@@ -43,15 +43,15 @@
 
 
 class _Change(NamedTuple):
-    """What one generation of the list changed."""
+    """The row changed by one generation of the list."""
 
     generation: int
     name: str
     row: EndpointRow
 
 
-class _Word(NamedTuple):
-    """What an agent has of one endpoint."""
+class _AnnouncedState(NamedTuple):
+    """What an agent has last received about one endpoint."""
 
     lifecycle: Lifecycle
     started_at_ms: float
@@ -71,7 +71,7 @@
         self.rows: dict[str, EndpointRow] = {}
         """The list, by endpoint name."""
         self.watchers: list[Callable[[], None] | None] = [None] * gateway_count
-        """By gateway: called once when its agent has an update."""
+        """By gateway: called once, when the next update reaches its agent."""
         self.extra_delay_ms = 0.0
         self.is_silent = False
         self._section = section
@@ -82,7 +82,7 @@
         self._removed_rows: dict[str, EndpointRow] = {}
         self._changes: list[_Change] = []
         self._agent_generations = [1] * gateway_count
-        self._agent_words: list[dict[str, _Word]] = [{} for _ in range(gateway_count)]
+        self._announced_states: list[dict[str, _AnnouncedState]] = [{} for _ in range(gateway_count)]
 
     def put(
         self,
@@ -105,7 +105,7 @@
         self._publish(name)
 
     def set_lifecycle(self, name: str, lifecycle: Lifecycle) -> None:
-        """Changes an endpoint's lifecycle; one that is removed leaves the list."""
+        """Changes an endpoint's lifecycle; REMOVED takes it off the list. Ignores endpoints not on it."""
         if name not in self.rows:
             return
         if lifecycle == Lifecycle.REMOVED:
@@ -115,12 +115,12 @@
         self._publish(name)
 
     def publish_initial_list(self) -> ListUpdate:
-        """The list as all agents have it when the run begins."""
+        """Delivers the current list to all agents at once, for the start of a run, and returns it."""
         self._agent_generations = [self._generation] * len(self._agent_generations)
         return _complete_list(self._generation, self.rows.values())
 
     def updates_since(self, gateway: int, generation: int | None) -> ListUpdate | None:
-        """What a watch from this generation is answered; None while its agent has nothing newer."""
+        """Returns the answer to a watch from this generation, or None while the agent has nothing newer."""
         agent_generation = self._agent_generations[gateway]
         if generation is not None and agent_generation <= generation:
             return None
@@ -135,7 +135,7 @@
         return {"generation": agent_generation, "reset": False, "instances": list(rows.values())}
 
     def empty_update(self, gateway: int, generation: int | None) -> ListUpdate:
-        """What a watch from this generation is answered when nothing changed in its time."""
+        """Returns the answer to a watch from this generation that times out without a change."""
         return {
             "generation": generation or self._agent_generations[gateway],
             "reset": False,
@@ -143,12 +143,16 @@
         }
 
     def gateway_started(self, gateway: int) -> None:
-        """A new process: what its agent has binds it at once. Called after its start was logged."""
-        self._agent_words[gateway].clear()
+        """Logs all that the agent has as announced to a new gateway process.
+
+        It counts as known to the process from its start. Call this after the start has been logged: the
+        oracle discards a gateway's earlier announcements at its start.
+        """
+        self._announced_states[gateway].clear()
         self._announce(gateway, self._agent_rows(gateway), is_complete=True)
 
     def _publish(self, name: str) -> None:
-        """A new generation of the list; each agent hears of it after a time of its own."""
+        """Creates a new generation of the list and delivers it to each agent after a random delay."""
         self._generation += 1
         generation = self._generation
         row = self.rows.get(name) or self._removed_rows[name]
@@ -156,11 +160,15 @@
         for gateway in range(len(self._agent_generations)):
             spread_ms = self._random.uniform(0, self._section.spread_ms)
             delay_ms = self._section.delay_ms + self.extra_delay_ms + spread_ms
-            self._clock.call_at(self._clock.now() + delay_ms, partial(self._reach_agent, gateway, generation))
+            self._clock.call_at(
+                self._clock.now() + delay_ms, partial(self._deliver_to_agent, gateway, generation)
+            )
 
-    def _reach_agent(self, gateway: int, generation: int) -> None:
+    def _deliver_to_agent(self, gateway: int, generation: int) -> None:
         if self.is_silent:
-            self._clock.call_at(self._clock.now() + RETRY_MS, partial(self._reach_agent, gateway, generation))
+            self._clock.call_at(
+                self._clock.now() + SILENT_RETRY_MS, partial(self._deliver_to_agent, gateway, generation)
+            )
             return
         before = self._agent_generations[gateway]
         after = max(before, generation)
@@ -173,30 +181,30 @@
             watcher()
 
     def _agent_rows(self, gateway: int) -> list[EndpointRow]:
-        """The complete list as this gateway's agent has it: changes that it has not got are undone."""
+        """The complete list as the gateway's agent has it, with changes that have not reached it reverted."""
         rows = dict(self.rows)
-        undone: set[str] = set()
+        reverted: set[str] = set()
         for change in reversed(self._changes):
             if change.generation > self._agent_generations[gateway]:
                 rows.pop(change.name, None)
-                undone.add(change.name)
-            elif change.name in undone:
-                undone.discard(change.name)
+                reverted.add(change.name)
+            elif change.name in reverted:
+                reverted.discard(change.name)
                 if change.row["lifecycle"] != Lifecycle.REMOVED:
                     rows[change.name] = change.row
         return list(rows.values())
 
     def _announce(self, gateway: int, rows: Iterable[EndpointRow], is_complete: bool) -> None:
-        """The agent has these rows: from now on they bind the gateway."""
-        words = {row["instanceId"]: _Word(row["lifecycle"], row["startedAtMs"]) for row in rows}
-        known = self._agent_words[gateway]
+        """Logs rows that have reached the agent; from now on the oracle holds the gateway to them."""
+        states = {row["instanceId"]: _AnnouncedState(row["lifecycle"], row["startedAtMs"]) for row in rows}
+        known = self._announced_states[gateway]
         if is_complete:
-            words |= {name: _Word(Lifecycle.REMOVED, 0.0) for name in known if name not in words}
-        for name, word in words.items():
-            if known.get(name) != word:
-                known[name] = word
-                self._event_log.add(EndpointAnnounced(self._clock.now(), gateway, name, *word))
-            if word.lifecycle == Lifecycle.REMOVED:
+            states |= {name: _AnnouncedState(Lifecycle.REMOVED, 0.0) for name in known if name not in states}
+        for name, state in states.items():
+            if known.get(name) != state:
+                known[name] = state
+                self._event_log.add(EndpointAnnounced(self._clock.now(), gateway, name, *state))
+            if state.lifecycle == Lifecycle.REMOVED:
                 known.pop(name, None)
 
 
