--- a/drumgw/testbed/endpoint.py
+++ b/drumgw/testbed/endpoint.py
@@ -1,7 +1,7 @@
 """An emulated endpoint: cores, a queue, a cold start that can be overloaded, draining, and its faults.
 
-No I/O: whoever carries attempts to it (a socket server, or the virtual network) hands in a `ReceivedAttempt`
-and is called back once, unless the attempt was abandoned or its response is lost.
+This module does no I/O. A transport (a socket server or the virtual network) passes in a `ReceivedAttempt`
+and is called back once with its outcome, unless the attempt is abandoned or its response is lost.
 """
 
 from __future__ import annotations
@@ -30,16 +30,19 @@
 )
 from drumgw.testbed.scenario import IDEMPOTENT_WITH_KEY, EndpointSection
 
-RECALL_MS = 0.1
-"""Time to answer a request whose idempotency key is remembered."""
+DUPLICATE_SERVICE_MS = 0.1
+"""Service time of a request whose idempotency key is stored: it is answered without running again."""
 CHANCE_MULTIPLE = 3
-"""While warming up, so many times the last request's work more is borne, for chance."""
+"""Tolerance for random bursts while warming up.
+
+The overload limit is raised by this multiple of the latest request's work.
+"""
 SERVICE_TIME_SMOOTHING = 0.1
-"""Weight of the last request in the mean service time that load reports tell."""
+"""Weight of the latest request in the moving average of service times that load reports carry."""
 
 
 class ReceivedState(Enum):
-    """Where an attempt stands in its endpoint."""
+    """Progress of an attempt at its endpoint."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -50,7 +53,7 @@
 
 
 class ReceivedAttempt:
-    """One attempt that reached an endpoint completely."""
+    """One attempt whose last byte has reached an endpoint."""
 
     __slots__ = ("receipt", "attempt_id", "client_attempt", "gateway", "on_end", "endpoint", "state", "timer")
 
@@ -65,7 +68,7 @@
         self.receipt = receipt
         self.attempt_id = attempt_id
         self.client_attempt = client_attempt
-        """What the client sent; None where no client sent this."""
+        """The client's attempt behind it; None if its id belongs to no known client attempt."""
         self.gateway = gateway
         self.on_end = on_end
         self.endpoint: EmulatedEndpoint | None = None
@@ -75,41 +78,41 @@
 
 @dataclass
 class ActiveFaults:
-    """What is wrong with an endpoint now; faults change it and put it back."""
+    """The faults in effect at an endpoint; set and reset by the run's fault functions."""
 
     slowdown: float = 1.0
     failing_classes: set[str | None] = field(default_factory=set)
-    """Request classes that fail; None stands for all."""
+    """Request classes whose requests fail; None stands for all classes."""
     is_silent: bool = False
-    """Takes connections and never answers."""
+    """The endpoint accepts connections and never answers."""
     reset_share: float = 0.0
     """Share of attempts whose connection is reset."""
     lost_share: float = 0.0
-    """Share of attempts that run and whose response is never sent."""
+    """Share of attempts that run but whose response is never sent."""
     delay_ms: float = 0.0
-    """How much later responses are sent."""
+    """Added delay of each response."""
     corrupt_share: float = 0.0
-    """Share of attempts that are answered with bytes that are no response."""
+    """Share of attempts that are answered with bytes that do not form an HTTP response."""
     max_connections: int | None = None
-    """In place of the endpoint's own limit."""
+    """Overrides the endpoint's own connection limit; None keeps it."""
 
 
 class EndpointIdentity(NamedTuple):
-    """What tells one endpoint from others."""
+    """Name and place of an endpoint."""
 
     name: str
     number: int
-    """Its position in the fleet; a replacement takes over the number under a new name."""
+    """Position in the fleet; a replacement keeps the number and gets a new name."""
     zone: str
     cell: int
 
 
 def _no_hook() -> None:
-    """For endpoints without a machine of their own."""
+    """Default hook for endpoints without listening sockets, as on the virtual clock."""
 
 
 class EmulatedEndpoint:
-    """One endpoint."""
+    """One endpoint over its restarts: its process state, connections, queue and running attempts."""
 
     def __init__(
         self,
@@ -124,19 +127,19 @@
     ) -> None:
         self.identity = identity
         self.started_at_ms = started_at_ms
-        """When it started cold; None for one that is warm from the beginning."""
+        """Time of its last cold start; None if it has been warm since the run began."""
         self.section = section
         self.faults = ActiveFaults()
         self.is_up = True
         self.is_draining = False
         self.running: dict[int, ReceivedAttempt] = {}
-        """By receipt."""
+        """Attempts being executed, by receipt."""
         self.queue: deque[ReceivedAttempt] = deque()
         self.connections: dict[int, int] = {}
         """Open connections by gateway."""
         self.mean_service_ms = 0.0
         self.on_down: Callable[[], None] = _no_hook
-        """What its machine does when the process dies."""
+        """Called when the process goes down, so that its sockets can be closed."""
         self.on_up: Callable[[], None] = _no_hook
         self._rules = rules
         self._clock = clock
@@ -144,34 +147,34 @@
         self._deduplication = deduplication
         self._random = random_stream
         self._recent_work: deque[tuple[float, float]] = deque()
-        """Arrival time and work of what came within the overload window."""
+        """Arrival time and work of the attempts received within the overload window."""
         self.speed = section.speed * random_stream.uniform(1 - section.speed_spread, 1 + section.speed_spread)
         self._log_start(clock.now(), is_cold=started_at_ms is not None)
 
     @property
     def name(self) -> str:
-        """Its name on the endpoint list."""
+        """Name on the endpoint list; a replacement has a new one."""
         return self.identity.name
 
     @property
     def number(self) -> int:
-        """Its position in the fleet."""
+        """Position in the fleet, from 0; a replacement keeps it."""
         return self.identity.number
 
     @property
     def zone(self) -> str:
-        """The zone that it stands in."""
+        """Zone; decides network latency and, for some classes, the scope of idempotency keys."""
         return self.identity.zone
 
     @property
     def cell(self) -> int:
-        """The cell that it belongs to."""
+        """Cell; decides the scope of idempotency keys for some classes."""
         return self.identity.cell
 
     # Connections
 
     def accept_connection(self, gateway: int) -> bool:
-        """Whether a new connection is taken: not while it is down or holds as many as it can."""
+        """Accepts a new connection; returns False while the endpoint is down or at its connection limit."""
         limit = self.faults.max_connections
         if limit is None:
             limit = self.section.connections
@@ -181,7 +184,7 @@
         return True
 
     def connection_closed(self, gateway: int) -> None:
-        """A connection of this gateway has ended."""
+        """Releases one connection of this gateway."""
         self.connections[gateway] = self.connections.get(gateway, 0) - 1
         if self.connections[gateway] <= 0:
             del self.connections[gateway]
@@ -189,7 +192,7 @@
     # Attempts
 
     def receive(self, attempt: ReceivedAttempt, first_byte_ms: float | None = None) -> None:
-        """Takes an attempt whose last byte is here. Work that is rejected counts for an overload too."""
+        """Handles an attempt whose last byte has arrived; rejected work also counts towards an overload."""
         now = self._clock.now()
         attempt.endpoint = self
         work_ms = attempt.client_attempt.work_ms if attempt.client_attempt else 0.0
@@ -203,7 +206,7 @@
             self._serve(attempt)
 
     def log_received(self, attempt: ReceivedAttempt, first_byte_ms: float, work_ms: float = 0.0) -> None:
-        """Logs that an attempt came, whatever becomes of it."""
+        """Logs the arrival of an attempt, including one that is then rejected or ignored."""
         self._event_log.add(
             EndpointReceived(
                 self._clock.now(),
@@ -217,7 +220,7 @@
         )
 
     def abandon(self, attempt: ReceivedAttempt) -> None:
-        """The gateway closed its connection: what runs goes on, what waits is dropped."""
+        """Handles a closed connection: a running attempt runs to its end, a queued one is dropped."""
         if attempt.state is ReceivedState.FINISHED:
             return
         self._event_log.add(AttemptAbandoned(self._clock.now(), attempt.attempt_id, attempt.receipt))
@@ -226,7 +229,7 @@
         attempt.state = ReceivedState.FINISHED
 
     def end_attempt(self, attempt: ReceivedAttempt, outcome: EndpointOutcome, has_run: bool) -> None:
-        """Ends an attempt and tells whoever carried it here; once only."""
+        """Logs an attempt's outcome and reports it to the transport; does nothing if it is finished."""
         if attempt.state is ReceivedState.FINISHED:
             return
         attempt.state = ReceivedState.FINISHED
@@ -236,7 +239,7 @@
         attempt.on_end(attempt, outcome)
 
     def warm_up_fraction(self) -> float:
-        """Share of its full speed that it has by now."""
+        """Share of the full speed reached so far; grows linearly from `cold_from` to 1 over `cold_ms`."""
         if self.started_at_ms is None:
             return 1.0
         initial = self._rules.cold_from
@@ -256,7 +259,7 @@
             self._run(attempt)
 
     def _is_overloaded(self, now: float, work_ms: float) -> bool:
-        """Whether more came within the overload window than it can bear while it warms up."""
+        """Whether the work received within the overload window exceeds what a warming endpoint can take."""
         warm_up_fraction = self.warm_up_fraction()
         if warm_up_fraction >= 1.0:
             return False
@@ -288,12 +291,12 @@
             return service_ms
         key = client_attempt.idempotency_key
         if self._deduplication.is_repeat(key, self._scope(request_class), request_class.remember_ms):
-            return RECALL_MS
+            return DUPLICATE_SERVICE_MS
         self._event_log.add(RequestExecuted(self._clock.now(), attempt.attempt_id, key, self.name))
         return service_ms
 
     def _scope(self, request_class: RequestClassSection) -> object:
-        """What the endpoints that share its memory for this class have in common."""
+        """Value common to all endpoints that share idempotency keys for this class; None for the fleet."""
         return {"all": None, "zone": self.zone, "cell": self.cell}[request_class.group]
 
     def _draw_outcome(self, client_attempt: ClientAttempt) -> EndpointOutcome:
@@ -305,7 +308,7 @@
         return EndpointOutcome.SUCCEEDED
 
     def _finish(self, attempt: ReceivedAttempt, outcome: EndpointOutcome) -> None:
-        """It has run: its response is sent now, later, or never."""
+        """Ends an executed attempt, after a delay or without a response if a fault says so."""
         now = self._clock.now()
         self.running.pop(attempt.receipt, None)
         if self.faults.lost_share and self._random.random() < self.faults.lost_share:
@@ -322,7 +325,7 @@
     # The process
 
     def go_down(self, duration_ms: float | None) -> None:
-        """The process dies; it starts again after this time, cold, or for None not by itself."""
+        """Ends the process; it restarts cold after `duration_ms`, or only by `start_cold` if that is None."""
         self.is_up = False
         self.connections.clear()
         self._reset_attempts()
@@ -332,7 +335,7 @@
             self._clock.call_at(self._clock.now() + duration_ms, self.start_cold)
 
     def start_cold(self) -> None:
-        """The process starts again, cold."""
+        """Starts the process again, not warmed up."""
         now = self._clock.now()
         self.is_up = True
         self.is_draining = False
