--- a/drumgw/testbed/environment.py
+++ b/drumgw/testbed/environment.py
@@ -1,4 +1,4 @@
-"""The emulated parties of one run, put together: endpoints, discovery, counter, clients and the network."""
+"""The emulated components of one run: endpoints, discovery, shared counter, clients and the network."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from drumgw.testbed.workload import RandomUse, Workload
 
 ENDPOINTS_PER_CELL = 4
-RUN_ON_MS = 1000.0
-"""A run goes on so long after the last deadline."""
+RUN_END_MARGIN_MS = 1000.0
+"""How long a run continues after the last deadline."""
 
 
 class Environment:
-    """Everything around the gateways of a run."""
+    """All components of a run except the gateways themselves."""
 
     def __init__(self, scenario: Scenario, seed: int, clock: TestbedClock, event_log: EventLog) -> None:
         self.scenario = scenario
@@ -39,28 +39,28 @@
             self.workload.random_stream(RandomUse.DISCOVERY),
         )
         self.endpoints: dict[str, EmulatedEndpoint] = {}
-        """All that ever were, by name."""
+        """All endpoints of the run by name, including those that were replaced."""
         self.isolated_zones: set[str] = set()
-        """Zones that are cut off from the others."""
+        """Zones whose network connection to all other zones is down."""
         self._deduplication = DeduplicationStore(clock)
-        self._receipts = 0
+        self._last_receipt = 0
         self._current_names: list[str] = []
-        """By endpoint number: the endpoint that has this number now."""
+        """By endpoint number: name of the endpoint that currently has the number."""
         for number in range(scenario.fleet.workers):
             self._current_names.append(self._add_endpoint(number, None, 0).name)
 
     # Endpoints
 
     def current_endpoints(self) -> list[EmulatedEndpoint]:
-        """The endpoints of the fleet, by their numbers, without those that were replaced."""
+        """The endpoints of the fleet in the order of their numbers, without those that were replaced."""
         return [self.endpoints[name] for name in self._current_names]
 
     def is_current(self, endpoint: EmulatedEndpoint) -> bool:
-        """Whether it has not been replaced."""
+        """Whether the endpoint still has its number, so has not been replaced."""
         return endpoint.name in self._current_names
 
     def replace_endpoint(self, endpoint: EmulatedEndpoint) -> None:
-        """A new endpoint, cold and under a new name, takes over its number."""
+        """Adds a cold endpoint with a new name, which takes over the number of the given one."""
         replacement_count = int(endpoint.name.partition(".")[2] or 0) + 1
         replacement = self._add_endpoint(endpoint.number, self.clock.now(), replacement_count)
         self._current_names[endpoint.number] = replacement.name
@@ -91,25 +91,25 @@
         return endpoint
 
     def next_receipt(self) -> int:
-        """A new number for an attempt that reaches an endpoint."""
-        self._receipts += 1
-        return self._receipts
+        """Returns a run-wide unique number for an attempt that is sent to an endpoint."""
+        self._last_receipt += 1
+        return self._last_receipt
 
     # The network
 
     def zone_of_gateway(self, gateway: int) -> str:
-        """The zone that a gateway stands in."""
+        """The zone of a gateway; gateways are assigned to zones in turn."""
         zones = self.scenario.fleet.zones
         return zones[gateway % len(zones)]
 
     def one_way_ms(self, gateway: int, endpoint: EmulatedEndpoint) -> float:
-        """Network time between a gateway and an endpoint."""
+        """One-way network latency between a gateway and an endpoint."""
         fleet = self.scenario.fleet
         is_same_zone = self.zone_of_gateway(gateway) == endpoint.zone
         return fleet.same_zone_ms if is_same_zone else fleet.cross_zone_ms
 
     def is_partitioned(self, gateway: int, zone: str) -> bool:
-        """Whether no packet passes between a gateway and a zone."""
+        """Whether a network partition separates a gateway from a zone."""
         own_zone = self.zone_of_gateway(gateway)
         if own_zone == zone:
             return False
@@ -118,7 +118,7 @@
     # The run
 
     def gateway_settings(self, gateway: int) -> dict[str, Any]:
-        """A gateway's start-up settings, as the platform would give them."""
+        """A gateway's start-up settings in the form that the platform supplies."""
         scenario = self.scenario
         placement = GatewayPlacement(
             zone=self.zone_of_gateway(gateway),
@@ -130,13 +130,13 @@
         return platform_settings(scenario.product, scenario.plan, scenario.rules, scenario.allowed, placement)
 
     def end_time_ms(self) -> float:
-        """When the run is over: every client has its answer or has given up by then."""
+        """End time of the run, by which every client has received a response or given up."""
         scenario = self.scenario
         load_ms = scenario.seconds * 1000.0
-        return self.clients.start_ms + load_ms + scenario.longest_deadline_ms() + RUN_ON_MS
+        return self.clients.start_ms + load_ms + scenario.longest_deadline_ms() + RUN_END_MARGIN_MS
 
     def log_run_end(self) -> None:
-        """Logs the last events: a log without them was cut off."""
+        """Logs the final events; a log without them is incomplete."""
         now = self.clock.now()
         if self.counter is not None:
             self.event_log.add(CounterSummary(now, self.counter.call_count))
