--- a/drumgw/testbed/faults.py
+++ b/drumgw/testbed/faults.py
@@ -1,7 +1,7 @@
-"""The faults of a run: what each kind does, and what puts it back.
+"""The faults of a run: how each kind is injected and removed.
 
-`FAULTS` has a function for each kind. It strikes, and returns what undoes the fault after its time; None for
-a fault that has no end of its own.
+`FAULTS` has a function for each kind. It injects the fault and returns a function that removes it again, or
+None for a fault that is not removed.
 """
 
 from __future__ import annotations
@@ -25,30 +25,30 @@
 from drumgw.testbed.scenario import Fault, FaultKind
 from drumgw.testbed.workload import RandomUse
 
-REPLACED_STAYS_MS = 3000.0
-"""Beyond the time in which all gateways hear of it, a replaced endpoint drains so long before it ends."""
+REPLACED_DRAIN_MS = 3000.0
+"""How long a replaced endpoint keeps draining after all gateways should have been informed."""
 
 Undo = Callable[[], None]
 
 
 class GatewayControls(Protocol):
-    """What faults do to gateways."""
+    """Operations on gateways that faults use."""
 
     def restart(self, gateway: int) -> None:
-        """Shuts a gateway down gracefully and starts it again."""
+        """Shuts a gateway down gracefully and starts it again later."""
 
     def kill(self, gateway: int) -> None:
         """Kills a gateway's process; it is started again later."""
 
     def pause(self, gateway: int, duration_ms: float) -> None:
-        """Stops a gateway's process for a time, without its notice."""
+        """Suspends a gateway's process for a time, without notifying it."""
 
     def move_discovery(self) -> None:
-        """Gives discovery and counter new addresses."""
+        """Moves discovery and counter to new addresses."""
 
 
 class FaultContext:
-    """What a fault may touch, and the choice of whom it strikes."""
+    """What faults act on, and the random choice of their targets."""
 
     def __init__(self, environment: Environment, gateways: GatewayControls) -> None:
         self.environment = environment
@@ -56,7 +56,7 @@
         self._random: random.Random = environment.workload.random_stream(RandomUse.FAULTS)
 
     def target_endpoints(self, fault: Fault) -> list[EmulatedEndpoint]:
-        """The endpoints that it strikes, among those that have not been replaced."""
+        """The endpoints that a fault affects, chosen from those that have not been replaced."""
         current = self.environment.current_endpoints()
         if fault.worker is not None:
             return [current[fault.worker]]
@@ -66,29 +66,29 @@
         return sorted(self._random.sample(current, count), key=lambda endpoint: endpoint.number)
 
     def target_gateways(self, fault: Fault) -> list[int]:
-        """The gateways that it strikes."""
+        """The gateways that a fault affects, chosen at random."""
         fleet_size = self.environment.scenario.fleet.gatekeepers
         return sorted(self._random.sample(range(fleet_size), _share_of(fault, fleet_size)))
 
     @property
     def counter(self) -> EmulatedCounter:
-        """The shared counter: a scenario with faults of the counter has one."""
+        """The shared counter; scenario validation ensures that it exists if there are counter faults."""
         counter = self.environment.counter
         assert counter is not None
         return counter
 
 
 def start_run(environment: Environment, gateways: GatewayControls) -> None:
-    """From now on clients send and the scenario's faults happen."""
+    """Starts the clients' load and schedules the scenario's faults, relative to now."""
     now = environment.clock.now()
     context = FaultContext(environment, gateways)
     environment.event_log.add(RunStarted(now))
     for number, fault in enumerate(environment.scenario.trouble):
-        environment.clock.call_at(now + fault.at_s * 1000.0, partial(_strike, context, fault, number))
+        environment.clock.call_at(now + fault.at_s * 1000.0, partial(_inject, context, fault, number))
     environment.clients.start()
 
 
-def _strike(context: FaultContext, fault: Fault, number: int) -> None:
+def _inject(context: FaultContext, fault: Fault, number: int) -> None:
     environment = context.environment
     undo = FAULTS[fault.kind](context, fault)
     now = environment.clock.now()
@@ -115,12 +115,12 @@
 
 
 def _share_of(fault: Fault, count: int) -> int:
-    """How many of `count` the fault's part stands for; at least one."""
+    """Number of targets that the fault's `part` of `count` amounts to; at least one."""
     return max(1, round((fault.part or 0.0) * count))
 
 
 def _override(targets: Sequence[object], **values: object) -> Undo:
-    """Sets attributes on each target, and returns what sets just these back."""
+    """Sets attributes on each target and returns a function that restores their previous values."""
     previous = [{name: getattr(target, name) for name in values} for target in targets]
 
     def set_attributes(target: object, attributes: dict[str, object]) -> None:
@@ -179,7 +179,7 @@
     return _override_endpoints(context, fault, corrupt_share=fault.size)
 
 
-def _few_connections(context: FaultContext, fault: Fault) -> Undo:
+def _limit_connections(context: FaultContext, fault: Fault) -> Undo:
     return _override_endpoints(context, fault, max_connections=int(fault.size or 0))
 
 
@@ -196,7 +196,7 @@
 
 
 def _take_down(context: FaultContext, targets: list[EmulatedEndpoint]) -> Undo:
-    """Their processes die; the endpoint list drops them later, and has them again when they are back."""
+    """Stops processes; they leave the endpoint list after a delay and are listed again once restarted."""
     environment = context.environment
     noticed_ms = environment.clock.now() + environment.scenario.worker.dead_noticed_ms
     for endpoint in targets:
@@ -207,7 +207,7 @@
         for endpoint in targets:
             if environment.is_current(endpoint):
                 endpoint.start_cold()
-                _list_as_up(environment, endpoint)
+                _publish_as_up(environment, endpoint)
 
     return undo
 
@@ -217,19 +217,19 @@
         environment.discovery.set_lifecycle(endpoint.name, Lifecycle.REMOVED)
 
 
-def _list_as_up(environment: Environment, endpoint: EmulatedEndpoint) -> None:
+def _publish_as_up(environment: Environment, endpoint: EmulatedEndpoint) -> None:
     environment.discovery.put(endpoint.name, endpoint.zone, endpoint.cell, endpoint.started_at_ms)
 
 
 def _replace_endpoints(context: FaultContext, fault: Fault) -> None:
-    """Each is drained; a new one, cold and under a new name, takes over its number."""
+    """Drains each endpoint and adds a cold one with a new name, which takes over its number."""
     environment = context.environment
     discovery = environment.scenario.discovery
-    drained_ms = discovery.delay_ms + discovery.spread_ms + REPLACED_STAYS_MS
+    drain_ms = discovery.delay_ms + discovery.spread_ms + REPLACED_DRAIN_MS
     for endpoint in context.target_endpoints(fault):
         _begin_drain(environment, endpoint)
         environment.clock.call_at(
-            environment.clock.now() + drained_ms, partial(_end_drained, environment, endpoint)
+            environment.clock.now() + drain_ms, partial(_stop_drained, environment, endpoint)
         )
         environment.replace_endpoint(endpoint)
 
@@ -240,7 +240,7 @@
     environment.discovery.set_lifecycle(endpoint.name, Lifecycle.DRAINING)
 
 
-def _end_drained(environment: Environment, endpoint: EmulatedEndpoint) -> None:
+def _stop_drained(environment: Environment, endpoint: EmulatedEndpoint) -> None:
     if endpoint.is_draining:
         endpoint.go_down(None)
         environment.discovery.set_lifecycle(endpoint.name, Lifecycle.REMOVED)
@@ -256,13 +256,13 @@
         for endpoint in targets:
             if environment.is_current(endpoint) and endpoint.is_up:
                 endpoint.is_draining = False
-                _list_as_up(environment, endpoint)
+                _publish_as_up(environment, endpoint)
 
     return undo
 
 
 def _partition_zone(context: FaultContext, fault: Fault) -> Undo:
-    """No packet passes between this zone and the others."""
+    """Cuts all network traffic between the fault's zone and the others."""
     assert fault.zone is not None
     isolated = context.environment.isolated_zones
     isolated.add(fault.zone)
@@ -328,7 +328,7 @@
 
 
 def _surge_load(_context: FaultContext, _fault: Fault) -> None:
-    """Nothing to do at its time: the workload is drawn with it."""
+    """Does nothing when the fault starts: the workload already generates the additional arrivals."""
 
 
 def _leaving_clients(context: FaultContext, fault: Fault) -> Undo:
@@ -343,7 +343,7 @@
     FaultKind.RESPONSES_LOST: _lost_responses,
     FaultKind.RESPONSES_DELAYED: _delayed_responses,
     FaultKind.RESPONSES_CORRUPT: _corrupt_responses,
-    FaultKind.CONNECTION_LIMIT: _few_connections,
+    FaultKind.CONNECTION_LIMIT: _limit_connections,
     FaultKind.ENDPOINT_CRASH: _crash_endpoints,
     FaultKind.ENDPOINT_REPLACED: _replace_endpoints,
     FaultKind.ENDPOINT_DRAIN: _drain_endpoints,
