--- a/drumgw/testbed/gateway_subprocess.py
+++ b/drumgw/testbed/gateway_subprocess.py
@@ -1,4 +1,4 @@
-"""A real gateway process, started as in production, with its configuration file and its log."""
+"""A real gateway process, started as in production, with its configuration file and log file."""
 
 from __future__ import annotations
 
@@ -24,32 +24,32 @@
 
 GATEWAY_COMMAND = (sys.executable, "-O", "-m", "drumgw")
 READY_TIMEOUT_MS = 20_000.0
-"""Until a gateway takes clients; longer is a failed start."""
+"""Time limit for a gateway to report itself ready; after it, the start has failed."""
 READY_CHECK_TIMEOUT_S = 2.0
 READY_CHECK_INTERVAL_S = 0.05
-KILL_AFTER_MS = 1200.0
-"""From SIGTERM to SIGKILL, beyond the longest deadline."""
+SHUTDOWN_MARGIN_MS = 1200.0
+"""Time from SIGTERM to SIGKILL, in addition to the longest request deadline."""
 PROCESS_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 
 
 @dataclass
 class GatewayContext:
-    """What the gateways of a run share."""
+    """Objects and settings that all gateways of a run share."""
 
     environment: Environment
     clock: TestbedClock
     network: SocketNetwork
     tasks: BackgroundTasks
     folder: pathlib.Path
-    """For configurations and logs."""
+    """Directory of the configuration and log files."""
     random: random.Random
-    """Source of the gateways' seeds."""
+    """Random source for the gateways' seeds."""
     initial_list: ListUpdate
-    """The endpoint list that gateways know before they hear discovery."""
+    """Endpoint list in the configuration, known to gateways before their first update from discovery."""
 
 
 class GatewaySubprocess:
-    """One gateway of the fleet, over the lives of its processes."""
+    """One gateway of the fleet, across restarts of its process."""
 
     def __init__(self, shared: GatewayContext, number: int) -> None:
         self.number = number
@@ -57,7 +57,7 @@
         self.process: asyncio.subprocess.Process | None = None
         self.is_ready = False
         self.is_exit_expected = False
-        """The testbed ends the process, or will."""
+        """True once the testbed has decided to end the process; an exit before is logged as a crash."""
         self._shared = shared
         self._environment = shared.environment
         self._clock = shared.clock
@@ -65,13 +65,13 @@
         self._counter_address = ""
 
     async def open_services(self) -> None:
-        """Opens its addresses of discovery and counter; they count from the next configuration on."""
+        """Opens new discovery and counter addresses; the next configuration written contains them."""
         network = self._shared.network
         self._discovery_address = await network.serve_discovery(self.number)
         self._counter_address = await network.serve_counter(self.number)
 
     def write_configuration(self) -> None:
-        """Writes the file that the process reads at its start and at SIGHUP."""
+        """Writes the file that the process reads at its start and on SIGHUP; replaces it atomically."""
         shared = self._shared
         initial_list = shared.initial_list
         rows = add_addresses(initial_list["instances"], self.number, shared.network.endpoint_address)
@@ -90,7 +90,7 @@
         new_path.replace(self._configuration_path)
 
     async def start(self) -> None:
-        """Starts a process and waits until it takes clients."""
+        """Starts a process and waits until it is ready for clients, has exited, or the time limit passes."""
         self.write_configuration()
         self.is_exit_expected = False
         self.is_ready = False
@@ -98,7 +98,7 @@
         self.process = process
         self._log_state(GatewayState.STARTED)
         self._environment.discovery.gateway_started(self.number)
-        self._shared.tasks.spawn(self._watch(process))
+        self._shared.tasks.spawn(self._handle_unexpected_exit(process))
         self.is_ready = await self._wait_ready(process)
         if self.is_ready:
             self._environment.clients.set_in_rotation(self.number, True)
@@ -106,12 +106,12 @@
             self._log_state(GatewayState.NEVER_READY)
 
     def send_signal(self, signal_number: int) -> None:
-        """Sends a signal, where there is a process."""
+        """Sends a signal if a process is running."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(signal_number)
 
     async def restart(self, signal_number: int) -> None:
-        """Ends the process by SIGTERM or SIGKILL, and starts another after the fleet's time."""
+        """Ends the process by SIGTERM or SIGKILL and starts another after the fleet's `restart_ms`."""
         process = self.process
         if process is None or process.returncode is not None or self.is_exit_expected:
             return
@@ -121,15 +121,15 @@
         self._log_state(GatewayState.KILLED if is_killed else GatewayState.STOPPING)
         self.send_signal(signal_number)
         noticed_ms = fleet.front_notices_ms if is_killed else DRAIN_NOTICED_MS
-        self._clock.call_at(self._clock.now() + noticed_ms, partial(self._notice_end, process))
-        await self._wait_end(process)
+        self._clock.call_at(self._clock.now() + noticed_ms, partial(self._leave_rotation, process))
+        await self._wait_exit(process)
         if not is_killed:
             self._log_state(GatewayState.ENDED, process.returncode)
         await asyncio.sleep(fleet.restart_ms / 1000.0)
         await self.start()
 
     def kill_now(self) -> None:
-        """Kills the process, also where it is paused; no other is started."""
+        """Kills the process, even if it is paused; no other one is started."""
         self.is_exit_expected = True
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGKILL)
@@ -153,12 +153,12 @@
         end_ms = self._clock.now() + READY_TIMEOUT_MS
         while self._clock.now() < end_ms and process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.TimeoutError):
-                if await self._answers_ready():
+                if await self._is_reported_ready():
                     return True
             await asyncio.sleep(READY_CHECK_INTERVAL_S)
         return False
 
-    async def _answers_ready(self) -> bool:
+    async def _is_reported_ready(self) -> bool:
         async with asyncio.timeout(READY_CHECK_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(HOST, self.port)
             try:
@@ -167,15 +167,15 @@
             finally:
                 writer.close()
 
-    async def _watch(self, process: asyncio.subprocess.Process) -> None:
+    async def _handle_unexpected_exit(self, process: asyncio.subprocess.Process) -> None:
         exit_code = await process.wait()
         if not self.is_exit_expected:
             self._log_state(GatewayState.CRASHED, exit_code)
             self._environment.clients.set_in_rotation(self.number, False)
 
-    async def _wait_end(self, process: asyncio.subprocess.Process) -> None:
-        """Waits until the process has ended; one that does not end in time is killed."""
-        timeout_ms = self._environment.scenario.longest_deadline_ms() + KILL_AFTER_MS
+    async def _wait_exit(self, process: asyncio.subprocess.Process) -> None:
+        """Waits for the process to exit and kills it if it does not exit in time."""
+        timeout_ms = self._environment.scenario.longest_deadline_ms() + SHUTDOWN_MARGIN_MS
         try:
             async with asyncio.timeout(timeout_ms / 1000.0):
                 await process.wait()
@@ -183,8 +183,8 @@
             self.send_signal(signal.SIGKILL)
             await process.wait()
 
-    def _notice_end(self, process: asyncio.subprocess.Process) -> None:
-        """The load balancer notices, unless another process has taken over by now."""
+    def _leave_rotation(self, process: asyncio.subprocess.Process) -> None:
+        """Takes the gateway out of the load balancer's rotation, unless `process` has been replaced."""
         if self.process is process and (not self.is_ready or self.is_exit_expected):
             self._environment.clients.set_in_rotation(self.number, False)
 
