--- a/drumgw/testbed/http_wire.py
+++ b/drumgw/testbed/http_wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as far as the testbed speaks it on sockets: messages with Content-Length, in bounded buffers."""
+"""The subset of HTTP/1.1 that the testbed uses on sockets: Content-Length messages, bounded buffers."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def parse_headers(head: bytes) -> dict[str, str]:
-    """Headers of a message by their names in lower case."""
+    """Returns a message's headers, keyed by lower-case name."""
     return {name.decode().lower(): value.decode("latin-1") for name, value in HEADER.findall(head)}
 
 
 def format_response(status: int, body: bytes = b"", **headers: str) -> bytes:
-    """A response; an underscore in a header's name stands for a hyphen."""
+    """Encodes a response; underscores in header names become hyphens."""
     lines = [
         f"HTTP/1.1 {status} x",
         f"Content-Length: {len(body)}",
@@ -32,7 +32,7 @@
 
 
 class MessageProtocol(asyncio.Protocol):
-    """Cuts what comes into heads and bodies, and notes when the first byte of each message came."""
+    """Splits received data into messages and records the arrival time of each message's first byte."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
@@ -40,25 +40,25 @@
         self._first_byte_ms: float | None = None
 
     def now(self) -> float:
-        """The testbed's time, in milliseconds."""
+        """Current Unix time in milliseconds; subclasses provide the clock."""
         raise NotImplementedError
 
     def message_received(self, head: bytes, body: bytes, first_byte_ms: float) -> None:
-        """A complete message is here; `head` ends with the empty line."""
+        """Called for each complete message; `head` includes the empty line at its end."""
         raise NotImplementedError
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether a part of a message has come."""
+        """Whether the buffer holds the start of an incomplete message."""
         return bool(self._buffer)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the event loop."""
+        """Called by the event loop; keeps the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Called by the event loop."""
+        """Called by the event loop; handles complete messages and aborts if the buffer limit is passed."""
         if self._first_byte_ms is None:
             self._first_byte_ms = self.now()
         self._buffer += data
@@ -68,7 +68,7 @@
             self.abort()
 
     def _take_message(self) -> bool:
-        """Passes on the first message of the buffer; False where it is not complete."""
+        """Passes the first message of the buffer on; returns False if it is incomplete."""
         head_end = self._buffer.find(END_OF_HEAD)
         if head_end < 0:
             return False
@@ -86,24 +86,24 @@
         return True
 
     def write(self, data: bytes) -> None:
-        """Writes, unless the connection is closing."""
+        """Writes data; drops it if the connection is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def abort(self) -> None:
-        """Closes the connection at once."""
+        """Closes the connection at once, without flushing buffered data."""
         if self.transport is not None:
             self.transport.abort()
 
 
 ResponseCallback = Callable[[bytes, bytes], None]
-"""Takes a response's head and body."""
+"""Receives a response's head and body."""
 LostCallback = Callable[[bool], None]
-"""Takes whether a part of the response had come."""
+"""Called when the connection is lost; receives whether part of the response had arrived."""
 
 
 class ClientConnection(MessageProtocol):
-    """A client's connection: one request at a time."""
+    """A client's connection to a gateway, used for one request at a time."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         super().__init__()
@@ -113,17 +113,17 @@
         self._on_lost: LostCallback | None = None
 
     def now(self) -> float:
-        """The testbed's time, in milliseconds."""
+        """Current Unix time in milliseconds."""
         return self._now()
 
     def send_request(self, request: bytes, on_response: ResponseCallback, on_lost: LostCallback) -> None:
-        """Writes a request; one of the two callbacks is called once, unless the connection is abandoned."""
+        """Writes a request; exactly one callback is then called once, unless the connection is abandoned."""
         self._on_response = on_response
         self._on_lost = on_lost
         self.write(request)
 
     def message_received(self, head: bytes, body: bytes, first_byte_ms: float) -> None:
-        """The response is here."""
+        """Passes the response to the callback of the request in flight."""
         on_response = self._on_response
         self._on_response = None
         self._on_lost = None
@@ -131,7 +131,7 @@
             on_response(head, body)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the event loop."""
+        """Called by the event loop; reports the loss if a request is in flight."""
         self.is_open = False
         on_lost = self._on_lost
         self._on_response = None
@@ -140,7 +140,7 @@
             on_lost(self.has_partial_message)
 
     def abandon(self) -> None:
-        """Closes the connection; no callback is called any more."""
+        """Closes the connection without calling either callback."""
         self._on_response = None
         self._on_lost = None
         self.abort()
@@ -148,20 +148,20 @@
 
 @dataclass(slots=True)
 class _ReplySlot:
-    """The place of one reply in the order of its calls."""
+    """Position of one reply in the order of the calls; holds its data once it is ready."""
 
     data: bytes | None = None
 
 
 class OrderedReplies:
-    """Writes replies in the order of their calls, whichever is ready first."""
+    """Writes replies in the order of their calls, even if they become ready in another order."""
 
     def __init__(self, write: Callable[[bytes], None]) -> None:
         self._write = write
         self._slots: deque[_ReplySlot] = deque()
 
     def reserve(self) -> Callable[[bytes], None]:
-        """Takes the next place; returns what is called with its reply."""
+        """Reserves the next position; returns a function to call once with the reply."""
         slot = _ReplySlot()
         self._slots.append(slot)
 
