--- a/drumgw/testbed/socket_clients.py
+++ b/drumgw/testbed/socket_clients.py
@@ -1,4 +1,4 @@
-"""The clients' connections to gateways on sockets: attempts as HTTP requests, over kept connections."""
+"""The emulated clients' connections to gateways: attempts as HTTP requests over persistent connections."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 @dataclass
 class _GatewayConnections:
-    """Connections to one gateway."""
+    """The clients' open connections to one gateway."""
 
     port: int
     idle: list[ClientConnection] = field(default_factory=list)
     busy: dict[str, ClientConnection] = field(default_factory=dict)
-    """By attempt."""
+    """By id of the attempt in flight."""
 
 
 class SocketAttemptSender:
-    """Sends clients' attempts to gateways on loopback."""
+    """Sends clients' attempts to gateway processes over the loopback interface."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self._gateways = [_GatewayConnections(port) for port in ports]
 
     def send(self, attempt: ClientAttempt) -> None:
-        """Sends an attempt over a kept connection, or over a new one."""
+        """Sends an attempt over an idle connection, or over a new one if none is open."""
         gateway = self._gateways[attempt.gateway]
         while gateway.idle:
             connection = gateway.idle.pop()
@@ -53,7 +53,7 @@
         self._tasks.spawn(self._connect(gateway, attempt))
 
     def cancel(self, attempt: ClientAttempt) -> None:
-        """The client closes the attempt's connection."""
+        """Closes the attempt's connection because the client disconnects or gives up."""
         connection = self._gateways[attempt.gateway].busy.pop(attempt.attempt_id, None)
         if connection is not None:
             connection.abandon()
@@ -93,19 +93,19 @@
             retry_after_ms = float(headers.get("retry-after", 0.0)) * 1000.0
             self._clients.response_received(attempt, status, made_for, retry_after_ms)
 
-        def on_lost(has_begun: bool) -> None:
+        def on_lost(has_partial_response: bool) -> None:
             gateway.busy.pop(attempt.attempt_id, None)
-            if is_new or has_begun:
+            if is_new or has_partial_response:
                 self._clients.connection_closed(attempt)
             elif not attempt.is_closed:
-                # The gateway closed the kept connection as the request was on its way: a new one is used.
+                # The gateway closed the idle connection while the request was in transit: use a new one.
                 self._tasks.spawn(self._connect(gateway, attempt))
 
         connection.send_request(format_request(attempt), on_response, on_lost)
 
 
 def format_request(attempt: ClientAttempt) -> bytes:
-    """An attempt as an HTTP request."""
+    """Encodes an attempt as an HTTP request: GET for idempotent classes, POST for others."""
     arrival = attempt.request.arrival
     customer = arrival.customer
     method = "GET" if arrival.request_class.repeat == IDEMPOTENT else "POST"
