--- a/drumgw/testbed/socket_runner.py
+++ b/drumgw/testbed/socket_runner.py
@@ -1,6 +1,6 @@
-"""Plays a scenario on loopback: real gateway processes, with the emulated parties in this process.
+"""Runs a scenario on loopback, with real gateway processes and the emulated components in this process.
 
-A run is bounded in time by its scenario; whatever ends it, no process stays behind.
+The scenario limits the duration of a run. However a run ends, all gateway processes are stopped.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 from drumgw.testbed.socket_network import SocketNetwork
 from drumgw.testbed.workload import RandomUse
 
-OLD_ADDRESS_MS = 1500.0
-"""An address that discovery has left closes after this."""
+OLD_ADDRESS_CLOSE_DELAY_MS = 1500.0
+"""Time after which the old addresses of discovery and counter are closed once they have moved."""
 
 
 class CannotRunError(RuntimeError):
-    """The testbed could not play the scenario; this says nothing of the gateways."""
+    """The testbed could not run the scenario; this is no result about how the gateways behave."""
 
 
 class SocketRunner:
-    """All gateways of a run, and what faults do to them."""
+    """One run on sockets: the gateway processes and the operations that faults apply to them."""
 
     def __init__(
         self, scenario: Scenario, seed: int, folder: pathlib.Path, event_log: EventLog | None = None
@@ -60,10 +60,10 @@
         )
 
     async def run(self) -> EventLog:
-        """Plays the scenario to its end and returns the event log.
+        """Runs the scenario to its end and returns the event log.
 
         Raises:
-            CannotRunError: where a gateway does not become ready.
+            CannotRunError: if a gateway does not become ready.
         """
         try:
             await self._open()
@@ -94,10 +94,10 @@
                 await gateway.process.wait()
         self._network.close()
 
-    # What faults do to gateways
+    # GatewayControls, for faults
 
     def restart(self, gateway: int) -> None:
-        """Shuts a gateway down gracefully and starts it again."""
+        """Shuts a gateway down gracefully and starts it again later."""
         self._tasks.spawn(self.gateways[gateway].restart(signal.SIGTERM))
 
     def kill(self, gateway: int) -> None:
@@ -105,7 +105,7 @@
         self._tasks.spawn(self.gateways[gateway].restart(signal.SIGKILL))
 
     def pause(self, gateway: int, duration_ms: float) -> None:
-        """Stops a gateway's process for a time, without its notice."""
+        """Suspends a gateway's process with SIGSTOP and resumes it after `duration_ms`."""
         process = self.gateways[gateway]
         now = self._clock.now()
         self._event_log.add(GatewayChanged(now, gateway, GatewayState.PAUSED, duration_ms=duration_ms))
@@ -113,7 +113,7 @@
         self._clock.call_at(now + duration_ms, lambda: process.send_signal(signal.SIGCONT))
 
     def move_discovery(self) -> None:
-        """Gives discovery and counter new addresses; the old ones close after a while."""
+        """Moves discovery and counter to new addresses; the old ones stay open a while for late callers."""
         self._tasks.spawn(self._move_discovery())
 
     async def _move_discovery(self) -> None:
@@ -123,6 +123,6 @@
             gateway.write_configuration()
             if gateway.is_ready and not gateway.is_exit_expected:
                 gateway.send_signal(signal.SIGHUP)
-        await asyncio.sleep(OLD_ADDRESS_MS / 1000.0)
+        await asyncio.sleep(OLD_ADDRESS_CLOSE_DELAY_MS / 1000.0)
         for server in old_servers:
             server.close()
