--- a/drumgw/testbed/socket_servers.py
+++ b/drumgw/testbed/socket_servers.py
@@ -1,6 +1,6 @@
-"""Emulated parties on sockets: the server's side of a gateway's connections.
+"""Emulated components on sockets: the server side of gateways' connections.
 
-Each gateway has addresses of its own for every party, so that a server knows which gateway calls.
+Each component has a separate address for every gateway, so that a server knows which gateway calls.
 """
 
 from __future__ import annotations
@@ -36,18 +36,18 @@
 
 @dataclass
 class ServerContext:
-    """What the servers' connections need of the run."""
+    """Parts of the run that server connections use."""
 
     environment: Environment
     clock: TestbedClock
     endpoint_address: Callable[[int, str], str]
-    """Address of an endpoint for a gateway."""
+    """Returns an endpoint's address, given the gateway's number and the endpoint's name."""
     endpoint_connections: set[EndpointConnection] = field(default_factory=set)
-    """Open ones."""
+    """Endpoint connections that are open."""
 
 
 class ServerConnection(MessageProtocol):
-    """A gateway's connection to an emulated party."""
+    """A gateway's connection to an emulated component."""
 
     def __init__(self, context: ServerContext, gateway: int) -> None:
         super().__init__()
@@ -56,12 +56,12 @@
         self._gateway = gateway
 
     def now(self) -> float:
-        """The testbed's time, in milliseconds."""
+        """Current Unix time in milliseconds."""
         return self._context.clock.now()
 
 
 class EndpointConnection(ServerConnection):
-    """A connection to an endpoint; one attempt at a time."""
+    """A gateway's connection to an endpoint, used for one attempt at a time."""
 
     def __init__(self, context: ServerContext, endpoint: EmulatedEndpoint, gateway: int) -> None:
         super().__init__(context, gateway)
@@ -70,13 +70,13 @@
         self._is_accepted = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the event loop."""
+        """Called by the event loop; asks the endpoint whether it accepts the connection."""
         super().connection_made(transport)
         self._is_accepted = self.endpoint.accept_connection(self._gateway)
         self._context.endpoint_connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the event loop."""
+        """Called by the event loop; an attempt in progress counts as abandoned."""
         self._context.endpoint_connections.discard(self)
         if self._is_accepted:
             self.endpoint.connection_closed(self._gateway)
@@ -84,7 +84,7 @@
             self.endpoint.abandon(self._attempt)
 
     def message_received(self, head: bytes, body: bytes, first_byte_ms: float) -> None:
-        """A gateway has sent an attempt; across a partition it is neither taken nor answered."""
+        """Handles an attempt from a gateway; it is dropped without an answer during a network partition."""
         if self._environment.is_partitioned(self._gateway, self.endpoint.zone):
             return
         attempt_id = parse_headers(head).get("request-id", "")
@@ -121,7 +121,7 @@
                 self.abort()
 
     def _success_response(self, attempt: ReceivedAttempt) -> bytes:
-        """Its body names the attempt that it was made for."""
+        """Builds a response whose body names its attempt, so that mixed-up responses are detected."""
         assert attempt.client_attempt is not None
         return format_response(
             STATUS_SUCCEEDED,
@@ -132,7 +132,7 @@
 
 
 class ReceivedCounterCall(NamedTuple):
-    """One call to the shared counter."""
+    """Parsed arguments of one call to the shared counter."""
 
     name: str
     amount: float
@@ -140,14 +140,14 @@
 
 
 class CounterConnection(ServerConnection):
-    """A connection to the counter; calls may be pipelined, replies come in their order."""
+    """A gateway's connection to the counter; calls may be pipelined, replies are sent in call order."""
 
     def __init__(self, context: ServerContext, gateway: int) -> None:
         super().__init__(context, gateway)
         self._replies = OrderedReplies(self.write)
 
     def message_received(self, head: bytes, body: bytes, first_byte_ms: float) -> None:
-        """A gateway has called the counter."""
+        """Handles a counter call; replies with 400 if it is malformed or the scenario has no counter."""
         send_reply = self._replies.reserve()
         counter = self._environment.counter
         call = parse_counter_call(head)
@@ -165,7 +165,7 @@
 
 
 def parse_counter_call(head: bytes) -> ReceivedCounterCall | None:
-    """The call that a request's head makes; None where it is none."""
+    """Parses a counter call from a request's head; None if it is malformed or out of range."""
     method, target, _ = head.split(b"\r\n", 1)[0].decode("latin-1").split(" ", 2)
     url = urlsplit(target)
     query = parse_qs(url.query)
@@ -181,10 +181,10 @@
 
 
 class DiscoveryConnection(ServerConnection):
-    """A connection to a gateway's discovery agent: lists and watches. A silent agent answers nothing."""
+    """A gateway's connection to its discovery agent, for lists and watches; a silent agent never answers."""
 
     def message_received(self, head: bytes, body: bytes, first_byte_ms: float) -> None:
-        """A gateway asks for the list, or watches for changes since a generation."""
+        """Answers a request for the list, or a watch for changes since a generation."""
         target = head.split(b" ", 2)[1].decode("latin-1")
         query = parse_qs(urlsplit(target).query)
         generation = int(query["since"][0]) if "since" in query else None
@@ -223,5 +223,5 @@
 def add_addresses(
     rows: list[EndpointRow], gateway: int, endpoint_address: Callable[[int, str], str]
 ) -> list[dict[str, object]]:
-    """Discovery's rows with the addresses that a gateway reaches the endpoints at."""
+    """Returns discovery's rows with the endpoints' addresses for a gateway added as `hostPort`."""
     return [{**row, "hostPort": endpoint_address(gateway, row["instanceId"])} for row in rows]
