--- a/drumgw/testbed/socket_runner.py
+++ b/drumgw/testbed/socket_runner.py
@@ -113,7 +113,7 @@
         self._clock.call_at(now + duration_ms, lambda: process.send_signal(signal.SIGCONT))
 
     def move_discovery(self) -> None:
-        """Moves discovery and counter to new addresses; the old ones stay open a while for late callers."""
+        """Moves discovery and counter to new addresses; the old ones close after a delay."""
         self._tasks.spawn(self._move_discovery())
 
     async def _move_discovery(self) -> None:
