--- a/tests/test_testbed_parties.py
+++ b/tests/test_testbed_parties.py
@@ -1,4 +1,4 @@
-"""The testbed's emulated parties, one at a time: endpoint, shared counter, discovery."""
+"""Unit tests of the testbed's emulated endpoint, shared counter and discovery."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 KEYED_CLASS = 2
 
 
-class PartyCase(unittest.TestCase):
-    """An environment on the virtual clock."""
+class EnvironmentCase(unittest.TestCase):
+    """Base class: an environment on the virtual clock."""
 
     def setUp(self) -> None:
         self.clock = VirtualClock(START_MS)
@@ -38,16 +38,16 @@
         self.environment = Environment(self.scenario, 1, self.clock, self.event_log)
 
 
-class EndpointTest(PartyCase):
-    """An emulated endpoint."""
+class EndpointTest(EnvironmentCase):
+    """Tests of `EmulatedEndpoint`."""
 
     def setUp(self) -> None:
         super().setUp()
         self.outcomes: list[tuple[float, int, EndpointOutcome]] = []
-        """Time since the start, receipt and outcome of each attempt that ended."""
+        """Milliseconds since START_MS, receipt and outcome of each finished attempt."""
 
     def endpoint(self, started_at_ms: float | None = None, **values: Any) -> EmulatedEndpoint:
-        """The first endpoint, of speed 1, with some values of its section replaced."""
+        """The first endpoint, with speed 1 and the given values of its section overridden."""
         endpoint = self.environment.endpoints["w0"]
         endpoint.section = endpoint.section.model_copy(update=values)
         endpoint.speed = 1.0
@@ -61,21 +61,21 @@
         class_index: int = IDEMPOTENT_CLASS,
         work_ms: float = 100.0,
     ) -> ReceivedAttempt:
-        """Hands the endpoint an attempt of the first request of a class."""
+        """Sends the endpoint an attempt of the first request of a class in the workload."""
         request_class = self.scenario.product[class_index]
         arrivals = self.environment.workload.arrivals()
         arrival = next(arrival for arrival in arrivals if arrival.request_class is request_class)
         request = ClientRequest(arrival._replace(work_ms=work_ms), self.clock.now())
         client_attempt = ClientAttempt(f"t{receipt}", request, 0, 900.0, self.clock.now())
-        attempt = ReceivedAttempt(receipt, client_attempt.attempt_id, client_attempt, 0, self.note_outcome)
+        attempt = ReceivedAttempt(receipt, client_attempt.attempt_id, client_attempt, 0, self.record_outcome)
         endpoint.receive(attempt)
         return attempt
 
-    def note_outcome(self, attempt: ReceivedAttempt, outcome: EndpointOutcome) -> None:
-        """An attempt has ended."""
+    def record_outcome(self, attempt: ReceivedAttempt, outcome: EndpointOutcome) -> None:
+        """Callback for finished attempts."""
         self.outcomes.append((round(self.clock.now() - START_MS), attempt.receipt, outcome))
 
-    def test_cores_and_queue_are_bounded(self) -> None:
+    def test_cores_and_queue_are_limited(self) -> None:
         endpoint = self.endpoint(cores=2, queue=1)
         for receipt in range(4):
             self.send(receipt, endpoint)
@@ -90,11 +90,11 @@
             ],
         )
 
-    def test_a_cold_start_warms_up_evenly_and_can_be_overloaded(self) -> None:
-        """An endpoint has just started: it has a fifth of its speed, which grows in a straight line.
+    def test_cold_endpoint_warms_up_linearly_and_can_be_overloaded(self) -> None:
+        """A cold endpoint starts at a fifth of its speed and speeds up linearly.
 
-        Then it is sent far more than it can do. It goes down, its attempts are reset, and later it starts
-        again, cold.
+        It is then sent far more work than it can handle while warming up. It must go down, reset its
+        attempts, and later restart cold.
         """
         endpoint = self.endpoint(started_at_ms=START_MS, cores=1)
         self.send(1, endpoint, work_ms=20.0)
@@ -113,7 +113,7 @@
         assert endpoint.started_at_ms is not None
         self.assertGreater(endpoint.started_at_ms, 5000.0)
 
-    def test_while_draining_it_finishes_and_takes_nothing_new(self) -> None:
+    def test_draining_endpoint_finishes_attempts_and_rejects_new_ones(self) -> None:
         endpoint = self.endpoint(cores=1)
         self.send(1, endpoint)
         endpoint.is_draining = True
@@ -123,11 +123,11 @@
             self.outcomes, [(0, 2, EndpointOutcome.REJECTED), (100, 1, EndpointOutcome.SUCCEEDED)]
         )
 
-    def test_a_request_with_a_key_runs_once_in_its_scope_and_window(self) -> None:
-        """One request reaches two endpoints of one zone and one of another, and the first again, later.
+    def test_request_with_key_runs_once_per_scope_and_window(self) -> None:
+        """One request reaches two endpoints of one zone, one of another zone, and later the first again.
 
-        The endpoints of a zone share their memory of keys: the second of them does not run it. Once the
-        idempotency window has passed, the first one runs it again.
+        Endpoints of a zone share idempotency keys, so the second endpoint of the zone must not execute it.
+        After the idempotency window, the first endpoint must execute it again.
         """
         first = self.endpoint(cores=9)
         other_zone = self.environment.endpoints["w1"]
@@ -139,8 +139,8 @@
         executed = [event.endpoint for event in self.event_log.events if isinstance(event, RequestExecuted)]
         self.assertEqual(executed, ["w0", "w1", "w0"])
 
-    def test_an_abandoned_attempt_is_not_answered_and_what_waits_never_runs(self) -> None:
-        """The gateway closes the connections of an attempt that runs and of one that waits in the queue."""
+    def test_abandoned_attempt_gets_no_response_and_is_not_run_if_queued(self) -> None:
+        """The gateway closes the connections of a running and of a queued attempt."""
         endpoint = self.endpoint(cores=1)
         running = self.send(1, endpoint)
         queued = self.send(2, endpoint)
@@ -152,15 +152,15 @@
         self.assertEqual(len(endpoint.queue), 0)
 
 
-class CounterTest(PartyCase):
-    """The emulated shared counter."""
+class CounterTest(EnvironmentCase):
+    """Tests of `EmulatedCounter`."""
 
     def setUp(self) -> None:
         super().setUp()
         self.replies: list[tuple[CounterStatus, float]] = []
 
     def counter(self, **values: Any) -> EmulatedCounter:
-        """A counter with some values of its section."""
+        """A counter with the given values in its section."""
         return EmulatedCounter(CounterSection(**values), self.clock)
 
     def call(self, counter: EmulatedCounter, amount: float, gateway: int = 0) -> tuple[CounterStatus, float]:
@@ -169,13 +169,13 @@
         self.clock.run_until(self.clock.now() + 50.0)
         return self.replies[-1]
 
-    def test_it_adds_and_forgets_and_rejects(self) -> None:
+    def test_additions_expiry_rejection_and_silence(self) -> None:
         counter = self.counter()
         self.assertEqual(self.call(counter, 2.5), (CounterStatus.ADDED, 2.5))
         self.assertEqual(self.call(counter, -1.0), (CounterStatus.ADDED, 1.5))
         self.clock.run_until(self.clock.now() + 60000.0)
         self.assertEqual(
-            self.call(counter, 1.0), (CounterStatus.ADDED, 1.0), "no total lives longer than a minute"
+            self.call(counter, 1.0), (CounterStatus.ADDED, 1.0), "totals expire after at most one minute"
         )
         counter.rejects_calls = True
         self.assertEqual(self.call(counter, 1.0), (CounterStatus.REJECTED, 0.0))
@@ -185,11 +185,11 @@
         self.call(counter, 1.0)
         self.assertEqual(len(self.replies), replies_before)
 
-    def test_a_split_counter_heals_with_what_both_halves_added(self) -> None:
-        """The counter is split: each half of the gateways adds to a replica of its own.
+    def test_split_counter_merges_additions_of_both_halves(self) -> None:
+        """During a split, each half of the gateways adds to a separate replica.
 
-        As it heals, the total holds what was there before the split and what either half added. Then it is
-        replaced by an older copy, and by an empty one.
+        After the merge, the total must contain the value from before the split and the additions of both
+        halves. The test then scales the totals, as for an older copy, and clears them.
         """
         counter = self.counter()
         self.call(counter, 5.0)
@@ -203,7 +203,7 @@
         counter.clear()
         self.assertEqual(self.call(counter, 0.0)[1], 0.0)
 
-    def test_calls_are_served_in_turn_and_the_queue_is_bounded(self) -> None:
+    def test_calls_are_served_in_order_and_queue_is_limited(self) -> None:
         counter = self.counter(calls_per_s=100.0, line=2)
         replies: list[tuple[float, CounterStatus]] = []
         for _ in range(5):
@@ -223,13 +223,14 @@
         )
 
 
-class DiscoveryTest(PartyCase):
-    """Emulated discovery."""
+class DiscoveryTest(EnvironmentCase):
+    """Tests of `EmulatedDiscovery`."""
 
-    def test_a_change_comes_late_and_complete_to_who_is_far_behind(self) -> None:
-        """An endpoint drains: its gateway hears of it after the delay, as a change.
+    def test_changes_arrive_late_and_complete_after_a_large_gap(self) -> None:
+        """A drained endpoint must reach the gateway's agent after the delay, as an incremental update.
 
-        Then more changes follow than discovery remembers: who knows only the first list gets all of it.
+        Then more changes follow than discovery keeps: a watch from the first generation must receive the
+        complete list.
         """
         section = DiscoverySection(delay_ms=100.0, spread_ms=0.0)
         random_stream = self.environment.workload.random_stream(RandomUse.DISCOVERY)
