--- a/tests/test_lab_on_sockets.py
+++ b/tests/test_lab_on_sockets.py
@@ -1,4 +1,4 @@
-"""The testbed on sockets, with real gateway processes: faults, a stop, gateways that never get ready."""
+"""The testbed on sockets with real gateway processes: faults, interruption, gateways that do not start."""
 
 from __future__ import annotations
 
@@ -28,14 +28,15 @@
 from tests.scenarios import DEFAULT_VALUES, SCENARIO_TEMPLATE, make_scenario
 
 
-class LabOnSockets(CommandLineCase):
-    """Runs of the testbed with gateway processes of their own."""
+class SocketTestbedTest(CommandLineCase):
+    """Testbed runs that start their own gateway processes."""
 
-    def test_a_scenario_with_faults_and_real_gateways(self) -> None:
-        """Gateways are restarted and killed while endpoints, counter, discovery and a zone have faults.
+    def test_scenario_with_faults_and_real_gateways(self) -> None:
+        """Guards against lost requests and leftover processes in a run with many faults at once.
 
-        Every request ends, and each gateway process is ended. What depends on the machine's speed (lateness)
-        is not asserted.
+        Gateways are restarted and killed while endpoints, counter, discovery and a zone have faults. Every
+        attempt must end and every gateway process must have exited. Late responses (rule "lost") are allowed,
+        as they depend on the machine's speed.
         """
         scenario = make_scenario(
             'kind = "restart"; at_s = 0.5; part = 0.5',
@@ -69,10 +70,11 @@
         self.assertEqual(expected - {change.state for change in changes}, set())
         self.assertEqual([change for change in changes if change.exit_code], [])
 
-    def test_a_stopped_run_leaves_no_process_behind(self) -> None:
-        """Somebody stops a long run with Ctrl-C.
+    def test_interrupted_run_leaves_no_process(self) -> None:
+        """Guards against gateway processes that survive a run interrupted with Ctrl-C (SIGINT).
 
-        It ends with 130, no gateway listens any more, and the event log has what was seen until then.
+        The command must exit with 130, no gateway may still listen, and the event log must contain the events
+        up to the interruption.
         """
         path = self.write_file(SCENARIO_TEMPLATE.format(**{**DEFAULT_VALUES, "seconds": 600}))
         out = self.folder / "out"
@@ -97,10 +99,11 @@
                 probe.connect((host, int(port)))
         self.assertTrue(read_event_log(str(event_log)).events)
 
-    def test_a_gateway_that_never_gets_ready_ends_the_run(self) -> None:
-        """The gateway's program ends at once on this machine.
+    def test_gateway_that_never_becomes_ready_ends_the_run(self) -> None:
+        """Guards against a failed gateway start being reported as a test result of the gateway.
 
-        That says nothing of how gateways serve: the exit code is 3, with a line on where to look.
+        The gateway's program exits immediately. The command must exit with 3 (the run could not be done) and
+        point to the gateway's log.
         """
         path = self.write_file(SCENARIO_TEMPLATE.format(**DEFAULT_VALUES))
         out = self.folder / "out"
