--- a/drumgw/hosting/api_operations.py
+++ b/drumgw/hosting/api_operations.py
@@ -1,7 +1,8 @@
 """The table of the administration API's operations.
 
 Both the routes that are served and the OpenAPI document are generated from it, so that they cannot differ.
-Paths, summaries, response descriptions and the names of body schemas are published: clients depend on them.
+Clients depend on the paths, the statuses and the names of body schemas; summaries and response descriptions
+are texts for people.
 """
 
 from __future__ import annotations
@@ -69,34 +70,38 @@
         return 428 in self.responses
 
 
-NOT_FOUND_RESPONSE = {404: "no such tenant"}
+NOT_FOUND_RESPONSE = {404: "tenant not found"}
 VERSIONED_CHANGE_ERRORS = {
     **NOT_FOUND_RESPONSE,
-    409: "not now, or a route taken",
-    412: "changed meanwhile",
-    428: "no If-Match",
+    409: "invalid state transition, or route already in use",
+    412: "version conflict",
+    428: "If-Match required",
 }
 TENANT_READ_RESPONSES = {200: "the tenant", **NOT_FOUND_RESPONSE}
 TENANT_CHANGE_RESPONSES = {200: "the tenant", **VERSIONED_CHANGE_ERRORS}
-OPERATION_STARTED_RESPONSES = {202: "an operation to poll", **VERSIONED_CHANGE_ERRORS}
+OPERATION_STARTED_RESPONSES = {202: "a long-running operation to poll", **VERSIONED_CHANGE_ERRORS}
 
 _OPENAPI_OPERATION = ApiOperation(
-    "GET", "/openapi.json", Permission.DESCRIBE, "This text", responses={200: "OpenAPI 3.1"}
+    "GET", "/openapi.json", Permission.DESCRIBE, "Read this document", responses={200: "OpenAPI 3.1 document"}
 )
 _TENANT_OPERATIONS = [
     ApiOperation(
         "GET",
         TENANTS_PATH,
         Permission.LIST,
-        "Tenants by name, paged",
-        responses={200: "a page", 400: "limit"},
+        "List tenants by name, in pages",
+        responses={200: "a page of tenants", 400: "limit out of range"},
     ),
     ApiOperation(
         "POST",
         TENANTS_PATH,
         Permission.CREATE,
-        "Create a tenant; repeats under one Idempotency-Key act once",
-        responses={201: "created", 409: "name or route taken", 410: "what the key created is gone"},
+        "Create a tenant; calls repeated with one Idempotency-Key take effect once",
+        responses={
+            201: "the created tenant",
+            409: "name or route already in use, or tenant limit reached",
+            410: "the tenant created with this Idempotency-Key was removed",
+        },
         body=BodySchema.NAMED_SPEC,
     ),
     ApiOperation("GET", TENANT_PATH, Permission.READ, "Read a tenant", responses=TENANT_READ_RESPONSES),
@@ -104,7 +109,7 @@
         "PUT",
         TENANT_PATH,
         Permission.REPLACE,
-        "Replace what a tenant is made of",
+        "Replace a tenant's spec",
         responses=TENANT_CHANGE_RESPONSES,
         body=BodySchema.SPEC,
     ),
@@ -112,7 +117,7 @@
         "DELETE",
         TENANT_PATH,
         Permission.REMOVE,
-        "Remove a tenant; its requests in flight finish",
+        "Remove a tenant; its requests in flight are completed",
         responses=OPERATION_STARTED_RESPONSES,
     ),
 ]
@@ -121,21 +126,21 @@
         "POST",
         f"{TENANT_PATH}/suspend",
         Permission.SUSPEND,
-        "Reject its requests",
+        "Suspend a tenant: reject its new requests",
         responses=TENANT_CHANGE_RESPONSES,
     ),
     ApiOperation(
         "POST",
         f"{TENANT_PATH}/resume",
         Permission.RESUME,
-        "Serve it again",
+        "Resume a suspended, draining or drained tenant",
         responses=TENANT_CHANGE_RESPONSES,
     ),
     ApiOperation(
         "POST",
         f"{TENANT_PATH}/drain",
         Permission.DRAIN,
-        "Take nothing new; its requests in flight finish",
+        "Drain a tenant: reject its new requests, complete those in flight",
         responses=OPERATION_STARTED_RESPONSES,
     ),
 ]
@@ -144,15 +149,15 @@
         "GET",
         f"{TENANT_PATH}/use",
         Permission.READ_USAGE,
-        "Use and state now",
-        responses={200: "use", **NOT_FOUND_RESPONSE},
+        "Read a tenant's current usage and the state of its service",
+        responses={200: "the current usage", **NOT_FOUND_RESPONSE},
     ),
     ApiOperation(
         "GET",
         OPERATION_PATH,
         Permission.READ_OPERATION,
-        "What takes time",
-        responses={200: "it", 404: "unknown, or long ago"},
+        "Read a long-running operation",
+        responses={200: "the operation", 404: "operation not found, or no longer kept"},
     ),
 ]
 _SPEC_PART_OPERATIONS = [
@@ -163,7 +168,7 @@
             "GET",
             f"{TENANT_PATH}/{part}",
             Permission.READ_PART,
-            f"Read its {part}",
+            f"Read a tenant's {part}",
             responses={200: part, **NOT_FOUND_RESPONSE},
             spec_key=spec_key,
         ),
@@ -171,7 +176,7 @@
             "PUT",
             f"{TENANT_PATH}/{part}",
             Permission.REPLACE_PART,
-            f"Replace its {part}",
+            f"Replace a tenant's {part}",
             responses=TENANT_CHANGE_RESPONSES,
             body=BodySchema(part),
             spec_key=spec_key,
@@ -186,16 +191,21 @@
     *_SPEC_PART_OPERATIONS,
 )
 
-AUTHENTICATED_CALL_ERRORS = {401: "no token", 403: "not yours", 429: "too many calls", 500: "a fault of ours"}
+AUTHENTICATED_CALL_ERRORS = {
+    401: "authentication required",
+    403: "permission denied",
+    429: "too many concurrent calls",
+    500: "internal server error",
+}
 PUBLIC_CALL_ERRORS = {429: AUTHENTICATED_CALL_ERRORS[429], 500: AUTHENTICATED_CALL_ERRORS[500]}
-CHANGE_ERRORS = {405: "read only"}
+CHANGE_ERRORS = {405: "read-only host"}
 BODY_ERRORS = {
-    400: "not JSON",
-    405: "read only",
-    408: "too slow",
-    413: "too large",
-    415: "not JSON",
-    422: "unusable",
+    400: "malformed JSON",
+    405: "read-only host",
+    408: "request timeout",
+    413: "request body too large",
+    415: "unsupported media type",
+    422: "invalid spec",
 }
 
 
--- a/drumgw/hosting/errors.py
+++ b/drumgw/hosting/errors.py
@@ -29,7 +29,7 @@
     """
 
     status = 500
-    title = "Fault"
+    title = "Internal server error"
 
     def __init__(self, detail: str, field_errors: Sequence[FieldError] = ()) -> None:
         super().__init__(detail)
@@ -60,7 +60,7 @@
     """The call has no token, or one that is unknown to this host."""
 
     status = 401
-    title = "No token"
+    title = "Authentication required"
 
     def __init__(self) -> None:
         super().__init__("send Authorization: Bearer with a valid token of this host")
@@ -70,14 +70,14 @@
     """The token is valid, but its role does not permit the operation on this resource."""
 
     status = 403
-    title = "Not yours"
+    title = "Permission denied"
 
 
 class ReadOnlyError(ApiError):
     """A change was requested on a host without a state folder, where it would not survive a restart."""
 
     status = 405
-    title = "Read only"
+    title = "Read-only host"
 
     def __init__(self) -> None:
         super().__init__("no state folder is set: tenants are defined by the operator's file only")
@@ -87,7 +87,7 @@
     """The limit of concurrent API calls is reached."""
 
     status = 429
-    title = "Too many calls"
+    title = "Too many concurrent calls"
 
     def __init__(self, max_calls: int) -> None:
         super().__init__(f"limit of {max_calls} concurrent API calls reached")
@@ -100,14 +100,14 @@
     """The body cannot be parsed as JSON."""
 
     status = 400
-    title = "Not JSON"
+    title = "Malformed JSON"
 
 
 class OutOfRangeError(ApiError):
     """A query parameter or header has a value or length outside its range."""
 
     status = 400
-    title = "Out of range"
+    title = "Value out of range"
 
     def __init__(self, name: str, detail: str) -> None:
         super().__init__(detail, [FieldError(name, detail)])
@@ -117,7 +117,7 @@
     """The body was not received within the time limit."""
 
     status = 408
-    title = "Too slow"
+    title = "Request timeout"
 
     def __init__(self) -> None:
         super().__init__("the request body was not received within the time limit")
@@ -127,7 +127,7 @@
     """The Content-Type is not application/json."""
 
     status = 415
-    title = "Not JSON"
+    title = "Unsupported media type"
 
     def __init__(self) -> None:
         super().__init__("the Content-Type must be application/json")
@@ -137,7 +137,7 @@
     """The body is JSON, but not a valid spec, or no gateway can be configured from it."""
 
     status = 422
-    title = "Unusable"
+    title = "Invalid spec"
 
 
 # Missing resources and conflicts with the stored state
@@ -147,31 +147,31 @@
     """There is no tenant with this name."""
 
     status = 404
-    title = "No such tenant"
+    title = "Tenant not found"
 
     def __init__(self, name: str) -> None:
-        super().__init__(f"there is no tenant {name!r}")
+        super().__init__(f"tenant {name!r} does not exist")
 
 
 class OperationNotFoundError(ApiError):
     """The long-running operation never existed, was dropped as one of the oldest, or is another tenant's."""
 
     status = 404
-    title = "No such operation"
+    title = "Operation not found"
 
 
 class InvalidTransitionError(ApiError):
     """The command is not possible in the tenant's current state."""
 
     status = 409
-    title = "Not now"
+    title = "Invalid state transition"
 
 
 class NameTakenError(ApiError):
     """A tenant with this name already exists."""
 
     status = 409
-    title = "Name taken"
+    title = "Name already in use"
 
     def __init__(self, name: str) -> None:
         detail = f"a tenant named {name!r} already exists"
@@ -182,7 +182,7 @@
     """The limit of tenants on this host is reached."""
 
     status = 409
-    title = "Full"
+    title = "Tenant limit reached"
 
     def __init__(self, max_tenants: int) -> None:
         super().__init__(f"limit of {max_tenants} tenants reached")
@@ -192,7 +192,7 @@
     """A route conflicts with one of another tenant."""
 
     status = 409
-    title = "Route taken"
+    title = "Route already in use"
 
     def __init__(self, position: int, detail: str) -> None:
         super().__init__(detail, [FieldError(f"/route/{position}", detail)])
@@ -202,17 +202,17 @@
     """A create was repeated with its idempotency key, but its tenant has been removed since."""
 
     status = 410
-    title = "Gone"
+    title = "Created tenant removed"
 
     def __init__(self, name: str) -> None:
-        super().__init__(f"the tenant that this idempotency key created has been removed: {name!r}")
+        super().__init__(f"tenant {name!r}, created with this idempotency key, was removed")
 
 
 class VersionMismatchError(ApiError):
     """If-Match does not name the tenant's current version: it changed after the caller read it."""
 
     status = 412
-    title = "Changed meanwhile"
+    title = "Version conflict"
 
     def __init__(self, name: str, version: int) -> None:
         super().__init__(f"tenant {name!r} is at version {version}")
@@ -222,7 +222,7 @@
     """An idempotency key was sent again with a different body."""
 
     status = 422
-    title = "Key used"
+    title = "Idempotency key reused"
 
     def __init__(self) -> None:
         super().__init__("this idempotency key was already used with a different body")
@@ -232,7 +232,7 @@
     """A change was sent without If-Match."""
 
     status = 428
-    title = "Version wanted"
+    title = "If-Match required"
 
     def __init__(self) -> None:
         super().__init__("If-Match must name the version that the change is based on")
--- a/drumgw/hosting/openapi.py
+++ b/drumgw/hosting/openapi.py
@@ -35,14 +35,20 @@
 
 
 PUBLISHED_SCHEMAS: dict[type[BaseModel], PublishedSchema] = {
-    AllowedSection: PublishedSchema("Allowed", "What a gateway may do."),
-    KnownEndpointSection: PublishedSchema("Worker", "An endpoint known before discovery is heard."),
-    NamedTenantSpec: PublishedSchema("Named", "A tenant as a file or a create gives it."),
+    AllowedSection: PublishedSchema(
+        "Allowed", "Limits on attempts, connections, Retry-After, counter calls and units per request."
+    ),
+    KnownEndpointSection: PublishedSchema(
+        "Worker", "An endpoint that can be used before discovery has responded."
+    ),
+    NamedTenantSpec: PublishedSchema("Named", "A spec with the tenant's name, to create a tenant."),
     PlanSection: PublishedSchema("Plan"),
     RequestClassSection: PublishedSchema("Product"),
-    RouteSection: PublishedSchema("Way", "A route: any host where it is empty, all paths where that is."),
-    RulesSection: PublishedSchema("Rules", "What must hold of endpoints that warm up or drain."),
-    TenantSpec: PublishedSchema("Spec", "What a tenant is made of."),
+    RouteSection: PublishedSchema("Way", "A route: an empty host matches any host, an empty path all paths."),
+    RulesSection: PublishedSchema(
+        "Rules", "The drain grace, the warm-up model of endpoints, and the slack for late responses."
+    ),
+    TenantSpec: PublishedSchema("Spec", "The specification of a tenant."),
 }
 BODY_TYPES: dict[BodySchema, Any] = {
     BodySchema.NAMED_SPEC: NamedTenantSpec,
