--- a/drumgw/gateway/client_connections.py
+++ b/drumgw/gateway/client_connections.py
@@ -82,13 +82,13 @@
         "socket_transport",
         "close_was_deferred",
         "_registry",
-        "_log_fault",
+        "_log_internal_error",
     )
 
     def __init__(
         self,
         registry: ConnectionRegistry,
-        log_fault: Callable[[Exception, str], None],
+        log_internal_error: Callable[[Exception, str], None],
         server: Server,
         **kwargs: Any,
     ) -> None:
@@ -99,7 +99,7 @@
         self.socket_transport: asyncio.Transport | None = None
         self.close_was_deferred = False
         self._registry = registry
-        self._log_fault = log_fault
+        self._log_internal_error = log_internal_error
 
     def enter_state(self, state: ConnectionState) -> None:
         """Changes the state; has no effect once the connection is closed."""
@@ -113,7 +113,7 @@
     def abort(self) -> None:
         """Closes the connection at once, without flushing.
 
-        Used if no response is owed. The transport is aborted because a client that does not read would
+        Used if no response is pending. The transport is aborted because a client that does not read would
         otherwise keep the connection open.
         """
         self._registry.forget(self)
@@ -183,7 +183,7 @@
         self.abort()  # the event loop cancels the handlers in its next iteration, even if reading is paused
         return True
 
-    def may_owe_response(self) -> bool:
+    def may_have_pending_response(self) -> bool:
         """Whether a complete request was read and not answered yet, or may be unread in the socket."""
         if self.state is ConnectionState.IN_FLIGHT or self._messages:
             return True
@@ -195,9 +195,10 @@
         return request._payload.is_eof() or self.defer_close_if_unread()
 
     def is_reading_body(self) -> bool:
-        """Whether a handler waits for the rest of a request's body, provided `may_owe_response` is False.
+        """Whether a handler waits for the rest of a request's body.
 
-        By itself it only tells that aiohttp is handling a request.
+        Valid only if `may_have_pending_response` is False; otherwise it only shows that aiohttp is handling a
+        request.
         """
         return self._current_request is not None
 
@@ -243,7 +244,7 @@
     def log_exception(self, *args: Any, exc_info: Any = None, **kwargs: Any) -> None:
         """Reports an error that aiohttp logs for this connection through the gateway's own log."""
         error = exc_info if isinstance(exc_info, Exception) else RuntimeError(*args)
-        self._log_fault(error, "a client connection")
+        self._log_internal_error(error, "a client connection")
 
     def _resume_transport_reading(self) -> None:
         if self.state is not ConnectionState.CLOSING:
--- a/drumgw/gateway/counter_client.py
+++ b/drumgw/gateway/counter_client.py
@@ -125,7 +125,7 @@
         except CONNECTION_ERRORS:
             self.close()
         except Exception as error:
-            self._client.log_fault(error)
+            self._client.log_internal_error(error)
             self.close()
 
     def _write(self, connection: PeerConnection, call: CounterRequest) -> None:
@@ -285,6 +285,6 @@
         target = f"/counters/{key}?by={command.amount:.12g}&expire_ms={command.ttl_ms:.0f}"
         return f"POST {target} HTTP/1.1\r\nHost: {self._address}\r\nContent-Length: 0\r\n\r\n".encode()
 
-    def log_fault(self, error: Exception) -> None:
+    def log_internal_error(self, error: Exception) -> None:
         """Logs an unexpected exception, with its traceback."""
-        self._dispatcher.log_fault(error, "a connection to the counter")
+        self._dispatcher.log_internal_error(error, "a connection to the counter")
--- a/drumgw/gateway/dispatcher.py
+++ b/drumgw/gateway/dispatcher.py
@@ -106,7 +106,7 @@
             AbortAttempt: self._abort_attempt,
             SendResponse: self._send_response,
             ScheduleDeadline: self._schedule_deadline,
-            ReportFault: self._report_fault,
+            ReportFault: self._log_engine_error,
             AddToCounter: self._add_to_counter,
             SetTimer: self._set_timer,
             LogMessage: self._log_message,
@@ -167,9 +167,9 @@
                 self.attempts.withdraw_unsent(request_id, attempt)
         self._cancel_deadline_if_finished(request_id)
 
-    def log_fault(self, error: Exception, where: str) -> None:
+    def log_internal_error(self, error: Exception, where: str) -> None:
         """Logs an unexpected exception with its traceback."""
-        logger.opt(exception=error).error("{}fault in {}: {!r}", self.log_prefix, where, error)
+        logger.opt(exception=error).error("{}internal error in {}: {!r}", self.log_prefix, where, error)
 
     def _process_mailbox(self) -> None:
         self._is_calling_lifecycle = True
@@ -179,7 +179,7 @@
                 try:
                     self._execute(entry.method(self._read_clock(), *entry.arguments))
                 except Exception as error:  # the affected request is answered at its deadline
-                    self.log_fault(error, "the request lifecycle")
+                    self.log_internal_error(error, "the request lifecycle")
         finally:
             self._is_calling_lifecycle = False
 
@@ -193,7 +193,7 @@
             try:
                 self._handlers[type(command)](command)
             except Exception as error:  # the request is answered, and the process keeps running
-                self.log_fault(error, f"executing {type(command).__name__}")
+                self.log_internal_error(error, f"executing {type(command).__name__}")
                 request_id = getattr(command, "request_id", None)
                 if request_id is not None:
                     self._mailbox.append(MailboxEntry(self.lifecycle.abandon_request, (request_id,)))
@@ -240,8 +240,8 @@
             command.delay_ms / 1000.0, self.post, self.lifecycle.timer_fired, command.timer_id
         )
 
-    def _report_fault(self, command: ReportFault) -> None:
-        self.log_fault(command.error, "the policy engine")
+    def _log_engine_error(self, command: ReportFault) -> None:
+        self.log_internal_error(command.error, "the policy engine")
 
     def _log_message(self, command: LogMessage) -> None:
         logger.info("{}{}", self.log_prefix, command.text)
--- a/drumgw/gateway/endpoint_clients.py
+++ b/drumgw/gateway/endpoint_clients.py
@@ -238,7 +238,7 @@
             has_stalled = stalled_before_ms < clock.stalled_ms
             return AttemptResult(outcome_of_error(error, exchange.written, has_stalled))
         except Exception as error:
-            self._dispatcher.log_fault(error, "a connection to an endpoint")
+            self._dispatcher.log_internal_error(error, "a connection to an endpoint")
             return AttemptResult(Outcome.BROKEN_RESPONSE if exchange.written else Outcome.UNREACHABLE)
         return read_response(response, self._reads_load_reports)
 
--- a/drumgw/gateway/http_server.py
+++ b/drumgw/gateway/http_server.py
@@ -58,7 +58,7 @@
 
     Args:
         config: The listen address, and the names and limits used to parse requests.
-        dispatcher: Receives the requests; its clock and fault log are used too.
+        dispatcher: Receives the requests; its clock is used, and it logs internal errors.
         limits: Limits on client connections; by default those of `config`.
 
     Attributes:
@@ -88,7 +88,7 @@
             lingering_time=0.0,
             tcp_keepalive=False,
         )
-        self.server.connection_factory = partial(ClientConnection, self.limits, dispatcher.log_fault)
+        self.server.connection_factory = partial(ClientConnection, self.limits, dispatcher.log_internal_error)
 
     async def bind(self) -> None:
         """Binds the listen address without listening: connections are refused until `open`.
@@ -133,7 +133,7 @@
             response = CompleteResponse(error.status, f"{error}\n".encode())
             is_bad_request = True  # the connection is closed, and further input is not read
         except Exception as error:
-            self.dispatcher.log_fault(error, "the HTTP server")
+            self.dispatcher.log_internal_error(error, "the HTTP server")
             response = CompleteResponse(500)  # not 503, as an attempt may be in flight
         # During shutdown, pipelined requests that were already read are answered first.
         if is_bad_request or self.is_shutting_down and not client._messages:
@@ -248,7 +248,7 @@
             assert isinstance(client, ClientConnection)
             if client.state is ConnectionState.CLOSING:
                 continue
-            if client.may_owe_response():
+            if client.may_have_pending_response():
                 pending_count += 1
             elif client.is_reading_body():
                 client.abort()
--- a/drumgw/gateway/request_lifecycle.py
+++ b/drumgw/gateway/request_lifecycle.py
@@ -230,7 +230,7 @@
             try:
                 actions = self.policy.handle(now, event)
             except Exception as error:  # a bug in the engine must not terminate the process
-                self._recover_from_fault(now, event, error)
+                self._recover_from_engine_error(now, event, error)
                 continue
             for action in actions:
                 self._apply(now, action)
@@ -343,7 +343,7 @@
 
     # Internal errors
 
-    def _recover_from_fault(self, now: float, event: Event, error: Exception) -> None:
+    def _recover_from_engine_error(self, now: float, event: Event, error: Exception) -> None:
         """Answers the request whose event the engine failed to handle.
 
         Other requests are unaffected; at worst they end at their deadline.
--- a/drumgw/hosting/http_server.py
+++ b/drumgw/hosting/http_server.py
@@ -45,7 +45,7 @@
         self.clock = clock
         self.loop = clock.loop
 
-    def log_fault(self, error: Exception, where: str) -> None:
+    def log_internal_error(self, error: Exception, where: str) -> None:
         """Logs an internal error with its traceback."""
         logger.opt(exception=error).error("internal error in {}: {!r}", where, error)
 
