--- a/drumgw/gateway/http_server.py
+++ b/drumgw/gateway/http_server.py
@@ -102,7 +102,7 @@
                 self.server, host, port, backlog=LISTEN_BACKLOG, start_serving=False
             )
         except OSError as error:
-            raise ConfigError(f"cannot listen at {host}:{port}: {error}") from error
+            raise ConfigError(f"cannot listen on {host}:{port}: {error}") from error
 
     async def open(self) -> tuple[str, int]:
         """Starts accepting connections and reports readiness.
@@ -146,7 +146,7 @@
         """Answers a request other than a health check.
 
         Raises:
-            BadRequestError: The request is refused and not forwarded.
+            BadRequestError: The request is rejected and not forwarded.
         """
         service = ServingService(self.config, self.dispatcher, self.open_request_ids)
         return await self.forward(request, target, target, client, service)
@@ -170,7 +170,7 @@
             service: The service that the request is for.
 
         Raises:
-            BadRequestError: The request is refused and not forwarded.
+            BadRequestError: The request is rejected and not forwarded.
         """
         config, dispatcher, open_request_ids = service
         headers = request.headers
--- a/drumgw/hosting/tenant_registry.py
+++ b/drumgw/hosting/tenant_registry.py
@@ -171,7 +171,7 @@
         """Returns an operation; raises OperationNotFoundError."""
         operation = self.operations.get(operation_id)
         if operation is None:
-            raise OperationNotFoundError(f"there is no operation {operation_id!r}, or it was long ago")
+            raise OperationNotFoundError(f"operation {operation_id!r} does not exist or is no longer kept")
         return operation
 
     # Changes
