--- a/drumgw/cli/gateway_commands.py
+++ b/drumgw/cli/gateway_commands.py
@@ -64,7 +64,7 @@
         return
     gateway = file.gateway
     click.echo(
-        f"{config}: usable: {gateway.name} at {gateway.listen}, {len(file.product)} request class(es), "
+        f"{config}: valid: {gateway.name} at {gateway.listen}, {len(file.product)} request class(es), "
         f"{len(file.plan)} plan(s), {gateway.gatekeepers} gateway(s)"
     )
     if gateway.counter is not None:
--- a/drumgw/cli/host_runner.py
+++ b/drumgw/cli/host_runner.py
@@ -23,7 +23,7 @@
     """Returns a one-line summary of a valid file; raises FileError or ConfigError for an invalid one."""
     file = read_checked_host_file(path)
     source = f"stored in {file.host.state}" if file.host.state else "from this file, read-only in the API"
-    return f"{path}: usable: {len(file.tenant)} tenant(s), {len(file.token)} token(s), tenants {source}"
+    return f"{path}: valid: {len(file.tenant)} tenant(s), {len(file.token)} token(s), tenants {source}"
 
 
 def read_checked_host_file(path: str) -> HostFile:
--- a/drumgw/config/gateway_file.py
+++ b/drumgw/config/gateway_file.py
@@ -58,7 +58,7 @@
         """Raises ValueError if the zone is not listed or the ordinal is not below the number of gateways."""
         require_unique(self.zones, "zones")
         if self.zone not in self.zones:
-            raise ValueError(f"zone {self.zone!r} is none of zones")
+            raise ValueError(f"zone {self.zone!r} is not listed in zones")
         if self.ordinal >= self.gatekeepers:
             raise ValueError(f"ordinal {self.ordinal} must be below gatekeepers, which is {self.gatekeepers}")
         return self
--- a/drumgw/config/host_file.py
+++ b/drumgw/config/host_file.py
@@ -80,7 +80,7 @@
         require_unique((endpoint.id for endpoint in self.worker), "worker")
         require_unique((f"{route.host}{route.path}" for route in self.route), "route")
         if self.zone not in self.zones:
-            raise ValueError(f"zone {self.zone!r} is none of zones")
+            raise ValueError(f"zone {self.zone!r} is not listed in zones")
         return self
 
 
--- a/drumgw/config/sections.py
+++ b/drumgw/config/sections.py
@@ -61,7 +61,7 @@
     def check_consistency(self) -> RequestClassSection:
         """Raises ValueError if the latency objective exceeds the deadline."""
         if self.sla_ms > self.expiry_ms:
-            raise ValueError(f"sla_ms {self.sla_ms:g} is beyond expiry_ms {self.expiry_ms:g}")
+            raise ValueError(f"sla_ms {self.sla_ms:g} exceeds expiry_ms {self.expiry_ms:g}")
         return self
 
 
