--- a/drumgw/cli/gateway_commands.py
+++ b/drumgw/cli/gateway_commands.py
@@ -17,7 +17,7 @@
 
 @click.command()
 @click.argument("config", type=click.Path(dir_okay=False))
-@click.option("--json-logs", is_flag=True, help="Write log lines as JSON objects, whatever the file says.")
+@click.option("--json-logs", is_flag=True, help="Write log lines as JSON objects, regardless of CONFIG.")
 def serve(config: str, json_logs: bool) -> None:
     """Run one gateway from the configuration file CONFIG. SIGTERM stops it, SIGHUP reloads CONFIG."""
     from drumgw.cli.gateway_runner import run_gateway
--- a/drumgw/cli/gateway_runner.py
+++ b/drumgw/cli/gateway_runner.py
@@ -18,7 +18,7 @@
 
     Args:
         path: the configuration file; read again at SIGHUP.
-        json_logs: whether log lines are JSON objects, whatever the file says.
+        json_logs: whether log lines are JSON objects, regardless of the file's setting.
 
     Raises:
         FileError, ConfigError: the file cannot be used.
--- a/drumgw/cli/host_commands.py
+++ b/drumgw/cli/host_commands.py
@@ -27,7 +27,7 @@
 
 @click.command()
 def token() -> None:
-    """Create an administrator's token. It is shown only now; its hash belongs in the host's file."""
+    """Create an administrator's token. It is shown only now; put its hash in the host file."""
     from drumgw.hosting.authentication import generate_token
 
     text, digest = generate_token()
--- a/drumgw/cli/logging_setup.py
+++ b/drumgw/cli/logging_setup.py
@@ -16,7 +16,7 @@
 
     Args:
         log: the section `[log]` of the file.
-        as_json: whether lines are JSON objects, whatever the file says.
+        as_json: whether lines are JSON objects, regardless of the file's setting.
     """
     logger.remove()
     if as_json or log.form == "json":
--- a/drumgw/hosting/admin_api.py
+++ b/drumgw/hosting/admin_api.py
@@ -40,7 +40,7 @@
     """The listener of the API and its application.
 
     Attributes:
-        authenticator: checks the callers' tokens; replaced when the operator's file is read again.
+        authenticator: checks the callers' tokens; replaced when the host file is read again.
         open_call_count: the number of calls in progress, at most MAX_CONCURRENT_CALLS.
         app: the aiohttp application with its routes.
     """
--- a/drumgw/hosting/authentication.py
+++ b/drumgw/hosting/authentication.py
@@ -1,6 +1,6 @@
 """Authentication and authorization of the administration API. No I/O.
 
-Only the SHA-256 of each token is kept: the operator's file, the log and the host's long-lived state never
+Only the SHA-256 of each token is kept: the host file, the log and the host's long-lived state never
 contain a token itself.
 """
 
@@ -17,7 +17,7 @@
 
 
 class Role(Enum):
-    """What the holder of a token administers; the value is the role's name in the operator's file."""
+    """What the holder of a token administers; the value is the role's name in the host file."""
 
     OPERATOR = "operator"  # the host and all its tenants
     TENANT = "tenant"  # one tenant
--- a/drumgw/hosting/errors.py
+++ b/drumgw/hosting/errors.py
@@ -80,7 +80,7 @@
     title = "Read-only host"
 
     def __init__(self) -> None:
-        super().__init__("no state folder is set: tenants are defined by the operator's file only")
+        super().__init__("no state folder is set: tenants are defined by the host file only")
 
 
 class TooManyCallsError(ApiError):
--- a/tests/test_hosting_admin.py
+++ b/tests/test_hosting_admin.py
@@ -195,7 +195,7 @@
         await self.call("DELETE", "/v1/tenants/t1", If_Match='"1"')
         while first.services.closing or first.services.awaiting_drain:
             await asyncio.sleep(POLL_S)
-        # The operator's file defines tenants only where no state is stored, so t3 is ignored.
+        # The host file defines tenants only where no state is stored, so t3 is ignored.
         second = await self.start_host(await self.tenant("t3"), state=folder)
         self.assertEqual(list(second.services.services), ["t2"])
         self.assertEqual(await self.send("t2"), (200, b"t2"))
@@ -254,7 +254,7 @@
     async def test_without_a_state_folder_changes_are_rejected(self) -> None:
         await self.start_host(await self.tenant("t1"), state=None)
         response = await self.call("DELETE", "/v1/tenants/t1", If_Match='"1"')
-        self.assertEqual((response.status, "operator's file" in response.body["detail"]), (405, True))
+        self.assertEqual((response.status, "the host file only" in response.body["detail"]), (405, True))
         self.assertEqual((await self.call("GET", "/v1/tenants/t1")).status, 200)
 
 
