--- a/drumgw/gateway/discovery_log.py
+++ b/drumgw/gateway/discovery_log.py
@@ -19,11 +19,11 @@
         self.is_connected = True
         """Whether discovery answers, as last logged."""
         self._prefix = prefix
-        self._unreadable_count = 0
+        self._malformed_count = 0
         self._is_behind = False
 
     def log_change(self, change: MembershipChange, origin: str, is_behind: bool) -> None:
-        """Logs changes of the endpoint list, of its unreadable rows, and of the agent's lag.
+        """Logs changes of the endpoint list, of its malformed rows, and of the agent's lag.
 
         Args:
             change: the changes.
@@ -33,8 +33,8 @@
         for status, names in change.changes_by_status.items():
             endpoints = ", ".join(f"{endpoint_id_of(name)} ({name})" for name in names)
             logger.info("{}{}: {} now {}: {}", self._prefix, origin, len(names), status.value, endpoints)
-        if change.unreadable_count != self._unreadable_count:
-            self._unreadable_count = change.unreadable_count
+        if change.unreadable_count != self._malformed_count:
+            self._malformed_count = change.unreadable_count
             logger.warning(
                 "{}{} rows of the endpoint list are malformed; their endpoints keep their last state",
                 self._prefix,
@@ -77,7 +77,7 @@
 
         Args:
             silent_s: time since the start, in seconds.
-            consequence: what the gateway does meanwhile.
+            consequence: what the gateway does until discovery answers.
         """
         logger.warning(
             "{}discovery did not answer within {:.0f} s of the start: {}", self._prefix, silent_s, consequence
--- a/drumgw/gateway/endpoint_list_reader.py
+++ b/drumgw/gateway/endpoint_list_reader.py
@@ -31,7 +31,7 @@
 
 
 class MalformedEndpointListError(ValueError):
-    """The JSON is not a usable endpoint list; the message is one line."""
+    """The JSON is not a valid endpoint list; the message is one line."""
 
 
 class EndpointRow(NamedTuple):
@@ -42,7 +42,7 @@
     """host:port; empty if the endpoint is draining or removed."""
     started_at_ms: float
     """When the endpoint process that the row refers to was started. Infinite if the row of a draining or
-    removed endpoint does not say, so that it takes precedence over other rows of the endpoint."""
+    removed endpoint does not have it, so that the row takes precedence over other rows of the endpoint."""
 
 
 class EndpointList(NamedTuple):
--- a/drumgw/gateway/request_parsing.py
+++ b/drumgw/gateway/request_parsing.py
@@ -27,7 +27,7 @@
 
 
 class BadRequestError(Exception):
-    """A request that is refused before it reaches the policy engine.
+    """A request that is rejected before it reaches the policy engine.
 
     Attributes:
         status: The 4xx status of the response; the error's text is the response body, one line.
@@ -99,14 +99,14 @@
     if (method == "GET") != is_idempotent:
         raise BadRequestError(405, "not this request class's method")
     if not REQUEST_ID_PATTERN.fullmatch(headers.get(http_headers.REQUEST_ID, "")):
-        raise BadRequestError(400, "Request-Id is missing or unusable")
+        raise BadRequestError(400, "Request-Id is missing or invalid")
     plan = _read_plan(names, headers)
     try:
         time_left_ms = _read_duration_ms(headers[http_headers.REQUEST_TIMEOUT])
         quota_info = _read_quota_info(headers[http_headers.QUOTA_INFO])
         customer = _read_customer(query)
     except (KeyError, ValueError) as error:
-        raise BadRequestError(400, f"missing or unusable: {error}") from error
+        raise BadRequestError(400, f"missing or invalid: {error}") from error
     if time_left_ms <= 0 or not quota_info.is_in_range(settings):
         raise BadRequestError(400, "Request-Timeout or Quota-Info is out of its range")
     return RequestReceived(
