--- a/drumgw/gateway/connection_limits.py
+++ b/drumgw/gateway/connection_limits.py
@@ -38,7 +38,7 @@
 
     Attributes:
         bounds: The configured limits.
-        clock: The clock that states are timed with; it also tells whether this process was stalled.
+        clock: The clock that states are timed with; it also detects stalls of this process.
         connections: The open connections by state, those longest in the state first.
     """
 
@@ -156,7 +156,7 @@
 
         Idle connections are closed only as far as the connections that have sent a request exceed half of
         `max_requesting_clients`. After a stall of this process nothing is closed: bytes that clients sent
-        meanwhile may still be unread.
+        during the stall may still be unread.
         """
         self.clock.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         timed_out_before_ms = self.clock.now() - CLIENT_IDLE_TIMEOUT_MS
--- a/drumgw/gateway/connection_pool.py
+++ b/drumgw/gateway/connection_pool.py
@@ -1,7 +1,8 @@
 """A pool of keep-alive connections to one kind of peer; each carries one exchange at a time.
 
-Built on aiohttp's connector and parser, without `aiohttp.ClientSession`. The session tells neither whether a
-request was written nor when the connection of a cancelled request is closed, and it may send a request twice.
+Built on aiohttp's connector and parser, without `aiohttp.ClientSession`. The session reports neither whether
+a request was written nor when the connection of a cancelled request is closed, and it may send a request
+twice.
 The pool writes the given bytes unchanged, at most once.
 """
 
@@ -107,7 +108,7 @@
     async def send(self, peer: aiohttp.ClientRequest, request: bytes, exchange: Exchange) -> RawResponse:
         """Sends a request at most once and waits for its response.
 
-        If it raises or is cancelled, the connection is closed and `exchange.written` tells whether the peer
+        If it raises or is cancelled, the connection is closed and `exchange.written` shows whether the peer
         may have processed the request.
 
         Raises:
--- a/drumgw/gateway/counter_client.py
+++ b/drumgw/gateway/counter_client.py
@@ -114,7 +114,7 @@
             self._client.end(call, call.outcome_without_reply, 0.0)
 
     async def _connect(self) -> None:
-        """Connects and writes the calls that were made meanwhile."""
+        """Connects, then writes the calls that were made before the connection was open."""
         try:
             self._exchange.connection, connection = await self._client.connect()
             self._connection = connection
--- a/drumgw/gateway/discovery.py
+++ b/drumgw/gateway/discovery.py
@@ -99,7 +99,7 @@
     Args:
         config: has the address and the kind of discovery.
         dispatcher: passes updates of the list to the policy engine.
-        endpoint_clients: are told the endpoints' addresses, drains and removals.
+        endpoint_clients: receive the endpoints' addresses, drains and removals.
 
     Raises:
         ConfigError: the configured list of known endpoints is malformed.
--- a/drumgw/gateway/process.py
+++ b/drumgw/gateway/process.py
@@ -151,7 +151,7 @@
 
 
 async def _open_unless_stopped(gateway: GatewayProcess) -> bool:
-    """Opens the gateway. Returns False, after closing it again, if SIGTERM arrives meanwhile."""
+    """Opens the gateway. Returns False, after closing it again, if SIGTERM arrives before it is open."""
     opening = asyncio.create_task(gateway.open())
     stopping = asyncio.create_task(gateway.stop_requested.wait())
     await asyncio.wait((opening, stopping), return_when=asyncio.FIRST_COMPLETED)
--- a/drumgw/gateway/request_lifecycle.py
+++ b/drumgw/gateway/request_lifecycle.py
@@ -68,7 +68,7 @@
 
     endpoint_id: int
     started_at_ms: float
-    """On a clock that stands still while this process is stalled."""
+    """On a clock that does not advance while this process is stalled."""
 
 
 @dataclass(slots=True)
--- a/drumgw/policy/attempt_tracking.py
+++ b/drumgw/policy/attempt_tracking.py
@@ -114,7 +114,7 @@
 
         Such an endpoint reports no failures and looks idle, while its requests wait until their deadline. An
         overdue attempt therefore counts as a failure, and is cancelled if its request can be sent elsewhere.
-        While answers are late in general, the endpoint is not at fault and more attempts would only add load.
+        While answers are late in general, the endpoint is not the cause, and more attempts only add load.
         """
         attempt.overdue_at_ms = NEVER_MS
         self.limit.record_overdue()
--- a/drumgw/policy/counter_sync.py
+++ b/drumgw/policy/counter_sync.py
@@ -120,9 +120,9 @@
         """Sets an account's usage from a total, unless the total is implausible.
 
         A counter may lose units (its total fell by more than the refill) or accumulate too many (it shows
-        more usage than a quota can hold). In both cases the account keeps to what this gateway knows, so
-        that neither the quota nor the customer suffers, and the total is repaired. Usage is never set below
-        this gateway's own usage, whatever the total says.
+        more usage than a quota can hold). In both cases the account uses this gateway's own figures, so that
+        the quota is neither exceeded nor applied too strictly, and the total is repaired. Usage is never set
+        below this gateway's own usage, regardless of the total.
 
         Args:
             call: the call that the reply belongs to.
--- a/drumgw/policy/request_flow.py
+++ b/drumgw/policy/request_flow.py
@@ -82,7 +82,7 @@
             self.decide(request)
 
     def resume(self, request: PendingRequest) -> None:
-        """Decides a request that waited for the counter's total, unless it has ended meanwhile."""
+        """Decides a request that waited for the counter's total, unless it has ended since."""
         if request.state is RequestState.NEW and request.request_id in self.pending:
             request.retry_after_ms = self.admission.quota_wait_ms(request)
             self.decide(request)
--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -42,7 +42,7 @@
 
 
 def plan(**fields: Any) -> PlanSection:
-    """Returns a plan section of an operator's file, with the given fields replaced."""
+    """Returns a plan section of a configuration file, with the given fields replaced."""
     return PlanSection(**{"name": "p", "units_per_s": 2.0, "burst_units": 12.0, **fields})
 
 
@@ -53,7 +53,7 @@
 
 
 class LostCounterTest(unittest.TestCase):
-    """The counter is lost after some time, and gateways restart meanwhile.
+    """The counter becomes unavailable after some time, and gateways restart during the outage.
 
     Each gateway then decides by its own account. Together they must not send more than the declared bound.
     """
