--- a/drumgw/gateway/membership.py
+++ b/drumgw/gateway/membership.py
@@ -4,15 +4,15 @@
 out of order, or sent by an agent that was restarted or replaced. The rule ensures that no request is
 forwarded to an endpoint that is draining or removed according to the agent:
 
-1. Start. What the agent has counts as known to the gateway from the start of the process, so the configured
-   list must be taken as out of date. Nothing is forwarded before the agent has answered, and no clients are
-   accepted. After MAX_START_WAIT_MS without an answer the gateway becomes ready nevertheless, and rejects all
-   requests with Retry-After. Only after KNOWN_LIST_AFTER_MS without an answer is the configured list used,
-   until the agent answers.
+1. Start. The protocol counts the agent's list as known to the gateway from the start of the process, so the
+   configured list must be taken as out of date. Nothing is forwarded before the agent has answered, and no
+   clients are accepted. After MAX_START_WAIT_MS without an answer the gateway becomes ready nevertheless, and
+   rejects all requests with Retry-After. Only after KNOWN_LIST_AFTER_MS without an answer is the configured
+   list used, until the agent answers.
 2. Order. Updates are applied in the order of their generations. From an older update, only departures (drains
    and removals, including endpoints that a complete list omits) and later starts of known endpoints are
    applied; anything else could revert a newer update. If the agent stays behind for RENUMBERED_AFTER_MS, it
-   has restarted its numbering.
+   is assumed to have restarted its numbering.
 3. Malformed rows change nothing (`endpoint_list_reader.py`).
 4. Outages. The last list stays in use while the agent is silent, and also when a reload of the configuration
    switches to another agent.
--- a/drumgw/policy/engine.py
+++ b/drumgw/policy/engine.py
@@ -126,8 +126,8 @@
     def _record_stall(self, now_ms: float) -> None:
         """Handles a time in which this process did not run.
 
-        It is excluded from the age of attempts, as endpoints would otherwise be blamed for it, and requests
-        that could not outlive another such stall no longer wait for the counter.
+        It is excluded from the age of attempts, which would otherwise count as failures of their endpoints.
+        Requests whose deadline would pass in another stall of this length no longer wait for the counter.
         """
         stall_ms = now_ms - self.context.now_ms
         self.context.stall_ended_at_ms = now_ms
--- a/drumgw/policy/retry.py
+++ b/drumgw/policy/retry.py
@@ -17,7 +17,7 @@
 DEFAULT_RETRY_AFTER_MS = 1000.0
 """Retry-After of requests that failed for other reasons than quota or load."""
 MAX_RETRY_AFTER_JITTER = 1.2
-"""Maximum factor of the Retry-After jitter, so that clients rejected together return at different times."""
+"""Maximum factor of the Retry-After jitter, so that clients rejected together retry at different times."""
 RETRY_AFTER_WINDOW_FRACTION = 0.5
 """Upper limit of Retry-After as a fraction of the time left in the idempotency window."""
 MIN_WINDOW_LEFT_MS = 1.0
