--- a/drumgw/testbed/logged_events.py
+++ b/drumgw/testbed/logged_events.py
@@ -1,7 +1,8 @@
-"""What the testbed's emulated parties observe, as typed events.
+"""Typed events of a run, as observed by the testbed's emulated clients, endpoints and other components.
 
-The event log holds one event a line. This module is the edge to its file: `EVENT_NAMES` and `FIELD_NAMES`
-map the file's names, and the values of the enums are the file's. Times are milliseconds of Unix time.
+The event log file holds one event per line. Its names are defined here only: `EVENT_NAMES` and `FIELD_NAMES`
+map event types and fields to their names in the file, and enum values are written as they are. Times are in
+milliseconds of Unix time.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class EndpointOutcome(StrEnum):
-    """How an endpoint ended an attempt."""
+    """How an attempt ended at an endpoint."""
 
     SUCCEEDED = "settled"
     FAILED = "error"
@@ -23,7 +24,7 @@
 
 
 class EndpointState(StrEnum):
-    """What happened to an endpoint's process."""
+    """A state change of an endpoint's process."""
 
     STARTED = "starts"
     DRAINING = "drains"
@@ -32,7 +33,7 @@
 
 
 class Lifecycle(StrEnum):
-    """What the endpoint list says of an endpoint."""
+    """An endpoint's lifecycle state on the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -40,7 +41,7 @@
 
 
 class GatewayState(StrEnum):
-    """What happened to a gateway's process."""
+    """A state change of a gateway's process."""
 
     STARTED = "starts"
     STOPPING = "told to end"
@@ -52,7 +53,7 @@
 
 
 class ClockKind(StrEnum):
-    """What a scenario was played on."""
+    """What a scenario ran on: the virtual clock, or real sockets and real time."""
 
     VIRTUAL = "virtual"
     SOCKETS = "sockets"
@@ -63,23 +64,23 @@
 
 @dataclass(slots=True)
 class LoggedEvent:
-    """Something that was observed at a time."""
+    """Base class of all events: an observation and its time."""
 
     time_ms: float
 
     def __post_init__(self) -> None:
-        """Keeps as many digits as the file has, so that a run and its file give the same figures."""
+        """Rounds the time to the precision of the file, so that a run and its file yield the same figures."""
         self.time_ms = round(self.time_ms, TIME_DIGITS)
 
 
 @dataclass(slots=True)
 class RunStarted(LoggedEvent):
-    """From now on clients send and faults happen."""
+    """The load and the schedule of faults start."""
 
 
 @dataclass(slots=True)
 class RunEnded(LoggedEvent):
-    """The last event: a log without it was cut off."""
+    """The last event of a complete log; a log without it is truncated."""
 
     sent_count: int
     sent_late_count: int
@@ -87,14 +88,14 @@
 
 @dataclass(slots=True)
 class CounterSummary(LoggedEvent):
-    """Calls to the shared counter in the whole run."""
+    """Total number of calls to the shared counter, logged at the end of the run."""
 
     call_count: int
 
 
 @dataclass(slots=True)
 class FaultStarted(LoggedEvent):
-    """A fault of the scenario struck; `number` is its position there, from 0."""
+    """A fault of the scenario was injected; `number` is its index in the scenario, from 0."""
 
     number: int
     kind: FaultKind
@@ -107,7 +108,7 @@
 
 @dataclass(slots=True)
 class FaultEnded(LoggedEvent):
-    """A fault of the scenario was undone."""
+    """A fault of the scenario was reverted."""
 
     number: int
     kind: FaultKind
@@ -115,14 +116,14 @@
 
 @dataclass(slots=True)
 class SentLate(LoggedEvent):
-    """The testbed itself was too slow: a request went out later than intended."""
+    """The testbed could not keep up with the load: a request was sent later than intended."""
 
     late_by_ms: float
 
 
 @dataclass(slots=True)
 class RequestCreated(LoggedEvent):
-    """A client wants a request answered."""
+    """A client has a new request, which may take several attempts."""
 
     request: int
     request_class: str
@@ -133,7 +134,7 @@
 
 @dataclass(slots=True)
 class AttemptSent(LoggedEvent):
-    """A client sent its request to a gateway, for the first time or as a retry."""
+    """A client sent an attempt of its request to a gateway: the first one or a retry."""
 
     attempt_id: str
     request: int
@@ -152,15 +153,15 @@
     attempt_id: str
     status: int
     made_for: str
-    """The attempt that an endpoint made the response for, as its body says."""
+    """Id of the attempt that the endpoint answered, as given in the response body."""
     retry_after_ms: float | None = None
     is_duplicate: bool | None = None
-    """True where the client had an answer, or had given up, before."""
+    """True if the client already had a response or had given up; otherwise None."""
 
 
 @dataclass(slots=True)
 class ClientEvent(LoggedEvent):
-    """The end of a client's attempt that has no response."""
+    """Base class of events that end a client's attempt without a response."""
 
     attempt_id: str
 
@@ -172,34 +173,34 @@
 
 @dataclass(slots=True)
 class ClientGaveUp(ClientEvent):
-    """The client waited beyond its deadline and was not answered."""
+    """The client stopped waiting some time after its deadline, without a response."""
 
 
 @dataclass(slots=True)
 class ConnectionClosed(ClientEvent):
-    """The gateway's connection ended without a complete response."""
+    """The connection to the gateway was closed before a complete response."""
 
 
 @dataclass(slots=True)
 class ConnectFailed(ClientEvent):
-    """No connection came up: the gateway never had the request."""
+    """The client could not connect, so the gateway never received the request."""
 
 
 @dataclass(slots=True)
 class EndpointReceived(LoggedEvent):
-    """An attempt's last byte reached an endpoint."""
+    """An endpoint received an attempt completely."""
 
     attempt_id: str
     receipt: int
-    """Number of this sending, over the whole run."""
+    """Number of this forwarded attempt, unique within the run."""
     endpoint: str
     gateway: int
     first_byte_ms: float
-    """When its first byte left the gateway (virtual clock), or reached the endpoint (sockets)."""
+    """When the first byte left the gateway (virtual clock) or reached the endpoint (sockets)."""
     work_ms: float
 
     def __post_init__(self) -> None:
-        """Keeps as many digits as the file has."""
+        """Rounds all times to the precision of the file."""
         self.time_ms = round(self.time_ms, TIME_DIGITS)
         self.first_byte_ms = round(self.first_byte_ms, TIME_DIGITS)
         self.work_ms = round(self.work_ms, TIME_DIGITS)
@@ -207,7 +208,7 @@
 
 @dataclass(slots=True)
 class RequestExecuted(LoggedEvent):
-    """An endpoint ran a request with an idempotency key, in place of recalling its result."""
+    """An endpoint executed a request with an idempotency key that it had no stored result for."""
 
     attempt_id: str
     idempotency_key: str
@@ -216,7 +217,7 @@
 
 @dataclass(slots=True)
 class ResponseLost(LoggedEvent):
-    """A fault: the attempt ran and its response was never sent."""
+    """An injected fault suppressed the response of an attempt that had run."""
 
     attempt_id: str
     receipt: int
@@ -224,7 +225,7 @@
 
 @dataclass(slots=True)
 class EndpointFinished(LoggedEvent):
-    """An endpoint ended an attempt."""
+    """An attempt ended at an endpoint."""
 
     attempt_id: str
     receipt: int
@@ -234,7 +235,7 @@
 
 @dataclass(slots=True)
 class AttemptAbandoned(LoggedEvent):
-    """The gateway closed the connection of an attempt that had not ended."""
+    """The gateway closed the connection before the attempt had ended at the endpoint."""
 
     attempt_id: str
     receipt: int
@@ -242,7 +243,7 @@
 
 @dataclass(slots=True)
 class EndpointChanged(LoggedEvent):
-    """An endpoint started, drains, or went down. The fields from `zone` on belong to a start."""
+    """An endpoint changed its state. The fields from `zone` on are set for `STARTED` only."""
 
     endpoint: str
     state: EndpointState
@@ -255,7 +256,7 @@
 
 @dataclass(slots=True)
 class EndpointAnnounced(LoggedEvent):
-    """A gateway's discovery agent has this word of an endpoint; from now on it binds the gateway."""
+    """A gateway's discovery agent learned an endpoint's state; the gateway must act on it from now on."""
 
     gateway: int
     endpoint: str
@@ -265,7 +266,7 @@
 
 @dataclass(slots=True)
 class GatewayChanged(LoggedEvent):
-    """A gateway's process started, ended or stands still."""
+    """A gateway's process changed its state."""
 
     gateway: int
     state: GatewayState
@@ -314,7 +315,7 @@
     EngineFailed: "fault",
     GatewayLogged: "says",
 }
-"""The file's name of each event, under the key "what"."""
+"""Name of each event type in the file, the value of the key "what"."""
 
 FIELD_NAMES: dict[str, str] = {
     "time_ms": "t",
@@ -344,4 +345,4 @@
     "exit_code": "code",
     "duration_ms": "ms",
 }
-"""The file's name of each field; the others have the same name there."""
+"""Names of fields in the file; a field that is not listed keeps its name."""
