--- a/drumgw/testbed/event_log.py
+++ b/drumgw/testbed/event_log.py
@@ -1,6 +1,6 @@
-"""The event log of a run: everything that oracle and reports go by, in memory and in a file of JSON lines.
+"""The event log of a run, in memory and as a file of JSON lines; oracle and reports have no other input.
 
-The first line is the run's header; each further line is one event, in the order of their times.
+The first line is the header of the run. Each following line is one event, in chronological order.
 """
 
 from __future__ import annotations
@@ -19,34 +19,34 @@
 
 
 class EventLogError(ValueError):
-    """A file that is no event log, or one of another format; the text is one line."""
+    """A file is not an event log, or has another format version. The message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunHeader:
-    """What a run was: the scenario's name, the seed and the kind of clock."""
+    """Identifies a run: the scenario's name, the seed and the kind of clock."""
 
     scenario: str | None = None
     seed: int | None = None
     clock: ClockKind | None = None
 
     def to_row(self) -> Row:
-        """The file's first line."""
+        """Returns the header as the first line of the file, under the file's names."""
         return {"form": FORMAT_VERSION, "day": self.scenario, "seed": self.seed, "clock": self.clock}
 
     @classmethod
     def from_row(cls, row: Row) -> RunHeader:
-        """Reads the file's first line.
+        """Parses the first line of the file.
 
         Raises:
-            ValueError: where the clock is unknown.
+            ValueError: if the clock is unknown.
         """
         clock = row.get("clock")
         return cls(row.get("day"), row.get("seed"), ClockKind(clock) if clock is not None else None)
 
 
 class EventLog:
-    """Events in the order of their times, also written to a file if there is one."""
+    """Events in chronological order, also written to a file if one is given."""
 
     def __init__(self, header: RunHeader, file: TextIO | None = None) -> None:
         self.header = header
@@ -55,13 +55,13 @@
         self._write(header.to_row())
 
     def add(self, event: LoggedEvent) -> None:
-        """Appends an event."""
+        """Appends an event and writes it to the file, if there is one."""
         self.events.append(event)
         if self._file is not None:
             self._write(event_to_row(event))
 
     def lines(self) -> Iterator[str]:
-        """The lines of the file, header first."""
+        """Yields the lines of the file, the header first."""
         yield _to_line(self.header.to_row())
         for event in self.events:
             yield _to_line(event_to_row(event))
@@ -72,7 +72,7 @@
 
 
 class _EventFormat:
-    """How one type of event is written and read."""
+    """Serializes and parses events of one type."""
 
     def __init__(self, event_type: type[LoggedEvent], name: str) -> None:
         self.name = name
@@ -104,25 +104,25 @@
 
 
 def event_to_row(event: LoggedEvent) -> Row:
-    """An event under the file's names; fields that are None are left out."""
+    """Returns an event under the file's names, without the fields that are None."""
     return _FORMAT_BY_TYPE[type(event)].to_row(event)
 
 
 def event_from_row(row: Row) -> LoggedEvent | None:
-    """An event from the file's names; None for a kind that this version does not know.
+    """Parses an event; returns None for an event type that this version does not know.
 
     Raises:
-        KeyError, TypeError, ValueError: where a value is unknown or a field is missing.
+        KeyError, TypeError, ValueError: if a value is unknown or a field is missing.
     """
     event_format = _FORMAT_BY_NAME.get(row[EVENT_KEY])
     return event_format.from_row(row) if event_format is not None else None
 
 
 def read_event_log(path: str) -> EventLog:
-    """Reads the log of a run, complete or cut off.
+    """Reads the event log of a run. A log without its last events is read as far as it goes.
 
     Raises:
-        EventLogError: where the file cannot be read or is no event log of this format.
+        EventLogError: if the file cannot be read or is not an event log of this format version.
     """
     try:
         with open(path, encoding="utf-8") as file:
