--- a/drumgw/testbed/statuses.py
+++ b/drumgw/testbed/statuses.py
@@ -1,12 +1,12 @@
-"""HTTP statuses of the responses that gateways and emulated parties send."""
+"""HTTP statuses of responses from gateways and from emulated endpoints."""
 
 STATUS_SUCCEEDED = 200
 STATUS_BAD_REQUEST = 400
 STATUS_UNKNOWN_REQUEST = 404
-"""An endpoint was sent what no client had sent."""
+"""An endpoint received a request that no client had sent."""
 STATUS_FAILED = 500
 """The request failed and may have run."""
 STATUS_REJECTED = 503
-"""Nothing ran: sending again is harmless."""
+"""The request did not run, so that a retry is safe."""
 REJECTION_STATUSES = (429, STATUS_REJECTED)
-"""All statuses that the protocol allows for it; this project's gateways send the second only."""
+"""All statuses that the protocol allows for a rejection; this project's gateways send 503 only."""
