--- a/drumgw/testbed/oracle.py
+++ b/drumgw/testbed/oracle.py
@@ -1,8 +1,8 @@
-"""The oracle: judges a run by the rules of the service, from its event log alone.
+"""The test oracle: checks a run against the rules of the service, using nothing but its event log.
 
 It shares no code with the gateway. Each rule is a function of the observations; each violation names the
-rule, the time, the attempt and the gateways it touched. What the testbed did itself (a gateway killed, a
-client that left) is no violation.
+rule, the time, the attempt and the gateways involved. Effects of what the testbed did itself (it killed a
+gateway, a client disconnected early) are not violations.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def find_violations(event_log: EventLog, scenario: Scenario) -> list[Violation]:
-    """All violations of a run, in the order of their times."""
+    """Returns all violations of a run in chronological order."""
     observations = Observations(event_log, scenario)
     found = [violation for rule in RULES for violation in rule(observations)]
     return sorted(found, key=lambda violation: (violation.time_ms, violation.rule, violation.attempt_id))
