--- a/drumgw/testbed/observations.py
+++ b/drumgw/testbed/observations.py
@@ -1,4 +1,4 @@
-"""A run's events as the oracle's rules look them up, and the form of a violation."""
+"""The events of a run, indexed for the rules of the oracle, and the violations that the rules report."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 from drumgw.testbed.scenario import Scenario
 
 SOCKET_SLACK_MS = 50.0
-"""On sockets each time limit grows by this, as the protocol states it."""
+"""Tolerance added to each time limit on sockets, as the protocol specifies."""
 SOCKET_CEILING_SLACK_MS = 150.0
-"""On sockets a ceiling's slack widens by its rate in this time."""
+"""Tolerance of ceilings on sockets: as many units as the ceiling's rate gives in this time."""
 
 
 AttemptEvent = ResponseReceived | ClientEvent | EndpointReceived | EndpointFinished | AttemptAbandoned
-"""What is observed of an attempt after its sending."""
+"""Events that concern a client's attempt after it was sent."""
 
 
 class RuleName(StrEnum):
-    """The rules, by their names in figures and reports."""
+    """The rules of the oracle; the values are their names in figures and reports."""
 
     RESPONSE = "lost"
     DUPLICATE_EXECUTION = "doubled"
@@ -46,17 +46,17 @@
 
 
 class Violation(NamedTuple):
-    """One breach of a rule."""
+    """A rule that was broken, when, and by whom."""
 
     rule: RuleName
     time_ms: float
     attempt_id: str
-    """The client's attempt; empty where none is concerned."""
+    """Id of the client's attempt; empty if the violation concerns none."""
     gateways: tuple[int, ...]
     description: str
 
     def __str__(self) -> str:
-        """The violation as a line of a report."""
+        """Formats the violation as a line of a report."""
         gateways = ", ".join(f"n{gateway}" for gateway in self.gateways) or "none"
         return (
             f"{self.rule} at {self.time_ms:.0f} ms, attempt {self.attempt_id or '-'}, gateways {gateways}: "
@@ -64,7 +64,7 @@
         )
 
     def to_figures(self) -> dict[str, Any]:
-        """The violation under the names that figures have."""
+        """Returns the violation as a dictionary, under the keys of the figures."""
         return {
             "rule": self.rule,
             "t": self.time_ms,
@@ -75,7 +75,7 @@
 
     @classmethod
     def from_figures(cls, figures: dict[str, Any]) -> Violation:
-        """Reads what `to_figures` made."""
+        """Restores a violation from the result of `to_figures`."""
         return cls(
             rule=RuleName(figures["rule"]),
             time_ms=figures["t"],
@@ -87,71 +87,77 @@
 
 @dataclass(slots=True)
 class AttemptHistory:
-    """All that was observed of one client's attempt."""
+    """Everything that was observed of one client's attempt."""
 
     sent: AttemptSent
     responses: list[ResponseReceived] = field(default_factory=list)
     end: ClientEvent | None = None
-    """How it ended, where it had no response."""
+    """How the attempt ended without a response; None if it was answered or is still open."""
     received: list[EndpointReceived] = field(default_factory=list)
-    """The forwarded attempts that endpoints received for it."""
+    """The forwarded attempts that endpoints received for it, in chronological order."""
     ends: dict[int, EndpointFinished | AttemptAbandoned] = field(default_factory=dict)
-    """By receipt: how the forwarded attempts ended."""
+    """How the forwarded attempts ended, by receipt."""
 
     def may_have_run(self, received: EndpointReceived, at_ms: float) -> bool:
-        """Whether it may have run: its endpoint had not said by this time that it did not."""
+        """Whether a forwarded attempt may have run: by `at_ms`, its endpoint had not reported otherwise."""
         end = self.ends.get(received.receipt)
         is_known_not_run = isinstance(end, EndpointFinished) and not end.has_run and end.time_ms <= at_ms
         return not is_known_not_run
 
 
-class EndpointPlace(NamedTuple):
-    """Where an endpoint stands."""
+class EndpointLocation(NamedTuple):
+    """The zone and the cell of an endpoint."""
 
     zone: str
     cell: int
 
 
 class Observations:
-    """The events of a run, sorted by what they are about."""
+    """The events of a run, indexed by attempt, endpoint and gateway."""
 
     def __init__(self, event_log: EventLog, scenario: Scenario) -> None:
-        is_on_sockets = event_log.header.clock is ClockKind.SOCKETS
+        uses_sockets = event_log.header.clock is ClockKind.SOCKETS
         self.events = event_log.events
         self.scenario = scenario
-        self.slack_ms = SOCKET_SLACK_MS if is_on_sockets else 0.0
-        self.ceiling_slack_ms = SOCKET_CEILING_SLACK_MS if is_on_sockets else 0.0
+        self.slack_ms = SOCKET_SLACK_MS if uses_sockets else 0.0
+        self.ceiling_slack_ms = SOCKET_CEILING_SLACK_MS if uses_sockets else 0.0
         self.request_classes = {section.name: section for section in scenario.product}
         self.plans = {section.name: section for section in scenario.plan}
         self.attempts: dict[str, AttemptHistory] = {}
-        self.unrequested: list[EndpointReceived] = []
-        """What endpoints received that no client had sent."""
-        self.places: dict[str, EndpointPlace] = {}
+        self.unsolicited: list[EndpointReceived] = []
+        """Attempts that endpoints received although no client had sent them."""
+        self.locations: dict[str, EndpointLocation] = {}
         self.gateway_changes: dict[int, list[GatewayChanged]] = defaultdict(list)
         for event in self.events:
-            self._sort(event)
+            self._index_event(event)
 
     def was_killed_by_testbed(self, gateway: int, since_ms: float, until_ms: float) -> bool:
-        """Whether the testbed killed the gateway while it held a request, or shortly before.
+        """Whether the testbed killed the gateway during an attempt or shortly before it.
 
-        A connection outlives its process for some milliseconds, and what was sent on it was never held: a
-        gateway that was dead at the end counts too. A gateway that ended by itself is not excused.
+        A connection can stay open for some milliseconds after its process was killed, and an attempt sent on
+        it never reaches the gateway. So a gateway that is still dead at the end of the attempt counts too. A
+        gateway that ended by itself does not.
+
+        Args:
+            gateway: the gateway's number.
+            since_ms: when the attempt was sent.
+            until_ms: when the attempt ended.
         """
         changes = [change for change in self.gateway_changes[gateway] if change.time_ms <= until_ms]
         if changes and changes[-1].state is GatewayState.KILLED:
             return True
         return any(change.state is GatewayState.KILLED and since_ms <= change.time_ms for change in changes)
 
-    def _sort(self, event: LoggedEvent) -> None:
+    def _index_event(self, event: LoggedEvent) -> None:
         match event:
             case AttemptSent():
                 self.attempts[event.attempt_id] = AttemptHistory(event)
             case EndpointChanged(state=EndpointState.STARTED, zone=str(zone), cell=int(cell)):
-                self.places[event.endpoint] = EndpointPlace(zone, cell)
+                self.locations[event.endpoint] = EndpointLocation(zone, cell)
             case GatewayChanged():
                 self.gateway_changes[event.gateway].append(event)
             case EndpointReceived() if event.attempt_id not in self.attempts:
-                self.unrequested.append(event)
+                self.unsolicited.append(event)
             case ResponseReceived() | ClientEvent() | EndpointReceived():
                 self._add_to_history(event)
             case EndpointFinished() | AttemptAbandoned():
--- a/drumgw/testbed/request_rules.py
+++ b/drumgw/testbed/request_rules.py
@@ -80,7 +80,7 @@
 
 def duplicate_execution_rule(observations: Observations) -> Iterator[Violation]:
     """No effect happens twice: what may have run is repeated only as far as its request class allows."""
-    for received in observations.unrequested:
+    for received in observations.unsolicited:
         yield Violation(
             RuleName.DUPLICATE_EXECUTION,
             received.time_ms,
@@ -133,8 +133,8 @@
     repeat: EndpointReceived,
 ) -> bool:
     """The endpoints do not share the memory in which the idempotency key is looked up."""
-    first_place = observations.places[earlier.endpoint]
-    second_place = observations.places[repeat.endpoint]
+    first_place = observations.locations[earlier.endpoint]
+    second_place = observations.locations[repeat.endpoint]
     if request_class.group == "zone":
         return first_place.zone != second_place.zone
     return request_class.group == "cell" and first_place != second_place
