--- a/drumgw/testbed/endpoint_rules.py
+++ b/drumgw/testbed/endpoint_rules.py
@@ -1,4 +1,4 @@
-"""The oracle's rules about endpoints, ceilings and the gateways' own processes."""
+"""The oracle's rules about endpoints that drain or warm up, about ceilings and about gateway processes."""
 
 from __future__ import annotations
 
@@ -18,61 +18,63 @@
 )
 from drumgw.testbed.observations import Observations, RuleName, Violation
 
-CHANCE_MULTIPLE = 3
-"""A warming endpoint's budget allows so many times the last request's work more, for chance."""
+OVERLOAD_TOLERANCE_REQUESTS = 3
+"""Tolerance of the overload check, in multiples of the last request's work: allows for random variation."""
 START_TOLERANCE_MS = 1
-"""By which an announced start may lie before the start that was observed."""
+"""How much earlier than the observed start of an endpoint its announced start may be."""
 UNITS_TOLERANCE = 1e-6
+"""Tolerance for floating-point rounding."""
 
 
 def draining_rule(observations: Observations) -> Iterator[Violation]:
-    """Nothing new is sent to an endpoint after the grace time that follows word that it drains or is gone."""
+    """Nothing is sent to an endpoint later than the grace period after its announced draining or removal."""
     grace_ms = observations.scenario.rules.drain_grace_ms + observations.slack_ms
-    announced: dict[tuple[int, str], EndpointAnnounced] = {}
+    announcements: dict[tuple[int, str], EndpointAnnounced] = {}
     for event in observations.events:
         match event:
             case EndpointAnnounced():
-                announced[event.gateway, event.endpoint] = event
+                announcements[event.gateway, event.endpoint] = event
             case GatewayChanged(state=GatewayState.STARTED):
-                # A new process knows nothing of what its predecessor had heard.
-                for key in [key for key in announced if key[0] == event.gateway]:
-                    del announced[key]
+                # Announcements to the previous process do not bind a new one.
+                for key in [key for key in announcements if key[0] == event.gateway]:
+                    del announcements[key]
             case EndpointReceived():
-                word = announced.get((event.gateway, event.endpoint))
-                if word is None or word.lifecycle is Lifecycle.UP:
+                announcement = announcements.get((event.gateway, event.endpoint))
+                if announcement is None or announcement.lifecycle is Lifecycle.UP:
                     continue
-                if event.first_byte_ms > word.time_ms + grace_ms:
-                    yield _draining_violation(event, word)
+                if event.first_byte_ms > announcement.time_ms + grace_ms:
+                    yield _draining_violation(event, announcement)
 
 
-def _draining_violation(received: EndpointReceived, word: EndpointAnnounced) -> Violation:
-    after_ms = received.first_byte_ms - word.time_ms
+def _draining_violation(received: EndpointReceived, announcement: EndpointAnnounced) -> Violation:
+    after_ms = received.first_byte_ms - announcement.time_ms
     return Violation(
         RuleName.DRAINING,
         received.time_ms,
         received.attempt_id,
         (received.gateway,),
-        f"sent to {received.endpoint}, {word.lifecycle}, {after_ms:.0f} ms after that was announced",
+        f"sent to {received.endpoint}, announced as {announcement.lifecycle} {after_ms:.0f} ms before",
     )
 
 
 @dataclass(slots=True)
 class _WarmUp:
-    """An endpoint that started cold."""
+    """State of an endpoint since its last cold start."""
 
     started_at_ms: float
     warm_work_per_ms: float
-    """Work that it can do in a millisecond once it is warm."""
+    """Work that the warm endpoint completes per millisecond, in milliseconds on one core of speed 1."""
     recent: deque[EndpointReceived] = field(default_factory=deque)
-    """What it received within the overload window."""
+    """Attempts received within the overload window (`rules.fall_ms`)."""
     informed_gateways: set[int] = field(default_factory=set)
-    """Gateways whose agents had word of this start."""
+    """Gateways whose discovery agents know of this start."""
 
 
 def warm_up_rule(observations: Observations) -> Iterator[Violation]:
-    """An endpoint that warms up is not sent more than a multiple of what it can do.
+    """An endpoint that is warming up receives at most `fall_multiple` times the work that it can do.
 
-    An overload counts only where two thirds of the work came from gateways whose agents had word of it.
+    An overload counts only if at least two thirds of the work came from gateways whose discovery agents knew
+    of the start.
     """
     warming: dict[str, _WarmUp] = {}
     for event in observations.events:
@@ -87,7 +89,7 @@
                 violation = _check_overload(event, warming[event.endpoint], observations.scenario.rules)
                 if violation is not None:
                     yield violation
-                    del warming[event.endpoint]  # it is down; what comes after is another matter
+                    del warming[event.endpoint]  # it goes down; its next start is checked anew
 
 
 def _check_overload(received: EndpointReceived, warm_up: _WarmUp, rules: RulesSection) -> Violation | None:
@@ -101,28 +103,28 @@
         recent.popleft()
     work_ms = sum(event.work_ms for event in recent)
     capacity_ms = rules.fall_multiple * warm_up.warm_work_per_ms * warm_up_fraction * rules.fall_ms
-    if work_ms <= capacity_ms + CHANCE_MULTIPLE * received.work_ms:
+    if work_ms <= capacity_ms + OVERLOAD_TOLERANCE_REQUESTS * received.work_ms:
         return None
     informed_work_ms = sum(event.work_ms for event in recent if event.gateway in warm_up.informed_gateways)
     if informed_work_ms < 2 * work_ms / 3:
-        return None  # too much of it came from gateways that could not know
+        return None  # too much of the work came from gateways that could not know of the start
     gateways = tuple(sorted({event.gateway for event in recent}))
-    description = f"{received.endpoint} was sent {work_ms:.0f} ms of work while warming up"
+    description = f"{received.endpoint} was overloaded with {work_ms:.0f} ms of work while warming up"
     return Violation(RuleName.WARM_UP, received.time_ms, received.attempt_id, gateways, description)
 
 
 @dataclass(slots=True)
 class _CeilingAccount:
-    """What a customer may still send under its plan's ceiling."""
+    """Token bucket of one customer's ceiling; `units` is negative beyond the ceiling."""
 
     units: float
     updated_at_ms: float
 
 
 def ceiling_rule(observations: Observations) -> Iterator[Violation]:
-    """What all gateways forward for a customer never passes its plan's ceiling by more than the slack.
+    """All gateways together forward no more for a customer than its plan's ceiling and slack allow.
 
-    Only the first forwarded attempt of each client's attempt counts.
+    Only the first forwarded attempt of each client attempt counts, not the gateways' own retries.
     """
     accounts: dict[int, _CeilingAccount] = {}
     counted: set[str] = set()
@@ -149,9 +151,9 @@
 
 
 def gateway_rule(observations: Observations) -> Iterator[Violation]:
-    """No gateway ends by itself, and each becomes ready."""
+    """No gateway process crashes, and each becomes ready after its start."""
     for gateway, changes in observations.gateway_changes.items():
         for change in changes:
             if change.state in (GatewayState.CRASHED, GatewayState.NEVER_READY):
-                description = f"the gateway {change.state}"
+                description = f"gateway process: {change.state}"
                 yield Violation(RuleName.GATEWAY, change.time_ms, "", (gateway,), description)
--- a/drumgw/testbed/request_rules.py
+++ b/drumgw/testbed/request_rules.py
@@ -1,4 +1,4 @@
-"""The oracle's rules about requests: each is answered once and in time, and no effect happens twice."""
+"""The oracle's rules about requests: one response each, in time, and no execution beyond what is allowed."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def response_rule(observations: Observations) -> Iterator[Violation]:
-    """Each attempt that a gateway took has one response, in time, made for it by an endpoint."""
+    """Each attempt that a gateway received gets one response, in time; a success comes from an endpoint."""
     for history in observations.attempts.values():
         yield from _check_responses(observations, history)
         yield from _check_end(observations, history)
@@ -34,13 +34,15 @@
         late_by_ms = response.time_ms - _response_deadline_ms(observations, history)
         if late_by_ms > 0:
             yield _response_violation(history, response.time_ms, f"answered {late_by_ms:.0f} ms too late")
-        if response.status == STATUS_SUCCEEDED and not _is_own_response(history, response):
-            description = f"served with the response of {response.made_for or 'none'}"
+        if response.status == STATUS_SUCCEEDED and not _is_genuine_response(history, response):
+            description = (
+                f"successful response that no endpoint made for it (made for {response.made_for or 'none'})"
+            )
             yield _response_violation(history, response.time_ms, description)
 
 
 def _check_end(observations: Observations, history: AttemptHistory) -> Iterator[Violation]:
-    """An attempt without a response, unless its client left or the testbed killed the gateway."""
+    """Reports a missing response, unless the client left or the testbed killed the gateway."""
     end = history.end
     if history.responses or isinstance(end, ClientLeft | ConnectFailed):
         return
@@ -54,7 +56,7 @@
     elif isinstance(end, ClientGaveUp):
         yield _response_violation(history, end.time_ms, "never answered")
     else:
-        yield _response_violation(history, end.time_ms, "its connection was closed with no response")
+        yield _response_violation(history, end.time_ms, "connection closed without a response")
 
 
 def _response_deadline_ms(observations: Observations, history: AttemptHistory) -> float:
@@ -64,8 +66,8 @@
     )
 
 
-def _is_own_response(history: AttemptHistory, response: ResponseReceived) -> bool:
-    """The response was made for this attempt, and an endpoint did succeed for it."""
+def _is_genuine_response(history: AttemptHistory, response: ResponseReceived) -> bool:
+    """Whether the response was made for this attempt, and an endpoint completed it successfully."""
     has_succeeded = any(
         isinstance(end, EndpointFinished) and end.outcome is EndpointOutcome.SUCCEEDED
         for end in history.ends.values()
@@ -79,14 +81,14 @@
 
 
 def duplicate_execution_rule(observations: Observations) -> Iterator[Violation]:
-    """No effect happens twice: what may have run is repeated only as far as its request class allows."""
+    """A request that may have run is sent again only where its request class allows that."""
     for received in observations.unsolicited:
         yield Violation(
             RuleName.DUPLICATE_EXECUTION,
             received.time_ms,
             received.attempt_id,
             (received.gateway,),
-            "forwarded though no client sent it",
+            "forwarded although no client had sent it",
         )
     for history in observations.attempts.values():
         yield from _check_repeats(observations, history)
@@ -97,12 +99,14 @@
     request_class = observations.request_classes[history.sent.request_class]
     for position, received in enumerate(history.received):
         for earlier in history.received[:position]:
-            known_ms = received.time_ms + observations.slack_ms
+            known_until_ms = received.time_ms + observations.slack_ms
             end = history.ends.get(earlier.receipt)
-            is_in_flight = end is None or end.time_ms > known_ms
+            is_in_flight = end is None or end.time_ms > known_until_ms
             if is_in_flight and not observations.scenario.allowed.second_copies:
-                yield _duplicate_violation(history, received.time_ms, "a hedged request, not allowed")
-            if history.may_have_run(earlier, known_ms):
+                yield _duplicate_violation(
+                    history, received.time_ms, "hedged request, although hedging is not allowed"
+                )
+            if history.may_have_run(earlier, known_until_ms):
                 reason = _forbidden_repeat(observations, request_class, earlier, received)
                 if reason is not None:
                     yield _duplicate_violation(history, received.time_ms, reason)
@@ -114,34 +118,34 @@
     earlier: EndpointReceived,
     repeat: EndpointReceived,
 ) -> str | None:
-    """Why a repeat of what may have run is not allowed; None where it is."""
+    """Returns why a request that may have run must not be repeated like this; None if it may."""
     if request_class.repeat == NOT_IDEMPOTENT:
-        return "a request that is not idempotent was sent again though it may have run"
+        return "non-idempotent request sent again although it may have run"
     if request_class.repeat != IDEMPOTENT_WITH_KEY:
         return None
-    if _leaves_scope(observations, request_class, earlier, repeat):
-        return f"a request with an idempotency key was sent beyond its {request_class.group}"
+    if _is_outside_scope(observations, request_class, earlier, repeat):
+        return f"request with an idempotency key sent again outside its {request_class.group}"
     if repeat.first_byte_ms > earlier.time_ms + request_class.remember_ms + observations.slack_ms:
-        return "a request with an idempotency key was sent again after its idempotency window"
+        return "request with an idempotency key sent again after its idempotency window"
     return None
 
 
-def _leaves_scope(
+def _is_outside_scope(
     observations: Observations,
     request_class: RequestClassSection,
     earlier: EndpointReceived,
     repeat: EndpointReceived,
 ) -> bool:
-    """The endpoints do not share the memory in which the idempotency key is looked up."""
-    first_place = observations.locations[earlier.endpoint]
-    second_place = observations.locations[repeat.endpoint]
+    """Whether the two endpoints share no deduplication store for this request class."""
+    first_location = observations.locations[earlier.endpoint]
+    second_location = observations.locations[repeat.endpoint]
     if request_class.group == "zone":
-        return first_place.zone != second_place.zone
-    return request_class.group == "cell" and first_place != second_place
+        return first_location.zone != second_location.zone
+    return request_class.group == "cell" and first_location != second_location
 
 
 def _check_rejection(observations: Observations, history: AttemptHistory) -> Iterator[Violation]:
-    """A rejection invites the client to send again: only what did not run, or may run twice, is rejected."""
+    """Clients retry a rejected request, so only one that did not run, or may run again, can be rejected."""
     request_class = observations.request_classes[history.sent.request_class]
     is_repeatable_anywhere = request_class.repeat == IDEMPOTENT or (
         request_class.repeat == IDEMPOTENT_WITH_KEY and request_class.group == "all"
@@ -149,7 +153,7 @@
     for response in history.responses[:1]:
         may_have_run = any(history.may_have_run(received, response.time_ms) for received in history.received)
         if response.status in REJECTION_STATUSES and may_have_run and not is_repeatable_anywhere:
-            yield _duplicate_violation(history, response.time_ms, "rejected though it may have run")
+            yield _duplicate_violation(history, response.time_ms, "rejected although it may have run")
 
 
 def _duplicate_violation(history: AttemptHistory, time_ms: float, description: str) -> Violation:
--- a/tests/test_testbed_oracle.py
+++ b/tests/test_testbed_oracle.py
@@ -149,9 +149,7 @@
         outlives its process for a moment. A gateway that was started again since is not excused.
         """
         closed = ConnectionClosed(300.0, "x")
-        self.assertEqual(
-            self.violations(sent(), closed), ["lost: its connection was closed with no response"]
-        )
+        self.assertEqual(self.violations(sent(), closed), ["lost: connection closed without a response"])
         self.assertEqual(self.violations(sent(), GatewayChanged(200.0, 1, GatewayState.KILLED), closed), [])
         self.assertEqual(self.violations(GatewayChanged(95.0, 1, GatewayState.KILLED), sent(), closed), [])
         killed_before = GatewayChanged(50.0, 1, GatewayState.KILLED)
@@ -184,12 +182,12 @@
         self.assertEqual(self.violations(*first, failed, same_zone, *served), [])
         self.assertEqual(
             self.violations(*first, failed, other_zone, *served),
-            ["doubled: a request with an idempotency key was sent beyond its zone"],
+            ["doubled: request with an idempotency key sent again outside its zone"],
         )
         self.assertEqual(self.violations(*first, rejected, other_zone, *served), [])
         self.assertEqual(
             self.violations(*first, received(130.0, 2, "w2"), failed, *served),
-            ["doubled: a hedged request, not allowed"],
+            ["doubled: hedged request, although hedging is not allowed"],
         )
 
     def test_a_new_process_is_not_bound_by_what_its_predecessor_heard(self) -> None:
@@ -205,10 +203,12 @@
             ResponseReceived(420.0, "x", 200, made_for="x"),
         ]
         self.assertEqual(
-            self.violations(word, *served), ["drains: sent to w0, draining, 380 ms after that was announced"]
+            self.violations(word, *served), ["drains: sent to w0, announced as draining 380 ms before"]
         )
         restarted = GatewayChanged(60.0, 1, GatewayState.STARTED)
         self.assertEqual(self.violations(word, restarted, *served), [])
 
     def test_what_no_client_sent_is_a_duplicate(self) -> None:
-        self.assertEqual(self.violations(received(5.0, 1)), ["doubled: forwarded though no client sent it"])
+        self.assertEqual(
+            self.violations(received(5.0, 1)), ["doubled: forwarded although no client had sent it"]
+        )
