--- a/drumgw/testbed/metrics.py
+++ b/drumgw/testbed/metrics.py
@@ -1,6 +1,6 @@
-"""Figures of a run, from its event log: value served and results by class, plan, zone and time; load.
+"""Figures of a run, computed from its event log: results by class, plan, zone and time; load distribution.
 
-The keys of the figures are read by programs and stay as they are.
+The keys of the figures are a public format that other programs read.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 MAX_RESPONSE_TIME_MS = 600_000
 SIGNIFICANT_DIGITS = 3
 QUANTILES = (50, 90, 99)
-TIME_WINDOWS = 12
-"""Windows that a run is divided into; each is a whole number of seconds."""
+TIME_WINDOW_COUNT = 12
+"""Approximate number of time windows of a run, each a whole number of seconds."""
 MAX_LATE_SHARE = 0.01
-"""Share of requests that the testbed may send late; beyond it the run is invalid."""
+"""A run in which the testbed sent a larger share of the requests late is invalid."""
 
 
-class Tally:
-    """Requests of one kind: their results, their value and their response times."""
+class RequestStats:
+    """Results, value and response times of a group of requests."""
 
     def __init__(self) -> None:
         self._results: Counter[RequestResult] = Counter()
@@ -49,7 +49,7 @@
         )
 
     def add(self, outcome: RequestOutcome) -> None:
-        """Counts one request."""
+        """Adds one request; its response time counts only if it was served."""
         self._results[outcome.result] += 1
         self._value += outcome.value
         self._earned += outcome.earned
@@ -59,7 +59,7 @@
             )
 
     def figures(self) -> Figures:
-        """Counts, share of the value that was earned, and quantiles of the response time."""
+        """Returns counts by result, the earned share of the value, and quantiles of the response time."""
         return {
             "orders": sum(self._results.values()),
             "served": round(self._earned / self._value, 4) if self._value else 0.0,
@@ -78,7 +78,7 @@
 
 
 def run_figures(event_log: EventLog, scenario: Scenario) -> Figures:
-    """All that a report says of one run."""
+    """Computes all figures of one run, as reports and `figures.json` have them."""
     outcomes = RequestOutcomes(event_log, scenario)
     invalid_reason = _invalid_reason(event_log, outcomes.request_count)
     header = event_log.header
@@ -97,48 +97,48 @@
 
 
 def _invalid_reason(event_log: EventLog, request_count: int) -> str | None:
-    """Why the figures say nothing about the gateways; None where they do."""
+    """Returns why the figures say nothing about the gateways; None if the run is valid."""
     ended = next((event for event in reversed(event_log.events) if isinstance(event, RunEnded)), None)
     if ended is None:
         return "the event log has no end: the run was cut off"
     if ended.sent_late_count > MAX_LATE_SHARE * max(1, ended.sent_count):
         return (
             f"the testbed sent {ended.sent_late_count} of {ended.sent_count} requests late: "
-            f"no figure says anything of the gateways"
+            f"the figures say nothing about the gateways"
         )
     return None
 
 
 def _result_figures(event_log: EventLog, scenario: Scenario, outcomes: RequestOutcomes) -> Figures:
-    """Results of all requests, and by request class, plan, zone of the first gateway, and time."""
-    whole = Tally()
-    parts: dict[str, defaultdict[str, Tally]] = {
-        name: defaultdict(Tally) for name in ("product", "plan", "zone", "time")
+    """Results of all requests together, and by request class, plan, zone of the first gateway, and time."""
+    whole = RequestStats()
+    breakdowns: dict[str, defaultdict[str, RequestStats]] = {
+        name: defaultdict(RequestStats) for name in ("product", "plan", "zone", "time")
     }
     zones = scenario.fleet.zones
-    window_s = _window_s(scenario)
+    window_s = _window_length_s(scenario)
     start_ms = next((event.time_ms for event in event_log.events if isinstance(event, RunStarted)), 0.0)
     for outcome in outcomes.all():
         request = outcome.request
         zone = zones[outcomes.first_gateways.get(request.request, 0) % len(zones)]
         window_start_s = int((request.intended_ms - start_ms) / 1000.0 / window_s) * window_s
         whole.add(outcome)
-        parts["product"][request.request_class].add(outcome)
-        parts["plan"][request.plan].add(outcome)
-        parts["zone"][zone].add(outcome)
-        parts["time"][f"{window_start_s:05.0f} s"].add(outcome)
+        breakdowns["product"][request.request_class].add(outcome)
+        breakdowns["plan"][request.plan].add(outcome)
+        breakdowns["zone"][zone].add(outcome)
+        breakdowns["time"][f"{window_start_s:05.0f} s"].add(outcome)
     figures: Figures = {"whole": whole.figures()}
-    for name, tallies in parts.items():
-        figures[f"by {name}"] = {key: tally.figures() for key, tally in sorted(tallies.items())}
+    for name, groups in breakdowns.items():
+        figures[f"by {name}"] = {key: stats.figures() for key, stats in sorted(groups.items())}
     return figures
 
 
-def _window_s(scenario: Scenario) -> int:
-    return max(1, round(scenario.seconds / TIME_WINDOWS))
+def _window_length_s(scenario: Scenario) -> int:
+    return max(1, round(scenario.seconds / TIME_WINDOW_COUNT))
 
 
 def _load_figures(event_log: EventLog) -> Figures:
-    """Forwarded attempts by endpoint and gateway, how they ended, calls to the counter."""
+    """Forwarded attempts by endpoint, gateway and outcome, calls to the counter, and engine failures."""
     by_endpoint = Counter[str]()
     by_gateway = Counter[int]()
     by_outcome = Counter[str]()
