--- a/drumgw/testbed/request_outcomes.py
+++ b/drumgw/testbed/request_outcomes.py
@@ -1,7 +1,7 @@
-"""What became of each request of a run, and what it earned.
+"""The final result of each request of a run, and the value it earned.
 
-Response times count from when the request should have been sent: what the testbed or a retry delayed is in
-them.
+Response times are measured from the intended send time, so that they include delays by the testbed itself and
+by retries.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class RequestResult(StrEnum):
-    """What became of a request, by the names that figures have."""
+    """Final result of a request; the values are the keys of the figures."""
 
     IN_TIME = "in time"
     LATE = "late"
@@ -38,15 +38,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestOutcome:
-    """One request and its result."""
+    """A request with its result, value and response time."""
 
     request: RequestCreated
     result: RequestResult
     value: float
-    """What it earns when answered within the latency objective."""
+    """Value earned if the request is served within its latency objective."""
     earned: float
     response_time_ms: float | None
-    """None unless it was served."""
+    """None unless the request was served."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
 
 
 class RequestOutcomes:
-    """The requests of a run, with their responses and the gateways they were first sent to."""
+    """The requests of a run, with their results and the gateways that they were first sent to."""
 
     def __init__(self, event_log: EventLog, scenario: Scenario) -> None:
         self._request_classes = {section.name: section for section in scenario.product}
@@ -66,7 +66,7 @@
         self._request_by_attempt: dict[str, int] = {}
         self._ends: dict[int, list[ResponseReceived | ClientEvent]] = defaultdict(list)
         self.first_gateways: dict[int, int] = {}
-        """By request number."""
+        """Gateway of each request's first attempt, by request number."""
         for event in event_log.events:
             match event:
                 case RequestCreated():
@@ -81,11 +81,11 @@
 
     @property
     def request_count(self) -> int:
-        """Number of requests that clients wanted answered."""
+        """Number of requests, without counting retries."""
         return len(self._requests)
 
     def all(self) -> list[RequestOutcome]:
-        """Each request's outcome, in the order of their numbers."""
+        """Returns the outcome of each request, in the order of their numbers."""
         return [self._outcome(request) for request in self._requests.values()]
 
     def _outcome(self, request: RequestCreated) -> RequestOutcome:
@@ -100,7 +100,7 @@
         ends = self._ends[request.request]
         for end in ends:
             if isinstance(end, ResponseReceived) and end.status == STATUS_SUCCEEDED:
-                return _served(end.time_ms - request.intended_ms, request_class)
+                return _result_of_success(end.time_ms - request.intended_ms, request_class)
         last = ends[-1] if ends else None
         match last:
             case ResponseReceived():
@@ -113,7 +113,7 @@
         return _Result(RequestResult.UNANSWERED)
 
 
-def _served(response_time_ms: float, request_class: RequestClassSection) -> _Result:
+def _result_of_success(response_time_ms: float, request_class: RequestClassSection) -> _Result:
     if response_time_ms > request_class.expiry_ms:
         return _Result(RequestResult.LATE, 0.0, response_time_ms)
     if response_time_ms <= request_class.sla_ms:
