--- a/drumgw/testbed/quota_usage.py
+++ b/drumgw/testbed/quota_usage.py
@@ -1,4 +1,4 @@
-"""What customers were let send beside their quotas: in the whole run, and while the counter was lost."""
+"""How far customers exceeded their quotas, in the whole run and during outages of the shared counter."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from drumgw.testbed.logged_events import AttemptSent, EndpointReceived, FaultEnded, FaultStarted
 from drumgw.testbed.scenario import FaultKind, Scenario
 
-COUNTER_LOSSES = (
+COUNTER_OUTAGE_KINDS = (
     FaultKind.COUNTER_SILENT,
     FaultKind.COUNTER_REJECTS,
     FaultKind.COUNTER_EMPTY,
     FaultKind.COUNTER_STALE,
     FaultKind.COUNTER_SPLIT,
 )
-REPLACED_COUNTER_SPAN_MS = 5000.0
-"""How long after a counter was replaced usage is looked at: such a fault has no end."""
+OPEN_ENDED_OUTAGE_MS = 5000.0
+"""How long usage is measured for a fault that has no end, such as a counter that was replaced."""
 
 
-class _Forwarded(NamedTuple):
-    """A client's attempt when an endpoint first received it."""
+class _FirstForward(NamedTuple):
+    """A client's attempt and the time at which an endpoint first received it."""
 
     sent: AttemptSent
     time_ms: float
@@ -32,12 +32,14 @@
 
 @dataclass(slots=True)
 class _QuotaAccount:
+    """Token bucket of one customer's quota."""
+
     units: float
     updated_at_ms: float
 
 
 class _Outage(NamedTuple):
-    """A time in which the counter was lost."""
+    """A period in which the shared counter was not usable."""
 
     kind: FaultKind
     start_ms: float
@@ -46,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutageUsage:
-    """What one customer sent while the counter was lost."""
+    """Units that one customer had forwarded during an outage of the shared counter."""
 
     kind: FaultKind
     customer: int
@@ -54,20 +56,20 @@
     seconds: float
     sent_units: int
     quota_units: float
-    """What its quota allows in that time."""
+    """Units that the quota allows in that time, from a full account."""
     bound_units: float
-    """The declared bound (drumgw/config/quota_bounds.py)."""
+    """Upper bound on `sent_units`, as derived in drumgw/config/quota_bounds.py."""
     share_of_bound: float
 
 
 def usage_beyond_quotas(event_log: EventLog, scenario: Scenario) -> dict[str, Any]:
-    """By plan: units forwarded, and those beyond the customers' quotas.
+    """Returns the units forwarded and those beyond the customers' quotas, by plan.
 
-    A customer's quota is one account for all gateways, as if each had seen the forwards of the others.
+    Each customer has one account for all gateways, as if each knew at once what the others forward.
     """
     plans = {section.name: section for section in scenario.plan}
     accounts: dict[int, _QuotaAccount] = {}
-    beyond_units = Counter[str]()
+    excess_units = Counter[str]()
     sent_units = Counter[str]()
     for forwarded in _first_forwards(event_log):
         sent = forwarded.sent
@@ -82,26 +84,26 @@
         if account.units >= sent.units:
             account.units -= sent.units
         else:
-            beyond_units[plan.name] += sent.units
+            excess_units[plan.name] += sent.units
     return {
         name: {
             "units": sent_units[name],
-            "beyond": beyond_units[name],
-            "share": round(beyond_units[name] / sent_units[name], 4),
+            "beyond": excess_units[name],
+            "share": round(excess_units[name] / sent_units[name], 4),
         }
         for name in sorted(sent_units)
     }
 
 
 def usage_in_outages(event_log: EventLog, scenario: Scenario) -> list[OutageUsage]:
-    """For each loss of the counter and each customer that sent in it: units sent, quota and bound."""
+    """Returns the usage of each customer with forwarded requests, for each outage of the shared counter."""
     return [
         usage for outage in _outages(event_log) for usage in _usage_in_outage(event_log, scenario, outage)
     ]
 
 
 def largest_shares_in_outages(event_log: EventLog, scenario: Scenario) -> dict[str, Any]:
-    """By fault and plan: customers seen, and the largest shares of bound and quota that one of them sent."""
+    """By fault and plan: customers, and the largest shares of bound and quota that one of them used."""
     figures: dict[str, Any] = {}
     for usage in usage_in_outages(event_log, scenario):
         name = f"{usage.kind}, {usage.plan}"
@@ -112,8 +114,8 @@
     return figures
 
 
-def _first_forwards(event_log: EventLog) -> Iterator[_Forwarded]:
-    """Each client's attempt once, when an endpoint first received it."""
+def _first_forwards(event_log: EventLog) -> Iterator[_FirstForward]:
+    """Yields each client attempt that was forwarded, once, leaving out the gateways' own retries."""
     waiting: dict[str, AttemptSent] = {}
     for event in event_log.events:
         match event:
@@ -122,23 +124,23 @@
             case EndpointReceived():
                 sent = waiting.pop(event.attempt_id, None)
                 if sent is not None:
-                    yield _Forwarded(sent, event.time_ms)
+                    yield _FirstForward(sent, event.time_ms)
 
 
 def _outages(event_log: EventLog) -> list[_Outage]:
-    """Faults that ended in the order of their ends, then those that did not."""
+    """Returns the outages that ended, in the order of their ends, and then those that did not end."""
     outages: list[_Outage] = []
-    open_faults: dict[int, FaultStarted] = {}
+    active_faults: dict[int, FaultStarted] = {}
     for event in event_log.events:
         match event:
-            case FaultStarted() if event.kind in COUNTER_LOSSES:
-                open_faults[event.number] = event
-            case FaultEnded() if event.number in open_faults:
-                fault = open_faults.pop(event.number)
+            case FaultStarted() if event.kind in COUNTER_OUTAGE_KINDS:
+                active_faults[event.number] = event
+            case FaultEnded() if event.number in active_faults:
+                fault = active_faults.pop(event.number)
                 outages.append(_Outage(fault.kind, fault.time_ms, event.time_ms))
     run_end_ms = event_log.events[-1].time_ms if event_log.events else 0.0
-    for fault in open_faults.values():
-        end_ms = min(run_end_ms, fault.time_ms + REPLACED_COUNTER_SPAN_MS)
+    for fault in active_faults.values():
+        end_ms = min(run_end_ms, fault.time_ms + OPEN_ENDED_OUTAGE_MS)
         outages.append(_Outage(fault.kind, fault.time_ms, end_ms))
     return outages
 
