--- a/drumgw/testbed/runner.py
+++ b/drumgw/testbed/runner.py
@@ -1,4 +1,4 @@
-"""Plays a scenario and leaves a folder: the scenario, the event log, the figures, and the gateways' logs."""
+"""Runs a scenario and writes its folder: the scenario, the event log, the figures and the gateways' logs."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 def run_scenario(path: str, seed: int, folder: str, on_virtual_clock: bool) -> Figures:
-    """Plays a scenario file and returns the run's figures.
+    """Runs a scenario file and returns the figures of the run.
 
     Raises:
-        FileError: where the scenario cannot be read; nothing is written then.
-        RunStoppedError: after SIGINT or SIGTERM.
-        CannotRunError: where the testbed could not play it.
+        FileError: if the scenario cannot be read; nothing is written in this case.
+        RunStoppedError: after SIGINT or SIGTERM, on sockets.
+        CannotRunError: if the testbed could not run it.
     """
     scenario = read_scenario(path)
     run_folder = pathlib.Path(folder)
@@ -37,24 +37,24 @@
     with open(run_folder / EVENT_LOG_FILE, "w", encoding="utf-8") as file:
         event_log = EventLog(header, file)
         if on_virtual_clock:
-            _play_virtually(scenario, seed, event_log)
+            _run_on_virtual_clock(scenario, seed, event_log)
         else:
-            _play_on_sockets(scenario, seed, run_folder, event_log)
+            _run_on_sockets(scenario, seed, run_folder, event_log)
     figures = run_figures(event_log, scenario)
     (run_folder / FIGURES_FILE).write_text(json.dumps(figures, indent=1, sort_keys=True) + "\n")
     return figures
 
 
-def _play_virtually(scenario: Scenario, seed: int, event_log: EventLog) -> None:
+def _run_on_virtual_clock(scenario: Scenario, seed: int, event_log: EventLog) -> None:
     from drumgw.testbed.virtual_runner import VirtualRunner
 
     VirtualRunner(scenario, seed, event_log=event_log).run()
 
 
-def _play_on_sockets(scenario: Scenario, seed: int, folder: pathlib.Path, event_log: EventLog) -> None:
+def _run_on_sockets(scenario: Scenario, seed: int, folder: pathlib.Path, event_log: EventLog) -> None:
     from drumgw.testbed.socket_runner import SocketRunner
 
-    async def play() -> None:
+    async def run_until_signal() -> None:
         task = asyncio.current_task()
         assert task is not None
         loop = asyncio.get_running_loop()
@@ -65,4 +65,4 @@
         except asyncio.CancelledError as error:
             raise RunStoppedError from error
 
-    asyncio.run(play())
+    asyncio.run(run_until_signal())
