--- a/drumgw/testbed/scenario.py
+++ b/drumgw/testbed/scenario.py
@@ -1,6 +1,6 @@
-"""A testbed scenario (version 1) in one file: fleet, request classes, plans, customers, load and faults.
+"""Schema of scenario files (version 1): fleet, request classes, plans, customers, load and faults.
 
-The fields are the keys of the file, in the operators' words: they are an edge and keep their names.
+Field names are the keys of the file, a public format, so they must not be renamed.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 
 VERSION = 1
 MAX_REQUESTS = 2_000_000
-"""A scenario is bounded in what its clients ask."""
+"""Limit on the expected number of requests of a scenario."""
 
 IDEMPOTENT = "inquiry-like"
 IDEMPOTENT_WITH_KEY = "referenced"
 NOT_IDEMPOTENT = "once-only"
-"""Values of a request class's `repeat`."""
+"""Values of `repeat` of a request class."""
 
 
 class FaultKind(StrEnum):
-    """The kinds of fault, by their names in scenario files."""
+    """Kinds of faults; the values are their names in scenario files."""
 
     ENDPOINT_SLOW = "slow"
     ENDPOINT_FAILING = "failing"
@@ -68,46 +68,46 @@
     CLIENTS_LEAVE = "leave"
 
 
-class Need(StrEnum):
-    """What a kind of fault needs beside its kind and times."""
+class RequiredKey(StrEnum):
+    """A key that a kind of fault requires besides `kind`, `at_s` and `for_s`."""
 
     SIZE = "size"
     PART = "part"
     ZONE = "zone"
     ENDPOINTS = "workers"
-    """Exactly one of `part`, `zone` and `worker`."""
-
-
-NEEDS: dict[FaultKind, tuple[Need, ...]] = {
-    FaultKind.ENDPOINT_SLOW: (Need.SIZE, Need.ENDPOINTS),
-    FaultKind.ENDPOINT_FAILING: (Need.ENDPOINTS,),
-    FaultKind.ENDPOINT_SILENT: (Need.ENDPOINTS,),
-    FaultKind.CONNECTION_RESETS: (Need.SIZE, Need.ENDPOINTS),
-    FaultKind.RESPONSES_LOST: (Need.SIZE, Need.ENDPOINTS),
-    FaultKind.RESPONSES_DELAYED: (Need.SIZE, Need.ENDPOINTS),
-    FaultKind.RESPONSES_CORRUPT: (Need.SIZE, Need.ENDPOINTS),
-    FaultKind.CONNECTION_LIMIT: (Need.SIZE, Need.ENDPOINTS),
-    FaultKind.ENDPOINT_CRASH: (Need.ENDPOINTS,),
-    FaultKind.ENDPOINT_REPLACED: (Need.ENDPOINTS,),
-    FaultKind.ENDPOINT_DRAIN: (Need.ENDPOINTS,),
-    FaultKind.ZONE_DOWN: (Need.ZONE,),
-    FaultKind.ZONE_PARTITIONED: (Need.ZONE,),
-    FaultKind.COUNTER_SLOW: (Need.SIZE,),
+    """Exactly one of `part`, `zone` and `worker`, which select the endpoints."""
+
+
+REQUIRED_KEYS: dict[FaultKind, tuple[RequiredKey, ...]] = {
+    FaultKind.ENDPOINT_SLOW: (RequiredKey.SIZE, RequiredKey.ENDPOINTS),
+    FaultKind.ENDPOINT_FAILING: (RequiredKey.ENDPOINTS,),
+    FaultKind.ENDPOINT_SILENT: (RequiredKey.ENDPOINTS,),
+    FaultKind.CONNECTION_RESETS: (RequiredKey.SIZE, RequiredKey.ENDPOINTS),
+    FaultKind.RESPONSES_LOST: (RequiredKey.SIZE, RequiredKey.ENDPOINTS),
+    FaultKind.RESPONSES_DELAYED: (RequiredKey.SIZE, RequiredKey.ENDPOINTS),
+    FaultKind.RESPONSES_CORRUPT: (RequiredKey.SIZE, RequiredKey.ENDPOINTS),
+    FaultKind.CONNECTION_LIMIT: (RequiredKey.SIZE, RequiredKey.ENDPOINTS),
+    FaultKind.ENDPOINT_CRASH: (RequiredKey.ENDPOINTS,),
+    FaultKind.ENDPOINT_REPLACED: (RequiredKey.ENDPOINTS,),
+    FaultKind.ENDPOINT_DRAIN: (RequiredKey.ENDPOINTS,),
+    FaultKind.ZONE_DOWN: (RequiredKey.ZONE,),
+    FaultKind.ZONE_PARTITIONED: (RequiredKey.ZONE,),
+    FaultKind.COUNTER_SLOW: (RequiredKey.SIZE,),
     FaultKind.COUNTER_SILENT: (),
     FaultKind.COUNTER_REJECTS: (),
     FaultKind.COUNTER_EMPTY: (),
-    FaultKind.COUNTER_STALE: (Need.SIZE,),
+    FaultKind.COUNTER_STALE: (RequiredKey.SIZE,),
     FaultKind.COUNTER_SPLIT: (),
-    FaultKind.DISCOVERY_DELAYED: (Need.SIZE,),
+    FaultKind.DISCOVERY_DELAYED: (RequiredKey.SIZE,),
     FaultKind.DISCOVERY_SILENT: (),
     FaultKind.DISCOVERY_MOVED: (),
-    FaultKind.GATEWAY_RESTART: (Need.PART,),
-    FaultKind.GATEWAY_KILL: (Need.PART,),
-    FaultKind.GATEWAY_PAUSE: (Need.PART,),
-    FaultKind.LOAD_SURGE: (Need.SIZE,),
-    FaultKind.CLIENTS_LEAVE: (Need.SIZE,),
+    FaultKind.GATEWAY_RESTART: (RequiredKey.PART,),
+    FaultKind.GATEWAY_KILL: (RequiredKey.PART,),
+    FaultKind.GATEWAY_PAUSE: (RequiredKey.PART,),
+    FaultKind.LOAD_SURGE: (RequiredKey.SIZE,),
+    FaultKind.CLIENTS_LEAVE: (RequiredKey.SIZE,),
 }
-WITHOUT_DURATION = (
+DURATION_OPTIONAL_KINDS = (
     FaultKind.ENDPOINT_REPLACED,
     FaultKind.ENDPOINT_DRAIN,
     FaultKind.GATEWAY_RESTART,
@@ -116,7 +116,7 @@
     FaultKind.COUNTER_STALE,
     FaultKind.DISCOVERY_MOVED,
 )
-"""Kinds that may do without `for_s`."""
+"""Kinds of faults for which `for_s` is optional."""
 COUNTER_FAULTS = (
     FaultKind.COUNTER_SLOW,
     FaultKind.COUNTER_SILENT,
@@ -128,60 +128,60 @@
 TARGET_KEYS = ("part", "zone", "worker")
 
 
-def _raise_mistakes(mistakes: list[str]) -> None:
-    """Raises one ValueError that names all mistakes."""
-    if mistakes:
-        raise ValueError("; ".join(mistakes))
+def _raise_errors(errors: list[str]) -> None:
+    """Raises one ValueError that lists all errors, if there are any."""
+    if errors:
+        raise ValueError("; ".join(errors))
 
 
 class Fault(Section):
-    """`[[trouble]]`: what goes wrong, from `at_s` for `for_s`, how much of it, and to whom."""
+    """`[[trouble]]`: a fault to inject at `at_s` for `for_s`, its size and its targets."""
 
-    kind: Annotated[FaultKind, Field(strict=False)]  # a file holds its name
+    kind: Annotated[FaultKind, Field(strict=False)]  # files contain the value as a string
     at_s: Amount
     for_s: Amount = 0.0
     size: Amount | None = None
-    """A factor, a share, milliseconds or a count, as the kind says."""
+    """A factor, a share, milliseconds or a count, depending on the kind."""
     part: Fraction | None = None
     zone: Name | None = None
     worker: Annotated[int, Field(ge=0)] | None = None
     product: Name | None = None
 
     @model_validator(mode="after")
-    def check_needs(self) -> Fault:
-        """Raises ValueError where a key is missing that the kind needs, or given that it has no use for."""
-        _raise_mistakes([f"{self.kind.value!r} {mistake}" for mistake in self._mistakes()])
+    def check_required_keys(self) -> Fault:
+        """Raises ValueError if a key that the kind requires is missing, or an unused one is given."""
+        _raise_errors([f"{self.kind.value!r} {error}" for error in self._errors()])
         return self
 
     @property
     def duration_ms(self) -> float:
-        """How long it lasts; 0 where it is not ended."""
+        """Duration of the fault; 0 if it is never reverted."""
         return self.for_s * 1000.0
 
-    def _mistakes(self) -> Iterator[str]:
-        needs = NEEDS[self.kind]
+    def _errors(self) -> Iterator[str]:
+        required = REQUIRED_KEYS[self.kind]
         targets = [key for key in TARGET_KEYS if getattr(self, key) is not None]
-        yield from self._missing(needs, targets)
-        if not self.for_s and self.kind not in WITHOUT_DURATION:
+        yield from self._missing_keys(required, targets)
+        if not self.for_s and self.kind not in DURATION_OPTIONAL_KINDS:
             yield "needs for_s"
-        if self.size is not None and Need.SIZE not in needs:
-            yield "has no size"
+        if self.size is not None and RequiredKey.SIZE not in required:
+            yield "does not take size"
         if self.product is not None and self.kind is not FaultKind.ENDPOINT_FAILING:
-            yield "has no product"
-        if targets and not {Need.ENDPOINTS, *targets} & set(needs):
-            yield f"is aimed at nobody, found {' and '.join(targets)}"
+            yield "does not take product"
+        if targets and not {RequiredKey.ENDPOINTS, *targets} & set(required):
+            yield f"does not take {' and '.join(targets)}"
 
-    def _missing(self, needs: tuple[Need, ...], targets: list[str]) -> Iterator[str]:
-        for need in needs:
-            if need is Need.ENDPOINTS:
+    def _missing_keys(self, required: tuple[RequiredKey, ...], targets: list[str]) -> Iterator[str]:
+        for key in required:
+            if key is RequiredKey.ENDPOINTS:
                 if len(targets) != 1:
                     yield f"needs one of part, zone and worker, found {' and '.join(targets) or 'none'}"
-            elif getattr(self, need) is None:
-                yield f"needs {need}"
+            elif getattr(self, key) is None:
+                yield f"needs {key}"
 
 
 class FleetSection(Section):
-    """`[fleet]`: how many gateways and endpoints, and the network between them."""
+    """`[fleet]`: the numbers of gateways and endpoints, and the latency of the network."""
 
     gatekeepers: Annotated[int, Field(ge=1, le=1000)] = 3
     workers: Annotated[int, Field(ge=1, le=1000)] = 8
@@ -190,13 +190,13 @@
     cross_zone_ms: Amount = 1.0
     client_ms: Amount = 0.5
     front_notices_ms: Amount = 1500.0
-    """Until the load balancer in front takes a dead gateway out of rotation."""
+    """Time until the load balancer takes a dead gateway out of rotation."""
     restart_ms: Amount = 1000.0
-    """From the end of a gateway's process to its next start."""
+    """Time from the end of a gateway's process to its next start."""
 
 
 class EndpointSection(Section):
-    """`[worker]`: what all endpoints can do."""
+    """`[worker]`: capacity, limits and recovery times that all endpoints share."""
 
     cores: Annotated[int, Field(ge=1, le=256)] = 2
     speed: PositiveAmount = 1.0
@@ -205,63 +205,63 @@
     connections: Count = 1000
     handshake_ms: Amount = 1.0
     down_ms: Amount = 5000.0
-    """How long an endpoint that was overloaded while warming up stays down."""
+    """How long an endpoint stays down after it was overloaded while warming up."""
     dead_noticed_ms: Amount = 3000.0
-    """Until an endpoint that crashed is taken off the endpoint list."""
+    """Time until a crashed endpoint is removed from the endpoint list."""
 
 
 class CounterSection(Section):
-    """`[counter]`: the shared counter."""
+    """`[counter]`: latency and capacity of the shared counter."""
 
     one_way_ms: Amount = 0.5
     call_ms: Amount = 0.5
     calls_per_s: PositiveAmount = 2000.0
     line: Count = 500
-    """Calls that wait their turn; beyond it they are rejected."""
+    """Length of the queue of calls; further calls are rejected."""
 
 
 class DiscoverySection(Section):
-    """`[discovery]`: how late gateways hear of a change of the endpoint list."""
+    """`[discovery]`: delay until gateways receive a change of the endpoint list."""
 
     delay_ms: Amount = 300.0
     spread_ms: Amount = 200.0
 
 
 class CustomersSection(Section):
-    """`[[customers]]`: how many customers of one plan, through how many gateways, and what they ask."""
+    """`[[customers]]`: a group of customers of one plan, their number of gateways and their load."""
 
     plan: Name
     number: Count
     gatekeepers: Count = 2
     use: Annotated[float, Field(gt=0, le=100)] = 0.4
-    """Share of the quota that a customer asks."""
+    """Share of its quota that a customer requests on average."""
     heavy: Fraction = 0.1
-    """Share of the customers that ask `heavy_x` as much."""
+    """Share of the customers that request `heavy_x` times as much."""
     heavy_x: Annotated[float, Field(ge=1, le=100)] = 3.0
 
 
 class LoadStepSection(Section):
-    """`[[load]]`: from `at_s` on, customers ask `factor` times their own rates."""
+    """`[[load]]`: from `at_s` on, all request rates are multiplied by `factor`, until the next step."""
 
     at_s: Amount
     factor: Amount
 
 
 class ClientsSection(Section):
-    """`[clients]`: how clients behave."""
+    """`[clients]`: retries, timeouts and early disconnects of clients."""
 
     retries: Annotated[int, Field(ge=0, le=10)] = 2
     backoff_ms: Amount = 100.0
     observe: Fraction = 0.8
-    """Share of retries that observe Retry-After."""
+    """Share of retries that observe Retry-After; the others wait for a random backoff."""
     patience: Annotated[float, Field(gt=0, le=1)] = 0.5
-    """An attempt is given at least this share of the time left to its request."""
+    """Minimum timeout of an attempt, as a share of the time until the request's deadline."""
     leave: Fraction = 0.0
-    """Share of attempts whose client disconnects early."""
+    """Share of attempts whose client disconnects before it has a response."""
 
 
 class WorkSection(Section):
-    """`[[work]]`: the share of one request class, and what a request costs an endpoint of speed 1."""
+    """`[[work]]`: the share of one request class, and its processor time on an endpoint of speed 1."""
 
     product: Name
     share: PositiveAmount
@@ -270,7 +270,7 @@
 
 
 class Scenario(Section):
-    """A scenario file."""
+    """A scenario file as a whole; `seconds` is the duration of the load."""
 
     version: Literal[1]
     name: Name
@@ -283,7 +283,7 @@
     allowed: AllowedSection = AllowedSection()
     clients: ClientsSection = ClientsSection()
     units_spread: Fraction = 0.4
-    """How far a request's true units may be from those stated."""
+    """Maximum relative difference between a request's true units and the units that the client states."""
     product: Annotated[list[RequestClassSection], Field(min_length=1)]
     plan: Annotated[list[PlanSection], Field(min_length=1)]
     work: Annotated[list[WorkSection], Field(min_length=1)]
@@ -293,18 +293,18 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> Scenario:
-        """Raises ValueError where tables contradict each other or the load is out of bounds."""
+        """Raises ValueError if tables contradict each other or the load exceeds MAX_REQUESTS."""
         require_unique([section.name for section in self.product], "product")
         require_unique([section.name for section in self.plan], "plan")
         require_unique(self.fleet.zones, "fleet.zones")
-        _raise_mistakes([*self._table_mistakes(), *self._fault_mistakes()])
-        if self.expected_requests() > MAX_REQUESTS:
+        _raise_errors([*self._reference_errors(), *self._fault_errors()])
+        if self.max_expected_requests() > MAX_REQUESTS:
             raise ValueError(
-                f"the scenario would ask {self.expected_requests():.0f} requests, more than {MAX_REQUESTS}"
+                f"the scenario may send {self.max_expected_requests():.0f} requests, more than {MAX_REQUESTS}"
             )
         return self
 
-    def _table_mistakes(self) -> Iterator[str]:
+    def _reference_errors(self) -> Iterator[str]:
         plans = {section.name: section for section in self.plan}
         class_names = sorted(section.name for section in self.product)
         if sorted(section.product for section in self.work) != class_names:
@@ -313,17 +313,17 @@
             if group.plan not in plans:
                 yield f"customers[{position}].plan: no such plan {group.plan!r}"
             elif not plans[group.plan].units_per_s:
-                yield f"customers[{position}].plan: {group.plan!r} has no rate that use could be a part of"
+                yield f"customers[{position}].plan: {group.plan!r} has no units_per_s that use could apply to"
             if group.gatekeepers > self.fleet.gatekeepers:
-                yield f"customers[{position}].gatekeepers: there are {self.fleet.gatekeepers}"
+                yield f"customers[{position}].gatekeepers: the fleet has only {self.fleet.gatekeepers}"
 
-    def _fault_mistakes(self) -> Iterator[str]:
-        """Faults that could not happen."""
+    def _fault_errors(self) -> Iterator[str]:
+        """Yields an error for each fault that cannot take effect in this scenario."""
         class_names = [section.name for section in self.product]
         for position, fault in enumerate(self.trouble, 1):
             where = f"trouble[{position}] ({fault.kind})"
             if fault.at_s >= self.seconds:
-                yield f"{where}: begins at {fault.at_s:g} s, after the scenario's {self.seconds:g} s"
+                yield f"{where}: starts at {fault.at_s:g} s, after the scenario's end at {self.seconds:g} s"
             if fault.zone is not None and fault.zone not in self.fleet.zones:
                 yield f"{where}: no such zone {fault.zone!r}"
             if fault.worker is not None and fault.worker >= self.fleet.workers:
@@ -334,15 +334,15 @@
                 yield f"{where}: the scenario has no counter"
 
     def mean_units(self) -> float:
-        """Units that a request states on average."""
+        """Mean of the units that clients state, which are drawn uniformly."""
         return (1 + int(self.allowed.most_units)) / 2
 
     def longest_deadline_ms(self) -> float:
-        """The longest time that a client of any class waits."""
+        """Longest deadline of any request class."""
         return max(section.expiry_ms for section in self.product)
 
-    def expected_requests(self) -> float:
-        """Upper estimate of what its clients ask: its whole length at the highest load step."""
+    def max_expected_requests(self) -> float:
+        """Upper estimate of the number of requests: the highest load step for the whole duration."""
         rates = {section.name: section.units_per_s for section in self.plan}
         units_per_s = sum(
             group.number * rates[group.plan] * group.use * (1 + group.heavy * (group.heavy_x - 1))
@@ -353,9 +353,9 @@
 
 
 def read_scenario(path: str) -> Scenario:
-    """Reads and checks a scenario file.
+    """Reads and validates a scenario file.
 
     Raises:
-        FileError: where it cannot be read or holds a mistake.
+        FileError: if the file cannot be read or is not a valid scenario.
     """
     return read_file(path, Scenario, VERSION)
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -31,7 +31,7 @@
     RunEnded,
 )
 from drumgw.testbed.metrics import run_figures
-from drumgw.testbed.scenario import COUNTER_FAULTS, NEEDS, FaultKind
+from drumgw.testbed.scenario import COUNTER_FAULTS, REQUIRED_KEYS, FaultKind
 from drumgw.testbed.virtual_runner import VirtualRunner
 from drumgw.testbed.workload import Workload
 from tests.scenarios import make_scenario, play
@@ -94,7 +94,7 @@
         It begins and ends once, something of it can be seen, and the gateways keep all rules under it. A
         fault of the counter shows only where customers reach their quotas, so the load is higher there.
         """
-        self.assertEqual(set(FAULT_KEYS), set(FAULTS) & set(NEEDS))
+        self.assertEqual(set(FAULT_KEYS), set(FAULTS) & set(REQUIRED_KEYS))
         without_fault = {
             (seconds, use): visible_effects(play(make_scenario(seconds=seconds, use=use))[0])
             for seconds, use in ((3, 0.4), (4, 2.0))
