--- a/drumgw/testbed/virtual_endpoint_client.py
+++ b/drumgw/testbed/virtual_endpoint_client.py
@@ -1,7 +1,7 @@
-"""A virtual gateway's connections to endpoints: what the gateway's HTTP client does on sockets.
+"""A virtual gateway's connections to endpoints, in place of the HTTP client of a gateway on sockets.
 
-Connections are opened and kept, attempts are written and answered over a network that takes time, and what is
-aborted closes its connection.
+It emulates connecting, the reuse of idle connections, and network latency for requests and responses.
+Aborting an attempt closes its connection.
 """
 
 from __future__ import annotations
@@ -17,50 +17,50 @@
 from drumgw.testbed.environment import Environment
 from drumgw.testbed.logged_events import EndpointOutcome
 
-OUTCOMES = {
+OUTCOME_BY_ENDPOINT_OUTCOME = {
     EndpointOutcome.SUCCEEDED: Outcome.SUCCEEDED,
     EndpointOutcome.FAILED: Outcome.FAILED,
     EndpointOutcome.REJECTED: Outcome.REJECTED,
     EndpointOutcome.CONNECTION_RESET: Outcome.BROKEN_RESPONSE,
     EndpointOutcome.CORRUPT_RESPONSE: Outcome.BROKEN_RESPONSE,
 }
-BROKEN_CONNECTION = (EndpointOutcome.CONNECTION_RESET, EndpointOutcome.CORRUPT_RESPONSE)
-"""The connection is not used again."""
+CONNECTION_CLOSING_OUTCOMES = (EndpointOutcome.CONNECTION_RESET, EndpointOutcome.CORRUPT_RESPONSE)
+"""Outcomes after which the connection cannot be reused."""
 
 
 class AttemptKey(NamedTuple):
-    """One attempt of a gateway's request."""
+    """Identifies an attempt by its request and its number within the request."""
 
     request_id: int
     attempt: int
 
 
 class AttemptOwner(Protocol):
-    """The gateway that attempts belong to."""
+    """What the endpoint client needs of the gateway that it belongs to."""
 
     number: int
     is_alive: bool
 
     def call_after(self, delay_ms: float, callback: Callable[[], None]) -> TimerHandle:
-        """Calls back after this time, later where the gateway is paused then."""
+        """Runs a callback after a delay, or after the gateway's pause if it is paused then."""
 
     def run_unless_paused(self, callback: Callable[[], None]) -> None:
-        """Calls back now, or as soon as the gateway is not paused any more; never once it has ended."""
+        """Runs a callback now, or after the gateway's pause; not at all if the gateway has ended."""
 
     def read_update(self) -> None:
-        """Applies what the discovery agent has."""
+        """Applies the latest endpoint list of the discovery agent."""
 
     def client_attempt(self, request_id: int) -> ClientAttempt | None:
-        """What the client sent; None where it has been answered or has gone."""
+        """Returns the client's attempt; None if it was answered or the client has disconnected."""
 
     def attempt_ended(
         self, key: AttemptKey, outcome: Outcome, billed_units: float = 0.0, made_for: str = ""
     ) -> None:
-        """An attempt has ended by itself."""
+        """Handles the end of an attempt that the gateway did not abort."""
 
 
 class ForwardedAttempt:
-    """An attempt that waits for its connection, is on its way, or runs."""
+    """An attempt in flight: it waits for a connection, is being sent, or runs at the endpoint."""
 
     __slots__ = ("key", "endpoint", "one_way_ms", "received", "is_written", "is_aborted")
 
@@ -69,13 +69,13 @@
         self.endpoint = endpoint
         self.one_way_ms = one_way_ms
         self.received: ReceivedAttempt | None = None
-        """What the endpoint gets; from the moment that it is written."""
+        """The attempt as the endpoint receives it; None until it is written."""
         self.is_written = False
         self.is_aborted = False
 
 
 class VirtualEndpointClient:
-    """The attempts of one gateway that are in flight, and its idle connections."""
+    """The attempts in flight and the idle connections of one gateway."""
 
     def __init__(self, environment: Environment, owner: AttemptOwner) -> None:
         self._environment = environment
@@ -83,10 +83,10 @@
         self._owner = owner
         self._attempts: dict[AttemptKey, ForwardedAttempt] = {}
         self._idle_since: dict[str, list[float]] = {}
-        """By endpoint name: since when each kept connection has been idle."""
+        """Start of the idle time of each idle connection, by endpoint name."""
 
     def forward(self, key: AttemptKey, endpoint: EmulatedEndpoint) -> None:
-        """Sends an attempt over an idle connection, or over a new one."""
+        """Sends an attempt over an idle connection, or opens a new one if there is none."""
         one_way_ms = self._environment.one_way_ms(self._owner.number, endpoint)
         attempt = ForwardedAttempt(key, endpoint, one_way_ms)
         self._attempts[key] = attempt
@@ -96,7 +96,7 @@
             self._connect(attempt)
 
     def abort(self, key: AttemptKey) -> None:
-        """Closes an attempt's connection at once; its end is not reported."""
+        """Aborts an attempt and closes its connection, without a report to the gateway."""
         attempt = self._attempts.pop(key, None)
         if attempt is None:
             return
@@ -107,16 +107,16 @@
                 attempt.endpoint.abandon(attempt.received)
 
     def abort_all(self) -> None:
-        """Closes all connections with an attempt in flight."""
+        """Aborts all attempts in flight."""
         for key in list(self._attempts):
             self.abort(key)
 
     def forget(self, key: AttemptKey) -> None:
-        """An attempt's end is being reported."""
+        """Drops an attempt whose end is being reported, so that later events for it are ignored."""
         self._attempts.pop(key, None)
 
     def stop_sending_to(self, endpoint: EmulatedEndpoint) -> None:
-        """Withdraws attempts that are not written yet, and keeps no idle connection."""
+        """Ends attempts that are not written yet as not sent, and drops the endpoint's idle connections."""
         self._idle_since.pop(endpoint.name, None)
         unwritten = [
             attempt
@@ -134,14 +134,14 @@
         return self._attempts.get(attempt.key) is attempt
 
     def _take_idle_connection(self, endpoint: EmulatedEndpoint) -> bool:
-        """Whether there was one; those idle for longer than half of the endpoint's limit are closed."""
+        """Takes an idle connection, if any; closes those idle for more than half of the endpoint's limit."""
         idle_since = self._idle_since.get(endpoint.name, [])
-        oldest_ms = self._clock.now() - self._environment.scenario.allowed.idle_ms / 2
-        fresh = [since_ms for since_ms in idle_since if since_ms > oldest_ms]
-        for _ in range(len(idle_since) - len(fresh)):
+        idle_cutoff_ms = self._clock.now() - self._environment.scenario.allowed.idle_ms / 2
+        reusable = [since_ms for since_ms in idle_since if since_ms > idle_cutoff_ms]
+        for _ in range(len(idle_since) - len(reusable)):
             endpoint.connection_closed(self._owner.number)
-        self._idle_since[endpoint.name] = fresh[:-1]
-        return bool(fresh)
+        self._idle_since[endpoint.name] = reusable[:-1]
+        return bool(reusable)
 
     def _connect(self, attempt: ForwardedAttempt) -> None:
         endpoint = attempt.endpoint
@@ -167,7 +167,7 @@
             attempt.endpoint.connection_closed(self._owner.number)
 
     def _write(self, attempt: ForwardedAttempt) -> None:
-        """Writes it, unless what discovery told meanwhile withdraws it."""
+        """Writes an attempt, unless an update of the endpoint list has just withdrawn it."""
         self._owner.read_update()
         endpoint = attempt.endpoint
         if not self._is_current(attempt):
@@ -181,7 +181,7 @@
             client_attempt.attempt_id if client_attempt is not None else "",
             client_attempt,
             self._owner.number,
-            partial(self._endpoint_ended, attempt),
+            partial(self._attempt_ended_at_endpoint, attempt),
         )
 
         def reach_endpoint() -> None:
@@ -191,10 +191,10 @@
         if not self._environment.is_partitioned(self._owner.number, endpoint.zone):
             self._clock.call_at(written_ms + attempt.one_way_ms, reach_endpoint)
 
-    def _endpoint_ended(
+    def _attempt_ended_at_endpoint(
         self, attempt: ForwardedAttempt, received: ReceivedAttempt, outcome: EndpointOutcome
     ) -> None:
-        """The endpoint has answered, or broken the connection: that is on its way back."""
+        """Schedules the arrival of a response, or of a connection reset, at the gateway."""
         if self._environment.is_partitioned(self._owner.number, attempt.endpoint.zone):
             return
         billed_units = 0.0
@@ -213,8 +213,8 @@
     ) -> None:
         if not self._is_current(attempt):
             return
-        if outcome in BROKEN_CONNECTION:
+        if outcome in CONNECTION_CLOSING_OUTCOMES:
             attempt.endpoint.connection_closed(self._owner.number)
         else:
             self._idle_since.setdefault(attempt.endpoint.name, []).append(self._clock.now())
-        self._owner.attempt_ended(attempt.key, OUTCOMES[outcome], billed_units, made_for)
+        self._owner.attempt_ended(attempt.key, OUTCOME_BY_ENDPOINT_OUTCOME[outcome], billed_units, made_for)
