--- a/drumgw/testbed/virtual_gateway.py
+++ b/drumgw/testbed/virtual_gateway.py
@@ -1,7 +1,7 @@
-"""A gateway on the virtual clock: the request lifecycle and the policy engine, without their I/O.
+"""A gateway on the virtual clock: the real request lifecycle and policy engine, without I/O.
 
-What surrounds them on sockets (client connections, the connection pool, the discovery and counter clients) is
-emulated as far as it decides nothing.
+The components around them (client connections, connection pool, discovery client and counter client) are
+emulated here; they make no decisions of their own.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
 from drumgw.testbed.virtual_endpoint_client import AttemptKey, VirtualEndpointClient
 
 EngineFactory = Callable[[int, GatewaySettings], PolicyEngineProtocol]
-"""Makes a policy engine from a seed and its settings."""
+"""Creates a policy engine from a seed and the gateway's settings."""
 
 
 class VirtualGateway:
-    """One gateway process, from its start to its end."""
+    """One gateway process; a restart creates a new instance."""
 
     def __init__(
         self, environment: Environment, number: int, seed: int, engine_factory: EngineFactory
@@ -50,47 +50,47 @@
         self.is_alive = True
         self.is_stopping = False
         self.list_generation: int | None = None
-        """Of the endpoint list; None before the agent was heard."""
+        """Generation of the endpoint list; None before the first update from the discovery agent."""
         settings, self._names = read_settings(environment.gateway_settings(number))
         self.lifecycle = RequestLifecycle(engine_factory(seed, settings), settings)
         self.client_attempts: dict[int, ClientAttempt] = {}
-        """By request id: what clients wait for."""
+        """Client attempts without a response, by request id."""
         self.request_ids: dict[str, int] = {}
-        """The same, by the client's attempt."""
+        """Request ids of the same attempts, by attempt id."""
         self._endpoint_client = VirtualEndpointClient(environment, self)
-        self._listed: dict[int, EmulatedEndpoint] = {}
-        """By endpoint id: endpoints of the list."""
+        self._endpoints_by_id: dict[int, EmulatedEndpoint] = {}
+        """Endpoints of the endpoint list, by endpoint id."""
         self._not_ready_ids: set[int] = set()
-        """Endpoints that drain or were removed."""
+        """Ids of endpoints that are draining or were removed."""
         self._paused_until_ms = 0.0
         self.execute(self.lifecycle.start(self.clock.now(), EndpointsUpdated(True, ())))
 
     # Time
 
     def call_at(self, at_ms: float, callback: Callable[[], None]) -> TimerHandle:
-        """Calls back at this time, later where the gateway is paused then."""
+        """Runs a callback at a time, or after the gateway's pause if it is paused then."""
         return self.clock.call_at(at_ms, partial(self.run_unless_paused, callback))
 
     def call_after(self, delay_ms: float, callback: Callable[[], None]) -> TimerHandle:
-        """Calls back after this time, later where the gateway is paused then."""
+        """Runs a callback after a delay, or after the gateway's pause if it is paused then."""
         return self.call_at(self.clock.now() + delay_ms, callback)
 
     def run_unless_paused(self, callback: Callable[[], None]) -> None:
-        """Calls back now, or as soon as the gateway is not paused any more; never once it has ended."""
+        """Runs a callback now, or after the gateway's pause; not at all if the gateway has ended."""
         if self._paused_until_ms > self.clock.now():
             self.clock.call_at(self._paused_until_ms, partial(self.run_unless_paused, callback))
         elif self.is_alive:
             callback()
 
     def pause(self, duration_ms: float) -> None:
-        """What reaches the gateway in this time waits until its end."""
+        """Pauses the process: callbacks that are due meanwhile run when the pause ends."""
         self._paused_until_ms = self.clock.now() + duration_ms
         self.lifecycle.stalled_ms += duration_ms
 
     # Discovery
 
     def watch(self) -> None:
-        """Reads what the agent has and watches for more; a silent agent is asked again."""
+        """Reads the agent's updates and watches for the next; polls again if the agent does not answer."""
         if not self.is_alive:
             return
         discovery = self.environment.discovery
@@ -101,7 +101,7 @@
         discovery.watchers[self.number] = partial(self.run_unless_paused, self.watch)
 
     def read_update(self) -> None:
-        """Applies what the agent has; done before anything is written to an endpoint, too."""
+        """Applies a pending update of the endpoint list; also called before each write to an endpoint."""
         discovery = self.environment.discovery
         if discovery.is_silent:
             return
@@ -111,18 +111,18 @@
             self.execute(self.lifecycle.endpoints_updated(self.clock.now(), endpoints))
 
     def apply_update(self, update: ListUpdate) -> EndpointsUpdated:
-        """Takes over an update of the endpoint list, and returns the engine's event for it."""
+        """Applies an update of the endpoint list and returns the event for the policy engine."""
         endpoints: list[EndpointInfo] = []
         for row in update["instances"]:
             info = self._read_row(row)
             endpoints.append(info)
             if info.status is EndpointStatus.READY:
-                self._listed[info.endpoint_id] = self.environment.endpoints[row["instanceId"]]
+                self._endpoints_by_id[info.endpoint_id] = self.environment.endpoints[row["instanceId"]]
                 self._not_ready_ids.discard(info.endpoint_id)
-            elif info.endpoint_id in self._listed:
+            elif info.endpoint_id in self._endpoints_by_id:
                 self._stop_sending_to(info.endpoint_id, is_removed=info.status is EndpointStatus.REMOVED)
         if update["reset"]:
-            for endpoint_id in set(self._listed) - {info.endpoint_id for info in endpoints}:
+            for endpoint_id in set(self._endpoints_by_id) - {info.endpoint_id for info in endpoints}:
                 self._stop_sending_to(endpoint_id, is_removed=True)
         self.list_generation = update["generation"]
         return EndpointsUpdated(update["reset"], tuple(endpoints))
@@ -140,14 +140,14 @@
 
     def _stop_sending_to(self, endpoint_id: int, is_removed: bool) -> None:
         self._not_ready_ids.add(endpoint_id)
-        self._endpoint_client.stop_sending_to(self._listed[endpoint_id])
+        self._endpoint_client.stop_sending_to(self._endpoints_by_id[endpoint_id])
         if is_removed:
-            del self._listed[endpoint_id]
+            del self._endpoints_by_id[endpoint_id]
 
     # Commands of the request lifecycle
 
     def execute(self, commands: list[Command]) -> None:
-        """Carries the lifecycle's commands out, in their order."""
+        """Executes commands of the request lifecycle in order."""
         for command in commands:
             match command:
                 case StartAttempt():
@@ -178,7 +178,7 @@
     # Clients
 
     def receive(self, attempt: ClientAttempt) -> None:
-        """A client's request is read; late, where the gateway was paused."""
+        """Reads a client's request, which may have waited for the end of a pause."""
         now = self.clock.now()
         arrival = attempt.request.arrival
         customer = arrival.customer
@@ -202,14 +202,14 @@
         self.execute(commands)
 
     def client_disconnected(self, attempt: ClientAttempt) -> None:
-        """The client has closed its connection."""
+        """Handles a client that closed its connection before it had a response."""
         request_id = self.request_ids.pop(attempt.attempt_id, None)
         if request_id is not None:
             self.client_attempts.pop(request_id, None)
             self.execute(self.lifecycle.client_disconnected(self.clock.now(), request_id))
 
     def respond(self, response: SendResponse) -> None:
-        """Sends a response to the client that waits for it."""
+        """Sends a response to the client, unless it has disconnected."""
         attempt = self.client_attempts.pop(response.request_id, None)
         if attempt is None:
             return
@@ -226,14 +226,14 @@
         )
 
     def client_attempt(self, request_id: int) -> ClientAttempt | None:
-        """What the client sent; None where it has been answered or has gone."""
+        """Returns the client's attempt; None if it was answered or the client has disconnected."""
         return self.client_attempts.get(request_id)
 
     # Endpoints
 
     def _forward(self, command: StartAttempt) -> None:
         key = AttemptKey(command.request_id, command.attempt)
-        endpoint = self._listed.get(command.endpoint_id)
+        endpoint = self._endpoints_by_id.get(command.endpoint_id)
         if endpoint is None or command.endpoint_id in self._not_ready_ids:
             self.call_after(0.0, partial(self.attempt_ended, key, Outcome.NOT_SENT))
         else:
@@ -242,7 +242,7 @@
     def attempt_ended(
         self, key: AttemptKey, outcome: Outcome, billed_units: float = 0.0, made_for: str = ""
     ) -> None:
-        """An attempt has ended by itself."""
+        """Handles the end of an attempt that the gateway did not abort."""
         self._endpoint_client.forget(key)
         self.execute(
             self.lifecycle.attempt_ended(
@@ -253,7 +253,7 @@
     # The shared counter
 
     def _call_counter(self, command: AddToCounter) -> None:
-        """Calls the counter; its reply or the timeout counts, whichever comes first."""
+        """Calls the shared counter; the reply or the timeout is handled, whichever comes first."""
         counter = self.environment.counter
         section = self.environment.scenario.counter
         assert counter is not None
@@ -283,10 +283,10 @@
         timeout_ms = self.environment.scenario.allowed.counter_wait_ms
         self.call_after(timeout_ms, partial(finish, Outcome.TIMED_OUT, 0.0))
 
-    # Its end
+    # Termination
 
     def stop(self) -> None:
-        """The process has ended, or was killed: its connections are reset."""
+        """Marks the process as ended or killed, and closes its connections to clients and endpoints."""
         self.is_alive = False
         self._endpoint_client.abort_all()
         for endpoint in self.environment.endpoints.values():
