--- a/drumgw/testbed/virtual_runner.py
+++ b/drumgw/testbed/virtual_runner.py
@@ -1,6 +1,6 @@
-"""Plays a scenario on the virtual clock: hundreds of gateways in one process, in no time of their own.
+"""Runs a scenario on the virtual clock: hundreds of gateways in one process, without waiting in real time.
 
-The same seed gives the same event log, byte for byte.
+Runs with the same seed produce the same event log, byte for byte.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 from drumgw.testbed.workload import RandomUse
 
 START_MS = 1_700_000_000_000.0
-"""Unix time at the start; any time will do, but each run needs the same."""
+"""Unix time at the start of each run; the value is arbitrary, but must be the same for all runs."""
 GATEWAY_READY_MS = 300.0
-"""From a gateway's start until it takes clients."""
+"""Time from a gateway's start until it accepts clients."""
 SHUTDOWN_CHECK_MS = 10.0
-"""How often a gateway that shuts down is looked at for requests in flight."""
+"""Interval at which a gateway that is shutting down is checked for requests in flight."""
 
 
 class VirtualRunner:
-    """All gateways of a run, and how clients' attempts and faults reach them."""
+    """The gateways of a run; delivers clients' attempts to them and applies faults to them."""
 
     gateway_class: type[VirtualGateway] = VirtualGateway
-    """Tests put faulty gateways in its place."""
+    """Tests override this with faulty gateways."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self._gateways = [self._start_gateway(number) for number in range(scenario.fleet.gatekeepers)]
 
     def run(self) -> EventLog:
-        """Plays the scenario to its end and returns the event log."""
+        """Runs the scenario to its end and returns the event log."""
         for gateway in self._gateways:
             gateway.watch()
         self.clock.run_until(START_MS + GATEWAY_READY_MS)
@@ -64,17 +64,17 @@
         self.environment.log_run_end()
         return self.event_log
 
-    # The clients' attempts
+    # Client attempts
 
     def send(self, attempt: ClientAttempt) -> None:
-        """Sends a client's attempt to its gateway."""
-        self._after(self._fleet.client_ms, partial(self._deliver, attempt))
+        """Delivers a client's attempt to its gateway after the network latency."""
+        self._call_after(self._fleet.client_ms, partial(self._deliver, attempt))
 
     def cancel(self, attempt: ClientAttempt) -> None:
-        """The client closes its connection to the gateway."""
+        """Closes the client's connection to the gateway."""
         gateway = self._gateways[attempt.gateway]
         disconnect = partial(gateway.client_disconnected, attempt)
-        self._after(self._fleet.client_ms, partial(gateway.run_unless_paused, disconnect))
+        self._call_after(self._fleet.client_ms, partial(gateway.run_unless_paused, disconnect))
 
     def _deliver(self, attempt: ClientAttempt) -> None:
         gateway = self._gateways[attempt.gateway]
@@ -83,41 +83,44 @@
         if gateway.is_alive:
             gateway.run_unless_paused(partial(gateway.receive, attempt))
         else:
-            self._after(self._fleet.client_ms, partial(self.environment.clients.connect_failed, attempt))
+            self._call_after(self._fleet.client_ms, partial(self.environment.clients.connect_failed, attempt))
 
-    # What faults do to gateways
+    # Faults of gateways
 
     def restart(self, gateway: int) -> None:
-        """Shuts a gateway down gracefully: it takes clients for a while, finishes its requests, and ends."""
+        """Shuts a gateway down gracefully and starts it again.
+
+        It still accepts clients while the load balancer takes it out of rotation, and completes its requests.
+        """
         process = self._gateways[gateway]
         if process.is_stopping or not process.is_alive:
             return
         process.is_stopping = True
         self._log_state(gateway, GatewayState.STOPPING)
-        self._after(DRAIN_NOTICED_MS, lambda: self.environment.clients.set_in_rotation(gateway, False))
-        self._after(SHUTDOWN_LINGER_MS, partial(self._finish_shutdown, process))
+        self._call_after(DRAIN_NOTICED_MS, lambda: self.environment.clients.set_in_rotation(gateway, False))
+        self._call_after(SHUTDOWN_LINGER_MS, partial(self._finish_shutdown, process))
 
     def kill(self, gateway: int) -> None:
-        """Kills a gateway's process; it is started again later."""
+        """Kills a gateway's process, and starts a new one after `restart_ms`."""
         process = self._gateways[gateway]
         if not process.is_alive:
             return
         self._log_state(gateway, GatewayState.KILLED)
         process.stop()
-        self._after(self._fleet.front_notices_ms, partial(self._notice_death, gateway))
-        self._after(self._fleet.restart_ms, partial(self._start_again, gateway))
+        self._call_after(self._fleet.front_notices_ms, partial(self._remove_dead_from_rotation, gateway))
+        self._call_after(self._fleet.restart_ms, partial(self._start_replacement, gateway))
 
     def pause(self, gateway: int, duration_ms: float) -> None:
-        """Stops a gateway's process for a time."""
+        """Suspends a gateway's process for a time."""
         self.event_log.add(
             GatewayChanged(self.clock.now(), gateway, GatewayState.PAUSED, duration_ms=duration_ms)
         )
         self._gateways[gateway].pause(duration_ms)
 
     def move_discovery(self) -> None:
-        """Does nothing: discovery has no address on the virtual clock."""
+        """Does nothing, as discovery has no address on the virtual clock."""
 
-    # Starts and ends
+    # Start and shutdown
 
     def _start_gateway(self, number: int) -> VirtualGateway:
         self._log_state(number, GatewayState.STARTED)
@@ -129,33 +132,33 @@
         if not gateway.is_alive:
             return
         if gateway.client_attempts:
-            self._after(SHUTDOWN_CHECK_MS, partial(self._finish_shutdown, gateway))
+            self._call_after(SHUTDOWN_CHECK_MS, partial(self._finish_shutdown, gateway))
             return
         gateway.execute(gateway.lifecycle.gateway_stopping(self.clock.now()))
         gateway.stop()
         self._log_state(gateway.number, GatewayState.ENDED)
-        self._after(self._fleet.restart_ms, partial(self._start_again, gateway.number))
+        self._call_after(self._fleet.restart_ms, partial(self._start_replacement, gateway.number))
 
-    def _start_again(self, number: int) -> None:
+    def _start_replacement(self, number: int) -> None:
         gateway = self._start_gateway(number)
         self._gateways[number] = gateway
         gateway.watch()
-        self._after(GATEWAY_READY_MS, partial(self._put_in_rotation, gateway))
+        self._call_after(GATEWAY_READY_MS, partial(self._put_in_rotation, gateway))
 
     def _put_in_rotation(self, gateway: VirtualGateway) -> None:
-        """Clients come once the gateway has heard its discovery agent, not before."""
+        """Adds a gateway to the load balancer's rotation, once it has the endpoint list."""
         if not gateway.is_alive:
             return
         if gateway.list_generation is None:
-            self._after(MAX_POLL_INTERVAL_MS, partial(self._put_in_rotation, gateway))
+            self._call_after(MAX_POLL_INTERVAL_MS, partial(self._put_in_rotation, gateway))
         else:
             self.environment.clients.set_in_rotation(gateway.number, True)
 
-    def _notice_death(self, number: int) -> None:
+    def _remove_dead_from_rotation(self, number: int) -> None:
         if not self._gateways[number].is_alive:
             self.environment.clients.set_in_rotation(number, False)
 
-    def _after(self, delay_ms: float, callback: Callable[[], None]) -> None:
+    def _call_after(self, delay_ms: float, callback: Callable[[], None]) -> None:
         self.clock.call_at(self.clock.now() + delay_ms, callback)
 
     def _log_state(self, gateway: int, state: GatewayState) -> None:
