--- a/drumgw/testbed/workload.py
+++ b/drumgw/testbed/workload.py
@@ -1,7 +1,6 @@
-"""What clients ask in a scenario, drawn ahead from its seed.
+"""The load of a scenario: customers and their requests, generated from the seed.
 
-Arrivals come at their times whatever was answered before (open-loop load): a slow gateway does not slow the
-load down.
+The load is open-loop: arrival times do not depend on responses, so a slow gateway does not reduce the load.
 """
 
 from __future__ import annotations
@@ -16,13 +15,13 @@
 from drumgw.testbed.scenario import CustomersSection, FaultKind, Scenario, WorkSection
 
 MIN_WORK_MS = 0.1
-GATEWAY_WEIGHT_BETWEEN = (0.3, 1.0)
-"""A customer's requests are dealt among its gateways by weights between these."""
+GATEWAY_WEIGHT_RANGE = (0.3, 1.0)
+"""Range of the random weights by which a customer's requests are distributed over its gateways."""
 MAX_CUSTOMER_NUMBER = 2**33
 
 
 class RandomUse(StrEnum):
-    """What random numbers are drawn for; the values are parts of the seeds and cannot change."""
+    """Uses of random numbers. The values are parts of the seeds and must not change."""
 
     CUSTOMER = "customer"
     ARRIVALS = "arrivals"
@@ -34,34 +33,35 @@
 
 
 class Customer(NamedTuple):
-    """One customer, its plan and how its requests come in."""
+    """A customer with its plan, its gateways and its request rate."""
 
     number: int
     plan: PlanSection
     gateways: tuple[int, ...]
-    """The gateways that its requests come in through; consecutive numbers."""
+    """Numbers of the gateways that receive its requests; consecutive, modulo the fleet size."""
     weights: tuple[float, ...]
-    """How its requests are dealt among them."""
+    """Relative share of its requests that each of these gateways receives."""
     requests_per_s: float
 
 
 class Arrival(NamedTuple):
-    """A request that a client wants answered."""
+    """A request of the load; its retries are not arrivals."""
 
     at_ms: float
-    """Since the load began."""
+    """Time since the start of the load."""
     number: int
     customer: Customer
     request_class: RequestClassSection
     units: int
-    """Estimated cost, as the client states it."""
+    """Cost as estimated and stated by the client."""
     true_units: int
+    """Cost that the endpoint bills."""
     work_ms: float
-    """Processor time that it costs an endpoint of speed 1."""
+    """Processor time on an endpoint of speed 1."""
 
 
 class _ArrivalTime(NamedTuple):
-    """An arrival of one customer, before its content is drawn."""
+    """Time and customer of an arrival; the rest is drawn from `random` later."""
 
     at_s: float
     customer_number: int
@@ -70,28 +70,30 @@
 
 
 class Workload:
-    """The customers of a scenario and their arrivals."""
+    """Generates the customers of a scenario and their arrivals."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self._scenario = scenario
         self._seed = seed
         self._request_classes = {section.name: section for section in scenario.product}
         self._plans = {section.name: section for section in scenario.plan}
-        self.customers = [customer for group in scenario.customers for customer in self._draw_group(group)]
+        self.customers = [
+            customer for group in scenario.customers for customer in self._draw_customers(group)
+        ]
 
     def random_stream(self, use: RandomUse, *names: object) -> random.Random:
-        """A random source for one use: one more draw from it changes no other."""
+        """Returns an independent random stream: draws from one do not affect the others."""
         return random.Random("/".join(map(str, (self._seed, use, *names))))
 
     def arrivals(self) -> Iterator[Arrival]:
-        """All arrivals in the order of their times; never all in memory at once."""
+        """Yields all arrivals in chronological order, generated lazily to save memory."""
         peak_factor = self._peak_factor()
         streams = [self._arrival_times(customer, peak_factor) for customer in self.customers]
         merged = heapq.merge(*streams, key=lambda time: (time.at_s, time.customer_number))
         for number, time in enumerate(merged):
             yield self._draw_arrival(time, number)
 
-    def _draw_group(self, group: CustomersSection) -> Iterator[Customer]:
+    def _draw_customers(self, group: CustomersSection) -> Iterator[Customer]:
         plan = self._plans[group.plan]
         fleet_size = self._scenario.fleet.gatekeepers
         for index in range(group.number):
@@ -105,12 +107,12 @@
                 number=number,
                 plan=plan,
                 gateways=gateways,
-                weights=tuple(stream.uniform(*GATEWAY_WEIGHT_BETWEEN) for _ in gateways),
+                weights=tuple(stream.uniform(*GATEWAY_WEIGHT_RANGE) for _ in gateways),
                 requests_per_s=plan.units_per_s * quota_share / self._scenario.mean_units(),
             )
 
     def _load_factor(self, at_s: float) -> float:
-        """How much more is asked at this moment than the customers' own rates say."""
+        """Factor on the customers' request rates at a time: that of the load step, times any load surges."""
         factor = 1.0
         for step in self._scenario.load:
             if step.at_s <= at_s:
@@ -121,7 +123,7 @@
         return factor
 
     def _peak_factor(self) -> float:
-        """The largest load factor of the scenario."""
+        """Largest load factor of the scenario; it changes only where a step or a surge starts or ends."""
         change_times = [0.0, *(step.at_s for step in self._scenario.load)]
         for fault in self._scenario.trouble:
             if fault.kind is FaultKind.LOAD_SURGE:
@@ -129,7 +131,7 @@
         return max(self._load_factor(at_s) for at_s in change_times)
 
     def _arrival_times(self, customer: Customer, peak_factor: float) -> Iterator[_ArrivalTime]:
-        """A Poisson process at the peak rate, thinned to the rate of each moment."""
+        """Draws a Poisson process at the peak rate and thins it to the rate at each time."""
         stream = self.random_stream(RandomUse.ARRIVALS, customer.number)
         peak_rate = customer.requests_per_s * peak_factor
         if peak_rate <= 0:
@@ -142,8 +144,8 @@
 
     def _draw_arrival(self, time: _ArrivalTime, number: int) -> Arrival:
         stream = time.random
-        kinds = self._scenario.work
-        work = stream.choices(kinds, [kind.share for kind in kinds])[0]
+        sections = self._scenario.work
+        work = stream.choices(sections, [section.share for section in sections])[0]
         units = stream.randint(1, int(self._scenario.allowed.most_units))
         spread = self._scenario.units_spread
         true_units = max(1, round(units * stream.uniform(1 - spread, 1 + spread)))
