--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -1,4 +1,4 @@
-"""The testbed as a whole: every kind of fault, the load, the same log from the same seed, the figures."""
+"""The testbed as a whole: all kinds of faults, the load, reproducible runs, and the figures."""
 
 from __future__ import annotations
 
@@ -65,34 +65,35 @@
     FaultKind.LOAD_SURGE: "size = 5; for_s = 1",
     FaultKind.CLIENTS_LEAVE: "size = 0.5; for_s = 1",
 }
-"""For each kind, what it needs in a short scenario beside its kind and time."""
-WITHOUT_EFFECT_ALONE = (
+"""Keys of a fault of each kind in a short scenario, besides `kind` and `at_s`."""
+KINDS_WITHOUT_VISIBLE_EFFECT = (
     FaultKind.DISCOVERY_DELAYED,
     FaultKind.DISCOVERY_SILENT,
     FaultKind.DISCOVERY_MOVED,
 )
-"""They show only where the endpoint list changes, or on sockets."""
+"""They show only if the endpoint list changes meanwhile, or on sockets."""
 
 
 def fault_keys(kind: FaultKind) -> str:
-    """A fault of this kind, one second after the start."""
+    """Returns the keys of a fault of this kind that starts one second into the run."""
     return "; ".join(filter(None, (f'kind = "{kind}"', "at_s = 1", FAULT_KEYS[kind])))
 
 
 def visible_effects(event_log: EventLog) -> list[LoggedEvent]:
-    """What clients and endpoints did, without the times."""
+    """Returns the events of clients, endpoints and discovery that a fault can change, without their times."""
     kinds = AttemptSent | ResponseReceived | EndpointFinished | EndpointAnnounced
     return [dataclasses.replace(event, time_ms=0.0) for event in event_log.events if isinstance(event, kinds)]
 
 
 class FaultTest(unittest.TestCase):
-    """Gateways on the virtual clock, under faults."""
+    """Runs on the virtual clock with injected faults."""
 
-    def test_every_kind_of_fault_strikes_and_no_rule_is_broken(self) -> None:
-        """Each kind of fault strikes a short scenario, alone.
+    def test_every_kind_of_fault_takes_effect_and_no_rule_is_broken(self) -> None:
+        """Each kind of fault is injected into a short scenario, one kind per run.
 
-        It begins and ends once, something of it can be seen, and the gateways keep all rules under it. A
-        fault of the counter shows only where customers reach their quotas, so the load is higher there.
+        Guards against faults that have no effect and against gateways that break a rule under a fault. Each
+        fault starts and ends once, and the run differs from one without it. Counter faults show only if
+        customers reach their quotas, so the load is higher for them.
         """
         self.assertEqual(set(FAULT_KEYS), set(FAULTS) & set(REQUIRED_KEYS))
         without_fault = {
@@ -113,15 +114,15 @@
                 self.assertEqual(seen, [FaultStarted, FaultEnded] if has_end else [FaultStarted])
                 failures = [event for event in event_log.events if isinstance(event, EngineFailed)]
                 self.assertEqual(failures, [])
-                if kind not in WITHOUT_EFFECT_ALONE:
+                if kind not in KINDS_WITHOUT_VISIBLE_EFFECT:
                     has_effect = visible_effects(event_log) != without_fault[seconds, use]
-                    self.assertTrue(has_effect, "it changes nothing")
+                    self.assertTrue(has_effect, "the fault has no visible effect")
 
     def test_faults_at_the_same_time(self) -> None:
-        """Nine faults strike in the same second.
+        """Nine faults start at the same time.
 
-        Among them a zone goes down whose endpoints are just being replaced. No rule is broken, and a good
-        part of the load is still served.
+        Guards against faults that interfere with each other: among them, a zone goes down while its endpoints
+        are being replaced. No rule is broken, and more than a fifth of the load's value is still earned.
         """
         kinds = (
             FaultKind.ENDPOINT_SLOW,
@@ -140,10 +141,10 @@
             self.assertEqual(violations, [])
             self.assertGreater(run_figures(event_log, scenario)["whole"]["served"], 0.2)
 
-    def test_a_fault_strikes_nobody_who_is_down_already(self) -> None:
-        """An endpoint that is down is crashed again, and gateways that were just killed are killed again.
+    def test_a_fault_skips_targets_that_are_down_already(self) -> None:
+        """A crash fault hits an endpoint that is down, and a kill fault gateways that were just killed.
 
-        Each goes down once: the second fault finds nobody.
+        Guards against a second crash or kill of the same process: each goes down only once.
         """
         scenario = make_scenario(
             'kind = "crash"; at_s = 1; worker = 3; for_s = 1.5',
@@ -158,11 +159,11 @@
         self.assertEqual(endpoint_states.count(EndpointState.DOWN), 1)
         self.assertEqual(gateway_states.count(GatewayState.KILLED), 3)
 
-    def test_starts_while_discovery_is_silent_wait_for_it(self) -> None:
-        """Discovery is silent for two seconds; in this time endpoints are replaced and gateways killed.
+    def test_gateways_started_while_discovery_is_silent_wait_for_it(self) -> None:
+        """Discovery is silent for two seconds, in which endpoints are replaced and gateways killed.
 
-        The gateways that start then have not heard their agents. Nothing goes to an endpoint that has left,
-        and the fleet serves on afterwards.
+        Guards against gateways that start without an endpoint list and forward to endpoints that were
+        removed. The fleet keeps serving afterwards.
         """
         scenario = make_scenario(
             'kind = "list lost"; at_s = 1; for_s = 2',
@@ -177,37 +178,37 @@
 
 
 class RecordingSender:
-    """Keeps the attempts that clients send."""
+    """Records the attempts that clients send, and delivers none."""
 
     def __init__(self) -> None:
         self.sent: list[ClientAttempt] = []
 
     def send(self, attempt: ClientAttempt) -> None:
-        """Keeps the attempt."""
+        """Records the attempt."""
         self.sent.append(attempt)
 
     def cancel(self, attempt: ClientAttempt) -> None:
-        """Does nothing."""
+        """Ignores the cancellation."""
 
 
 class LoadTest(unittest.TestCase):
-    """Arrivals and clients."""
+    """Arrivals of requests, and retries by clients."""
 
-    def test_arrivals_wait_for_no_response_and_follow_the_load(self) -> None:
+    def test_arrivals_do_not_depend_on_responses_and_follow_the_load(self) -> None:
         scenario = make_scenario('kind = "rush"; at_s = 1; size = 4; for_s = 1')
         times_ms = [arrival.at_ms for arrival in Workload(scenario, 3).arrivals()]
         self.assertEqual(times_ms, sorted(times_ms))
         per_second = [sum(n * 1000 <= at_ms < n * 1000 + 1000 for at_ms in times_ms) for n in range(3)]
         self.assertGreater(per_second[1], 2 * max(per_second[0], per_second[2]))
         slow_log, _ = play(make_scenario('kind = "slow"; at_s = 0; part = 1; size = 40; for_s = 3'))
-        calm_log, _ = play(make_scenario())
-        slow_requests, calm_requests = (
+        normal_log, _ = play(make_scenario())
+        slow_requests, normal_requests = (
             [(event.request, event.intended_ms) for event in log.events if isinstance(event, RequestCreated)]
-            for log in (slow_log, calm_log)
+            for log in (slow_log, normal_log)
         )
-        self.assertEqual(slow_requests, calm_requests)
+        self.assertEqual(slow_requests, normal_requests)
 
-    def test_clients_retry_only_where_that_is_harmless(self) -> None:
+    def test_clients_retry_only_where_that_is_safe(self) -> None:
         for class_name, status, attempts in (
             ("preview", 500, 2),
             ("preview", 503, 2),
@@ -228,17 +229,17 @@
                 clock.run_until(400.0)
                 self.assertEqual(len(sender.sent), attempts)
                 attempt_ids = {attempt.attempt_id for attempt in sender.sent}
-                self.assertEqual(len(attempt_ids), attempts, "each attempt has an id of its own")
+                self.assertEqual(len(attempt_ids), attempts, "attempts of a request share an id")
 
 
 class RunTest(unittest.TestCase):
-    """Runs and their figures."""
+    """Validity, reproducibility and figures of runs."""
 
-    def test_a_testbed_that_falls_behind_says_so(self) -> None:
-        """The machine is too slow, and a tenth of the requests are sent late.
+    def test_a_run_is_invalid_if_the_testbed_sent_late_or_the_log_is_cut_off(self) -> None:
+        """The testbed sends a tenth of the requests late, as on a machine that is too slow.
 
-        What the testbed itself delayed must not pass for the gateways' loss: the run is invalid. So is one
-        whose log was cut off.
+        Guards against counting delays by the testbed as failures of the gateways: the run is invalid. A run
+        whose event log was cut off is invalid too.
         """
         scenario = make_scenario()
         event_log = VirtualRunner(scenario, 1).run()
