--- a/tests/test_testbed_oracle.py
+++ b/tests/test_testbed_oracle.py
@@ -1,4 +1,4 @@
-"""The oracle: gateways that are broken on purpose break just their rule, and honest ones none."""
+"""Tests of the oracle: it finds exactly the rule that a faulty gateway breaks, and none in a correct one."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 class BrokenGatewayTest(unittest.TestCase):
-    """A fleet of broken gateways against a fleet of honest ones, in the same scenario."""
+    """Runs the same scenario with correct gateways and with gateways that have a deliberate fault."""
 
     def broken_rules(self, scenario: Scenario, **broken: Any) -> set[str]:
-        """What the broken gateways break; honest ones keep the rules in the same scenario."""
+        """Returns the rules that faulty gateways break; checks that correct ones break none."""
         self.assertEqual(play(scenario)[1], [])
         _, violations = play(scenario, **broken)
         for violation in violations:
@@ -44,27 +44,27 @@
         return {violation.rule for violation in violations}
 
     def test_retries_what_may_have_run(self) -> None:
-        """Half of the connections are reset after the request was written, and the gateway forwards again.
+        """The gateway forwards again after a connection reset, although the request may have run.
 
-        The request may run twice.
+        Half of the attempts have their connection reset after the request was written.
         """
         scenario = make_scenario('kind = "resets"; at_s = 0.5; part = 1; size = 0.5; for_s = 2')
         self.assertEqual(self.broken_rules(scenario, engine=scenarios.RetryingEngine), {"doubled"})
 
     def test_rejects_what_may_have_run(self) -> None:
-        """Endpoints fail, and the gateway says that nothing was done, so that clients send again."""
+        """The gateway rejects requests that failed at endpoints, so that clients retry what may have run."""
         scenario = make_scenario('kind = "failing"; at_s = 0.5; part = 0.7; for_s = 2')
         self.assertEqual(self.broken_rules(scenario, engine=scenarios.RejectingEngine), {"doubled"})
 
     def test_sends_to_draining_endpoints(self) -> None:
-        """Endpoints drain, and the gateway takes them for ready ones."""
+        """The gateway treats draining endpoints as ready."""
         scenario = make_scenario('kind = "drain"; at_s = 1; part = 0.4')
         self.assertEqual(self.broken_rules(scenario, gateway=scenarios.IgnoresDraining), {"drains"})
 
-    def test_starts_without_waiting_for_its_agent(self) -> None:
-        """Endpoints drain and all gateways are killed; the new ones go by the list of the run's beginning.
+    def test_starts_without_waiting_for_its_discovery_agent(self) -> None:
+        """Gateways that are started while endpoints drain use the endpoint list from the start of the run.
 
-        What the agent has counts from a process's first moment, whether the process read it or not.
+        The discovery agent's list binds a process from its start, whether the process has read it or not.
         """
         scenario = make_scenario(
             'kind = "drain"; at_s = 1; part = 0.4', 'kind = "kill"; at_s = 1.4; part = 1', seconds=5
@@ -72,28 +72,28 @@
         self.assertEqual(self.broken_rules(scenario, gateway=scenarios.DoesNotWaitForDiscovery), {"drains"})
 
     def test_forgets_responses(self) -> None:
-        """One request in twenty is never answered."""
+        """The gateway never answers one request in twenty."""
         self.assertEqual(self.broken_rules(make_scenario(), gateway=scenarios.ForgetsResponses), {"lost"})
 
     def test_mixes_responses(self) -> None:
-        """Clients get the responses made for others."""
+        """The gateway sends clients the responses to other attempts."""
         self.assertEqual(self.broken_rules(make_scenario(), gateway=scenarios.MixesResponses), {"lost"})
 
     def test_overloads_a_warming_endpoint(self) -> None:
-        """An endpoint is replaced by a cold one, and the gateway sends everything there."""
+        """The gateway sends all requests to an endpoint that has just been replaced and is cold."""
         scenario = make_scenario(
             'kind = "replace"; at_s = 1; worker = 0', cores=1, cold_from=0.05, fall_multiple=1.5
         )
         self.assertEqual(self.broken_rules(scenario, engine=scenarios.YoungestFirstEngine), {"pushed"})
 
-    def test_passes_ceilings(self) -> None:
-        """Customers ask four times their quota, and the gateway admits everything."""
+    def test_exceeds_ceilings(self) -> None:
+        """The gateway admits everything while customers send four times their quota."""
         scenario = make_scenario(use=4.0)
         self.assertEqual(self.broken_rules(scenario, engine=scenarios.NoQuotasEngine), {"ceilings"})
 
 
 def sent(class_name: str = "sold-copy") -> AttemptSent:
-    """A client's attempt at 100 ms that waits for 500 ms."""
+    """Returns the event of a client's attempt that is sent at 100 ms with a timeout of 500 ms."""
     return AttemptSent(
         100.0,
         attempt_id="x",
@@ -108,12 +108,12 @@
 
 
 def received(time_ms: float, receipt: int, endpoint: str = "w0") -> EndpointReceived:
-    """That attempt, received by an endpoint."""
+    """Returns the event of an endpoint that receives this attempt."""
     return EndpointReceived(time_ms, "x", receipt, endpoint, gateway=1, first_byte_ms=time_ms, work_ms=5.0)
 
 
 def started(endpoint: str, zone: str) -> EndpointChanged:
-    """An endpoint's warm start."""
+    """Returns the event of a warm start of an endpoint."""
     return EndpointChanged(
         1.0, endpoint, EndpointState.STARTED, zone=zone, cell=0, is_cold=False, cores=1, speed=1.0
     )
@@ -122,22 +122,22 @@
 def finished(
     time_ms: float, receipt: int, outcome: EndpointOutcome, has_run: bool = True
 ) -> EndpointFinished:
-    """The end of that attempt in an endpoint."""
+    """Returns the event of the end of this attempt at an endpoint."""
     return EndpointFinished(time_ms, "x", receipt, outcome, has_run)
 
 
 class HandWrittenLogTest(unittest.TestCase):
-    """The oracle on logs of a few events."""
+    """Checks the oracle on event logs of a few events."""
 
     def violations(self, *events: LoggedEvent) -> list[str]:
-        """Rule and description of each violation."""
+        """Returns rule and description of each violation in a log of these events."""
         event_log = EventLog(RunHeader(clock=ClockKind.VIRTUAL))
         for event in events:
             event_log.add(event)
         found = find_violations(event_log, make_scenario())
         return [f"{violation.rule}: {violation.description}" for violation in found]
 
-    def test_an_unanswered_attempt_is_told_from_one_whose_client_left(self) -> None:
+    def test_an_unanswered_attempt_is_distinguished_from_one_whose_client_left(self) -> None:
         self.assertEqual(self.violations(sent()), ["lost: still open when the run ended"])
         self.assertEqual(self.violations(sent(), ClientLeft(300.0, "x")), [])
         self.assertEqual(self.violations(sent(), ConnectFailed(300.0, "x")), [])
@@ -145,8 +145,9 @@
     def test_a_closed_connection_is_excused_by_a_kill_only(self) -> None:
         """A client's connection closes without a response.
 
-        That is the testbed's doing where it killed the gateway meanwhile, or just before: a connection
-        outlives its process for a moment. A gateway that was started again since is not excused.
+        It is no violation if the testbed killed the gateway during the attempt or just before it, as a
+        connection can stay open briefly after its process was killed. It is one if the gateway was started
+        again before the attempt.
         """
         closed = ConnectionClosed(300.0, "x")
         self.assertEqual(self.violations(sent(), closed), ["lost: connection closed without a response"])
@@ -156,7 +157,7 @@
         started_again = GatewayChanged(80.0, 1, GatewayState.STARTED)
         self.assertEqual(len(self.violations(killed_before, started_again, sent(), closed)), 1)
 
-    def test_one_response_in_time(self) -> None:
+    def test_late_and_second_responses_are_violations(self) -> None:
         late = ResponseReceived(700.0, "x", 503, made_for="")
         self.assertEqual(self.violations(sent(), late), ["lost: answered 92 ms too late"])
         first = ResponseReceived(400.0, "x", 503, made_for="")
@@ -164,10 +165,10 @@
         self.assertEqual(self.violations(sent(), first, second), ["lost: answered twice"])
 
     def test_a_request_with_a_key_stays_in_its_zone_and_is_not_hedged(self) -> None:
-        """A request with an idempotency key has failed, and is sent again.
+        """A request with an idempotency key fails at an endpoint and is forwarded again.
 
-        Endpoints of one zone share the memory of keys. In that zone the repeat is allowed once the first
-        attempt has ended; in another only where the first attempt did not run.
+        The endpoints of a zone share a deduplication store. Within the zone, a repeat is allowed once the
+        first attempt has ended; in another zone, only if the first attempt did not run.
         """
         places = [started("w0", "a"), started("w1", "b"), started("w2", "a")]
         first = [*places, sent("booking"), received(110.0, 1)]
@@ -190,12 +191,12 @@
             ["doubled: hedged request, although hedging is not allowed"],
         )
 
-    def test_a_new_process_is_not_bound_by_what_its_predecessor_heard(self) -> None:
-        """An endpoint drains, and an attempt reaches it long after the grace time.
+    def test_a_new_process_is_not_bound_by_announcements_to_the_previous_one(self) -> None:
+        """An attempt reaches a draining endpoint long after the grace period.
 
-        The gateway had word of it, unless its process was started after that word.
+        It is a violation, unless the gateway's process was started after the announcement.
         """
-        word = EndpointAnnounced(20.0, 1, "w0", Lifecycle.DRAINING, started_at_ms=0.0)
+        announcement = EndpointAnnounced(20.0, 1, "w0", Lifecycle.DRAINING, started_at_ms=0.0)
         served = [
             sent(),
             received(400.0, 1),
@@ -203,10 +204,11 @@
             ResponseReceived(420.0, "x", 200, made_for="x"),
         ]
         self.assertEqual(
-            self.violations(word, *served), ["drains: sent to w0, announced as draining 380 ms before"]
+            self.violations(announcement, *served),
+            ["drains: sent to w0, announced as draining 380 ms before"],
         )
         restarted = GatewayChanged(60.0, 1, GatewayState.STARTED)
-        self.assertEqual(self.violations(word, restarted, *served), [])
+        self.assertEqual(self.violations(announcement, restarted, *served), [])
 
     def test_what_no_client_sent_is_a_duplicate(self) -> None:
         self.assertEqual(
