--- a/examples/host_stand_ins.py
+++ b/examples/host_stand_ins.py
@@ -1,4 +1,4 @@
-"""What the host examples share: stand-ins for what a host talks to, its file, and its process."""
+"""Shared by the host examples: a stub server for what a host talks to, its host file, and its process."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 PLAN = {"name": "basic", "units_per_s": 100000.0, "burst_units": 100000.0}
 
 
-class StandIns:
-    """An endpoint that answers at once, a discovery that lists it, and a counter that adds, on one port.
+class StubServer:
+    """Serves as an endpoint, as a discovery that lists this endpoint, and as a counter, on one port.
 
     Attributes:
-        address: host:port, once it serves.
+        address: host:port; empty until `open` has returned.
     """
 
     def __init__(self) -> None:
         self.address = ""
-        self._totals: dict[str, float] = {}  # of the counter, by path
+        self._totals: dict[str, float] = {}  # the counter's totals, by request path
 
     async def open(self) -> None:
-        """Serves on a free port."""
+        """Listens on a free port."""
         server = await asyncio.get_running_loop().create_server(web.Server(self.handle), "127.0.0.1", 0)
         self.address = "{}:{}".format(*server.sockets[0].getsockname())
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers as the part that the path names."""
+        """Answers as discovery, counter or endpoint, depending on the path."""
         await request.read()
         if request.path.startswith("/registry"):
             return await self._list_endpoints(request)
@@ -45,11 +45,11 @@
         return await self.answer(request)
 
     async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers as the endpoint."""
+        """Answers as the endpoint; subclasses override it to add a delay."""
         return web.Response(text="ok")
 
     async def _list_endpoints(self, request: web.BaseRequest) -> web.Response:
-        if "since" in request.query:  # a watch: nothing ever changes
+        if "since" in request.query:  # a long poll for changes, of which there are none
             await asyncio.sleep(float(request.query["timeout_ms"]) / 1000)
             return web.json_response({"generation": 1, "reset": False, "instances": []})
         endpoint = {
@@ -71,7 +71,7 @@
 
 
 def host_file(tenant_count: int, address: str) -> str:
-    """Returns an operator's file of tenants t0, t1, ... that all use the stand-ins at an address."""
+    """Returns a host file with tenants t0, t1, ... that all use the stub server at this address."""
     tenants = [
         {
             "name": f"t{n}",
@@ -92,7 +92,7 @@
 
 
 def _inline_toml(value: object) -> str:
-    """Returns a value as TOML; but for the tables it looks as in JSON."""
+    """Returns a value as inline TOML, which differs from JSON in its tables only."""
     if isinstance(value, dict):
         return "{ " + ", ".join(f"{key} = {_inline_toml(item)}" for key, item in value.items()) + " }"
     if isinstance(value, list):
@@ -102,7 +102,11 @@
 
 @contextlib.asynccontextmanager
 async def running_host(tenant_count: int, address: str) -> AsyncIterator[asyncio.subprocess.Process]:
-    """Starts `drumgw host`, waits until all tenants are served, and ends it afterwards."""
+    """Starts `drumgw host`, waits until all tenants are ready, and terminates it on exit.
+
+    Raises:
+        RuntimeError: the host exited before all tenants were ready.
+    """
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "host.toml"
         path.write_text(host_file(tenant_count, address))
@@ -110,12 +114,12 @@
             sys.executable, "-O", "-m", "drumgw.cli", "host", str(path), stderr=asyncio.subprocess.PIPE
         )
         assert process.stderr is not None
-        served_count = 0
-        while served_count < tenant_count:
+        ready_count = 0
+        while ready_count < tenant_count:
             line = await process.stderr.readline()
             if not line:
-                raise RuntimeError("the host ended before it served")
-            served_count += b": serves" in line
+                raise RuntimeError("the host exited before all tenants were ready")
+            ready_count += b": ready, " in line
         reading_log = asyncio.create_task(process.stderr.read())
         try:
             yield process
@@ -126,7 +130,7 @@
 
 
 def request_head(host: str, request_id: str, account: int, timeout_ms: int) -> bytes:
-    """Returns a request of one unit."""
+    """Returns a GET request of one unit; the host name selects the tenant."""
     return (
         f"GET /preview?account={account:016x} HTTP/1.1\r\nHost: {host}\r\n"
         f"Request-Id: {request_id}\r\nPlan: basic\r\nRequest-Timeout: {timeout_ms}m\r\n"
