--- a/examples/host_cost.py
+++ b/examples/host_cost.py
@@ -1,10 +1,10 @@
-"""What a request and a tenant cost a host: CPU and memory with 1, 20 and 200 tenants, on loopback.
+"""Measures the CPU and memory that a host uses with 1, 20 and 200 tenants, on loopback.
 
     python examples/host_cost.py [REQUESTS]
 
-Starts `drumgw host` for each number, with one stand-in for all endpoints, discoveries and counters in this
-process, sends it requests on sixteen connections, and reads what the kernel booked for it. Ends what it
-started.
+For each number of tenants, starts `drumgw host` and sends it REQUESTS requests (default 8000) on sixteen
+connections. One stub server in this process is endpoint, discovery and counter of all tenants. CPU time and
+memory of the host are read from /proc, so this runs on Linux only.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import sys
 from dataclasses import dataclass
 
-from host_stand_ins import LISTEN, StandIns, request_head, running_host
+from host_stand_ins import LISTEN, StubServer, request_head, running_host
 
 TENANT_COUNTS = (1, 20, 200)
 CONNECTION_COUNT = 16
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True)
 class Usage:
-    """What a process used until now."""
+    """CPU time that a process has used since its start, and its resident memory."""
 
     cpu_ms: float
     memory_mb: float
 
 
 def read_usage(pid: int) -> Usage:
-    """Returns what the kernel booked for a process."""
+    """Reads the usage of a process from /proc."""
     stat = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1])
     user_ticks = int(stat[11])
@@ -46,12 +46,12 @@
 
 
 async def send_requests(tenant_count: int, connection: int, count: int) -> int:
-    """Sends requests to random tenants on one connection; returns how many were served."""
-    chance = random.Random(connection)
+    """Sends requests to random tenants on one connection, one at a time; returns how many got a 200."""
+    rng = random.Random(connection)
     served_count = 0
     reader, writer = await asyncio.open_connection(*LISTEN)
     for n in range(count):
-        host = f"t{chance.randrange(tenant_count)}.example"
+        host = f"t{rng.randrange(tenant_count)}.example"
         writer.write(request_head(host, f"{connection}-{n}", n % ACCOUNT_COUNT, REQUEST_TIMEOUT_MS))
         head = await reader.readuntil(b"\r\n\r\n")
         length = int(head.lower().partition(b"content-length: ")[2].split()[0])
@@ -62,7 +62,7 @@
 
 
 async def measure(tenant_count: int, address: str, request_count: int) -> str:
-    """Returns a line on the cost of a host with so many tenants."""
+    """Runs a host with this number of tenants; returns the line to print."""
     requests_per_connection = request_count // CONNECTION_COUNT
     async with running_host(tenant_count, address) as process:
         started = read_usage(process.pid)
@@ -83,12 +83,12 @@
 
 
 async def main() -> None:
-    """Measures each number of tenants."""
+    """Prints one line for each number of tenants."""
     request_count = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_REQUEST_COUNT
-    stand_ins = StandIns()
-    await stand_ins.open()
+    stub_server = StubServer()
+    await stub_server.open()
     for tenant_count in TENANT_COUNTS:
-        print(await measure(tenant_count, stand_ins.address, request_count))
+        print(await measure(tenant_count, stub_server.address, request_count))
 
 
 if __name__ == "__main__":
