--- a/examples/host_rush.py
+++ b/examples/host_rush.py
@@ -1,10 +1,11 @@
-"""What a tenant whose endpoints stall and whose clients rush does to nineteen others, on loopback.
+"""Measures how an overloaded tenant whose endpoint stalls affects nineteen other tenants of its host.
 
     python examples/host_rush.py [SEEDS]
 
-For each seed twice, without the rush and with it: the others' requests come at times drawn beforehand,
-whatever was answered. What they were served and how long it took is printed, and how much was rushed. Ends
-what it started.
+Runs each of SEEDS seeds (default 3) twice on loopback, without the overload and with it. The other tenants'
+requests are sent at random times that do not depend on the responses (an open loop). Prints for each run how
+many requests were sent to the overloaded tenant, how many of the others' requests were served, and their
+latency.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 from typing import NamedTuple
 
 from aiohttp import web
-from host_stand_ins import LISTEN, StandIns, request_head, running_host
+from host_stand_ins import LISTEN, StubServer, request_head, running_host
 
 OTHER_TENANT_COUNT = 19
-SECONDS = 8.0
+RUN_S = 8.0
 REQUESTS_PER_TENANT_PER_S = 6.0
-RUSHING_CLIENT_COUNT = 64
-WORK_MS = 20.0
+OVERLOAD_CLIENT_COUNT = 64
+SERVICE_TIME_MS = 20.0
 STALL_S = 3600.0
 ACCOUNT_COUNT = 40
 REQUEST_TIMEOUT_MS = 2000
@@ -29,24 +30,24 @@
 
 
 class Outcome(NamedTuple):
-    """How a request ended, and after how long since it was due."""
+    """The result of a request, and its latency, counted from the time at which it was due."""
 
     served: bool
-    took_ms: float
+    latency_ms: float
 
 
-class Endpoints(StandIns):
-    """The first tenant's endpoint is silent; the others' takes its time."""
+class SlowEndpoints(StubServer):
+    """A stub server whose endpoint stalls for tenant t0 and takes `SERVICE_TIME_MS` for the others."""
 
     async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers as the endpoint."""
+        """Answers as the endpoint, after the delay."""
         is_stalled = request.headers["Host"].startswith("t0.")
-        await asyncio.sleep(STALL_S if is_stalled else WORK_MS / 1000)
+        await asyncio.sleep(STALL_S if is_stalled else SERVICE_TIME_MS / 1000)
         return await super().answer(request)
 
 
 async def send_request(host: str, request_id: str) -> bool:
-    """Sends a request on a connection of its own; returns whether it was served."""
+    """Sends a request on a new connection; returns whether it got a 200."""
     reader, writer = await asyncio.open_connection(*LISTEN)
     try:
         account = sum(map(ord, request_id)) % ACCOUNT_COUNT
@@ -58,8 +59,8 @@
         writer.close()
 
 
-async def rush(end: float) -> int:
-    """Sends requests to the stalled tenant, each as soon as the one before is answered; returns how many."""
+async def overload(end: float) -> int:
+    """Sends requests to the stalled tenant, one after the other without a pause; returns their number."""
     loop = asyncio.get_running_loop()
     count = 0
     while loop.time() < end:
@@ -68,10 +69,10 @@
     return count
 
 
-async def send_others(seed: int, end: float) -> list[Outcome]:
-    """Sends the other tenants' requests at random times that do not depend on the answers."""
+async def send_at_random_times(seed: int, end: float) -> list[Outcome]:
+    """Sends requests to the other tenants as a Poisson process, whatever was answered before."""
     loop = asyncio.get_running_loop()
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     outcomes: list[Outcome] = []
 
     async def send_timed(host: str, request_id: str, due: float) -> None:
@@ -81,39 +82,39 @@
     tasks: list[asyncio.Task[None]] = []
     due = loop.time()
     while due < end:
-        due += chance.expovariate(OTHER_TENANT_COUNT * REQUESTS_PER_TENANT_PER_S)
+        due += rng.expovariate(OTHER_TENANT_COUNT * REQUESTS_PER_TENANT_PER_S)
         await asyncio.sleep(max(0.0, due - loop.time()))
-        host = f"t{1 + chance.randrange(OTHER_TENANT_COUNT)}.example"
+        host = f"t{1 + rng.randrange(OTHER_TENANT_COUNT)}.example"
         request_id = f"o{seed}-{len(tasks) + 1}"
         tasks.append(asyncio.create_task(send_timed(host, request_id, due)))
     await asyncio.gather(*tasks)
     return outcomes
 
 
-async def play(seed: int, is_rushing: bool, address: str) -> str:
-    """Returns a line on how the others fared."""
+async def run_once(seed: int, is_overloaded: bool, address: str) -> str:
+    """Starts a host and sends it the requests of one run; returns the line to print."""
     async with running_host(OTHER_TENANT_COUNT + 1, address):
-        end = asyncio.get_running_loop().time() + SECONDS
-        client_count = RUSHING_CLIENT_COUNT if is_rushing else 0
-        rushing = [asyncio.create_task(rush(end)) for _ in range(client_count)]
-        outcomes = await send_others(seed, end)
-        rushed_count = sum(await asyncio.gather(*rushing))
-    took_ms = sorted(outcome.took_ms for outcome in outcomes if outcome.served)
-    rushed = f"rush of {rushed_count}" if is_rushing else "no rush"
+        end = asyncio.get_running_loop().time() + RUN_S
+        client_count = OVERLOAD_CLIENT_COUNT if is_overloaded else 0
+        overload_tasks = [asyncio.create_task(overload(end)) for _ in range(client_count)]
+        outcomes = await send_at_random_times(seed, end)
+        overload_count = sum(await asyncio.gather(*overload_tasks))
+    latencies = sorted(outcome.latency_ms for outcome in outcomes if outcome.served)
+    load = f"overload of {overload_count}" if is_overloaded else "no overload"
     return (
-        f"seed {seed}, {rushed:>13}: {len(took_ms) / len(outcomes):.3f} of {len(outcomes)} served, "
-        f"p50 {took_ms[len(took_ms) // 2]:.0f} ms, p99 {took_ms[len(took_ms) * 99 // 100]:.0f} ms"
+        f"seed {seed}, {load:>17}: {len(latencies) / len(outcomes):.3f} of {len(outcomes)} served, "
+        f"p50 {latencies[len(latencies) // 2]:.0f} ms, p99 {latencies[len(latencies) * 99 // 100]:.0f} ms"
     )
 
 
 async def main() -> None:
-    """Plays each seed without the rush and with it."""
+    """Prints two lines for each seed: without the overload and with it."""
     seed_count = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SEED_COUNT
-    endpoints = Endpoints()
+    endpoints = SlowEndpoints()
     await endpoints.open()
     for seed in range(1, seed_count + 1):
-        for is_rushing in (False, True):
-            print(await play(seed, is_rushing, endpoints.address))
+        for is_overloaded in (False, True):
+            print(await run_once(seed, is_overloaded, endpoints.address))
 
 
 if __name__ == "__main__":
