--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,9 +1,9 @@
-"""A toy back end for one gateway: two endpoints, a counter and a discovery, on loopback.
+"""A toy back end for one gateway on loopback: two endpoints, a counter server and a discovery server.
 
     python examples/toy.py
 
-Each endpoint answers after 50 ms and says which it is. Type the name of an endpoint (toy-1 or toy-2) and
-Return to drain it or to bring it back; Ctrl-C ends.
+Each endpoint responds after 50 ms with its name. Type the name of an endpoint (toy-1 or toy-2) and Return to
+drain it, or to make it available again. Ctrl-C stops the back end.
 """
 
 from __future__ import annotations
@@ -22,55 +22,55 @@
 ENDPOINT_PORTS = {"toy-1": 9001, "toy-2": 9002}
 DISCOVERY_PORT = 8500
 COUNTER_PORT = 6400
-WORK_S = 0.05
-MAX_COUNT_AGE_S = 60.0
+SERVICE_TIME_S = 0.05
+MAX_TOTAL_AGE_S = 60.0
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
 class ToyEndpoints:
-    """Endpoints that do nothing for a while and say that they did."""
+    """Endpoints that wait for `SERVICE_TIME_S` and respond with their name."""
 
     def handler(self, name: str) -> Handler:
-        """Returns what the endpoint of this name does with a request."""
+        """Returns the request handler of the endpoint with this name."""
 
         async def handle(request: web.BaseRequest) -> web.StreamResponse:
             await request.read()
-            await asyncio.sleep(WORK_S)
+            await asyncio.sleep(SERVICE_TIME_S)
             print(f"{name}: {request.method} {request.path_qs}, id {request.headers.get('Request-Id')}")
-            headers = {"Billed-Units": "1", "Server-Load": f"TEXT mean_ms={WORK_S * 1000:.0f}"}
+            headers = {"Billed-Units": "1", "Server-Load": f"TEXT mean_ms={SERVICE_TIME_S * 1000:.0f}"}
             return web.Response(text=f"{name} did it\n", headers=headers)
 
         return handle
 
 
 @dataclass
-class Count:
-    """A named total and the time at which it is forgotten."""
+class Total:
+    """The sum under one key, and the monotonic time at which it expires."""
 
-    total: float
+    units: float
     expires_at: float
 
 
 class ToyCounter:
-    """A shared counter: `POST /counters/NAME?by=UNITS&expire_ms=MS` adds and answers with the total."""
+    """A shared counter: `POST /counters/KEY?by=UNITS&expire_ms=MS` adds the units and returns the total."""
 
     def __init__(self) -> None:
-        self.counts: dict[str, Count] = {}  # by name; expired ones are dropped at each call
+        self.totals: dict[str, Total] = {}  # by key; expired ones are removed at each call
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Adds to a count."""
+        """Adds the units of a call to the total of its key."""
         now = time.monotonic()
-        self.counts = {name: count for name, count in self.counts.items() if count.expires_at > now}
-        age_s = min(MAX_COUNT_AGE_S, float(request.query["expire_ms"]) / 1000)
-        name = request.path.rsplit("/", 1)[-1]
-        count = self.counts.setdefault(name, Count(0.0, now + age_s))
-        count.total += float(request.query["by"])
-        return web.Response(text=f"{count.total:.7g}")
+        self.totals = {key: total for key, total in self.totals.items() if total.expires_at > now}
+        age_s = min(MAX_TOTAL_AGE_S, float(request.query["expire_ms"]) / 1000)
+        key = request.path.rsplit("/", 1)[-1]
+        total = self.totals.setdefault(key, Total(0.0, now + age_s))
+        total.units += float(request.query["by"])
+        return web.Response(text=f"{total.units:.7g}")
 
 
 class ToyDiscovery:
-    """Discovery: the complete list at once; with `since` and `timeout_ms`, the next change."""
+    """Serves the endpoint list: at once, or as a long poll with `since` and `timeout_ms`."""
 
     def __init__(self) -> None:
         self.lifecycles = dict.fromkeys(ENDPOINT_PORTS, "up")
@@ -78,7 +78,7 @@
         self._changed = asyncio.Condition()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers with the list, or waits for a change."""
+        """Returns the complete list, or waits up to `timeout_ms` for one newer than generation `since`."""
         if "since" not in request.query:
             return self._list(is_complete=True)
         if int(request.query["since"]) < self.generation or await self._wait_for_change(request):
@@ -95,7 +95,7 @@
         return True
 
     async def toggle(self, name: str) -> None:
-        """Drains an endpoint, or brings it back."""
+        """Drains an endpoint, or makes it available again."""
         self.lifecycles[name] = "draining" if self.lifecycles[name] == "up" else "up"
         self.generation += 1
         async with self._changed:
@@ -125,7 +125,7 @@
 
 
 async def main() -> None:
-    """Serves until Ctrl-C, and toggles the endpoints that are typed."""
+    """Serves until Ctrl-C, and toggles the endpoints named on standard input."""
     loop = asyncio.get_running_loop()
     endpoints = ToyEndpoints()
     discovery = ToyDiscovery()
@@ -134,11 +134,11 @@
         handlers[port] = endpoints.handler(name)
     for port, handler in handlers.items():
         await loop.create_server(web.Server(handler), HOST, port)
-    print("toy-1 and toy-2 work; type a name to drain it or to bring it back")
+    print("toy-1 and toy-2 are up; type a name to drain the endpoint or to make it available again")
     while line := await asyncio.to_thread(sys.stdin.readline):
         if line.strip() in ENDPOINT_PORTS:
             await discovery.toggle(line.strip())
-    await asyncio.Event().wait()  # standard input has ended: nobody types
+    await asyncio.Event().wait()  # standard input is closed: keep serving until Ctrl-C
 
 
 if __name__ == "__main__":
