--- a/tests/crossing_case.py
+++ b/tests/race_case.py
@@ -108,7 +108,7 @@
             await asyncio.sleep(0.001)
 
 
-class CrossingCase(GatewayCase):
+class RaceCase(GatewayCase):
     """On uvloop, as the gateway runs in service."""
 
     @classmethod
@@ -186,7 +186,7 @@
         return lambda: self.gateway.clock.now() > end
 
 
-class WatchingCase(CrossingCase):
+class WatchingCase(RaceCase):
     """A scripted agent, which falls silent and comes back when its test says so."""
 
     async def open_watching_gateway(self, grace_ms: float) -> tuple[ManualPeer, GatewayProcess, list[str]]:
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_races.py
@@ -6,23 +6,23 @@
 from typing import Any
 from unittest import mock
 
-from tests.crossing_case import (
+from tests.gateway_case import (
+    POST_TARGET,
+    http_request,
+    raw_settings,
+)
+from tests.race_case import (
     KEYED,
     LARGE,
     ONE_ATTEMPT,
-    CrossingCase,
+    RaceCase,
     ScriptedConnection,
     wait_until,
 )
-from tests.gateway_case import (
-    POST_TARGET,
-    http_request,
-    raw_settings,
-)
 from tests.scripted_server import ScriptedServer, http_response
 
 
-class IdempotencyWindowTest(CrossingCase):
+class IdempotencyWindowTest(RaceCase):
     """The last byte of a retry with an idempotency key is sent within the key's window, or never."""
 
     async def open_with_failing_endpoint(self, other_address: str, **options: Any) -> ScriptedServer:
@@ -102,7 +102,7 @@
         self.assertEqual((await request_task)[0], 500)  # the window is over: a retry is not safe
 
 
-class PartialTransferTest(CrossingCase):
+class PartialTransferTest(RaceCase):
     """Whether a request may have been processed depends on how much of it was sent."""
 
     async def test_reset_before_the_last_byte_is_safe_to_retry(self) -> None:
@@ -177,7 +177,7 @@
             await self.close_gateway()
 
 
-class SecondResponseTest(CrossingCase):
+class SecondResponseTest(RaceCase):
     """An endpoint that responds twice: the second response is not taken for that of another request."""
 
     async def test_late_second_response_is_not_delivered_to_the_next_request(self) -> None:
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_connection_races.py
@@ -9,23 +9,23 @@
 
 from drumgw.gateway.client_connections import ClientConnection, ConnectionState
 from drumgw.gateway.responses import CompleteResponse
-from tests.crossing_case import (
-    BOUND_S,
-    LARGE,
-    CrossingCase,
-    ScriptedConnection,
-    wait_until,
-)
 from tests.gateway_case import (
     POST_TARGET,
     http_request,
     raw_settings,
 )
+from tests.race_case import (
+    BOUND_S,
+    LARGE,
+    RaceCase,
+    ScriptedConnection,
+    wait_until,
+)
 from tests.scripted_server import ScriptedServer, http_response
 from tests.test_simulator import REQUEST_CLASS
 
 
-class ConnectionClosingTest(CrossingCase):
+class ConnectionClosingTest(RaceCase):
     """Bytes that arrive while the gateway closes a connection."""
 
     async def open_idle_connection(self) -> tuple[ScriptedServer, ScriptedConnection]:
@@ -154,7 +154,7 @@
         )
 
 
-class ClientDisconnectTest(CrossingCase):
+class ClientDisconnectTest(RaceCase):
     """A client that disconnects while its request waits: nothing more is sent, all it held is released."""
 
     def is_everything_released(self) -> bool:
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_outages.py
@@ -4,16 +4,16 @@
 
 import asyncio
 
-from tests.crossing_case import (
+from tests.gateway_case import (
+    endpoint_row,
+    raw_config,
+)
+from tests.race_case import (
     GatewaySubprocess,
     ScriptedConnection,
     WatchingCase,
     wait_until,
 )
-from tests.gateway_case import (
-    endpoint_row,
-    raw_config,
-)
 from tests.scripted_server import http_response
 
 
--- a/tests/test_process_crossings.py
+++ b/tests/test_process_races.py
@@ -7,24 +7,24 @@
 import sys
 from typing import Any
 
-from tests.crossing_case import (
-    BOUND_S,
-    ONE_ATTEMPT,
-    CrossingCase,
-    GatewaySubprocess,
-    wait_until,
-)
 from tests.gateway_case import (
     endpoint_row,
     http_request,
     raw_config,
     raw_settings,
 )
+from tests.race_case import (
+    BOUND_S,
+    ONE_ATTEMPT,
+    GatewaySubprocess,
+    RaceCase,
+    wait_until,
+)
 from tests.scripted_server import http_response
 from tests.test_simulator import REQUEST_CLASS
 
 
-class SignalTest(CrossingCase):
+class SignalTest(RaceCase):
     """Signals at moments when their default action would kill the process."""
 
     async def test_sigterm_during_imports_exits_with_0(self) -> None:
@@ -76,7 +76,7 @@
         self.assertEqual(await process.run.wait(), 0)
 
 
-class BoundarySettingsTest(CrossingCase):
+class BoundarySettingsTest(RaceCase):
     """Settings with boundary values or without optional parts.
 
     The gateway must start, answer each request once, retry only as the settings allow, and keep no state of
