--- a/tests/test_policy_counter.py
+++ b/tests/test_policy_counter.py
@@ -103,7 +103,7 @@
         other.request(LOWER, 6.0, time_left_ms=2000.0)
         other.reply_from_counter(20.0)
         harness.trace += other.trace
-        self.assert_trace(harness, "beyond-quota-taken-back")
+        self.assert_trace(harness, "excess-usage-subtracted")
 
     def test_new_epoch_carries_over_the_usage_of_the_last(self) -> None:
         """A customer's counter key changes every 50 s, and the new key's total is 0.
@@ -150,7 +150,7 @@
         harness.reply_from_counter(50.0)
         while harness.counter_calls:
             harness.reply_from_counter(50.0 + harness.counter_calls[0].amount)
-        self.assert_trace(harness, "counter-emptied")
+        self.assert_trace(harness, "counter-totals-restored")
 
 
 class CounterAvailabilityTest(TraceCase):
