--- a/tests/gateway_case.py
+++ b/tests/gateway_case.py
@@ -142,10 +142,10 @@
         target: str = GET_TARGET,
         method: str = "GET",
         body: bytes = b"",
-        line: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None,
+        connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None,
         **headers: str | None,
     ) -> tuple[int, bytes, bytes]:
-        reader, writer = line or await self.connect()
+        reader, writer = connection or await self.connect()
         writer.write(http_request(target, method, body, **headers))
         head, answer = await read_message(reader)
         return int(head.split()[1]), answer, head
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -80,7 +80,7 @@
         await self.open_gateway(endpoint.address)
         connection = await self.connect()
         for _ in range(3):
-            self.assertEqual((await self.send_request(line=connection))[:2], (200, b"ok"))
+            self.assertEqual((await self.send_request(connection=connection))[:2], (200, b"ok"))
         self.assertEqual((len(endpoint.requests), endpoint.disconnected.is_set()), (3, False))
 
     async def test_a_request_on_a_broken_reused_connection_is_not_resent(self) -> None:
@@ -314,7 +314,7 @@
             for is_reused in (False, True) if data else (False,):
                 connection = await self.connect()
                 if is_reused:
-                    self.assertEqual((await self.send_request(line=connection))[0], 200)
+                    self.assertEqual((await self.send_request(connection=connection))[0], 200)
                 connection[1].write(data)
                 self.assertEqual(await asyncio.wait_for(connection[0].read(), 10), b"")  # reads until EOF
         self.assertEqual(
@@ -326,21 +326,21 @@
         await self.open_gateway_with_idle_timeout(60000.0, limits={"sockets": 34})
         first, *others = [await self.connect() for _ in range(3)]
         for connection in (first, *others):
-            self.assertEqual((await self.send_request(line=connection))[0], 200)
+            self.assertEqual((await self.send_request(connection=connection))[0], 200)
         with mock.patch("drumgw.gateway.connection_limits.CLIENT_IDLE_TIMEOUT_MS", 1.0):
             self.assertEqual(await asyncio.wait_for(first[0].read(), 10), b"")  # idle for longest
             self.gateway.http_server.limits.sweep()
         for connection in others:
-            self.assertEqual((await self.send_request(line=connection))[0], 200)
+            self.assertEqual((await self.send_request(connection=connection))[0], 200)
 
     async def test_silent_connections_do_not_lock_out_active_clients(self) -> None:
         await self.open_gateway_with_idle_timeout(60000.0, limits={"sockets": 34})
         connection = await self.connect()
-        self.assertEqual((await self.send_request(line=connection))[0], 200)
+        self.assertEqual((await self.send_request(connection=connection))[0], 200)
         for _ in range(60):
             await self.connect()
         self.assertEqual(
-            ((await self.send_request(line=connection))[0], (await self.send_request())[0]), (200, 200)
+            ((await self.send_request(connection=connection))[0], (await self.send_request())[0]), (200, 200)
         )
         self.assertLessEqual(self.gateway.http_server.limits.count(), 6)
 
