--- a/tests/race_case.py
+++ b/tests/race_case.py
@@ -1,4 +1,4 @@
-"""Peers and connections that a test moves step by step, to force an event at a given moment."""
+"""Peers and connections that a test controls step by step, to force a race at a given moment."""
 
 from __future__ import annotations
 
@@ -31,57 +31,57 @@
 KEYED = "/k?account=00000000b4d65521"
 LARGE = b"x" * 60000
 ONE_ATTEMPT = {**raw_settings()["ceilings"], "maxAttempts": 1}
-BOUND_S = 20  # only so that what is broken fails and does not hang
-RESET = struct.pack("ii", 1, 0)  # close() then resets
+TIMEOUT_S = 20  # a broken gateway fails the test instead of blocking it
+ZERO_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER value with which close() sends a reset
 
 
 class ScriptedConnection:
-    """One end of a connection, moved by the test alone."""
+    """One end of a connection, which reads and writes only when the test does."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         sock.setblocking(False)
 
-    async def read(self, mark: bytes) -> bytes:
-        """Until the mark has come; what else came with it is returned too."""
-        came = b""
-        async with asyncio.timeout(BOUND_S):
-            while mark not in came:
+    async def read(self, expected: bytes) -> bytes:
+        """Reads until the expected bytes have arrived; returns all bytes read, also any after them."""
+        received = b""
+        async with asyncio.timeout(TIMEOUT_S):
+            while expected not in received:
                 data = await asyncio.get_running_loop().sock_recv(self.sock, 65536)
                 if not data:
-                    raise EOFError(came)
-                came += data
-        return came
+                    raise EOFError(received)
+                received += data
+        return received
 
     async def read_to_end(self) -> bytes:
-        """All that still comes until the other side ends or resets."""
-        came = b""
+        """Reads until the other side closes the connection; a reset is shown as "(reset)" at the end."""
+        received = b""
         try:
-            async with asyncio.timeout(BOUND_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while data := await asyncio.get_running_loop().sock_recv(self.sock, 65536):
-                    came += data
+                    received += data
         except ConnectionError:
-            came += b"(reset)"
-        return came
+            received += b"(reset)"
+        return received
 
     def write(self, data: bytes) -> None:
-        """At once: it lies in the other side's system before the gateway's loop has another turn."""
+        """Blocks until the kernel has the data, so it arrives before the gateway's event loop runs again."""
         self.sock.setblocking(True)
         self.sock.sendall(data)
         self.sock.setblocking(False)
 
     def close(self, reset: bool = False) -> None:
         if reset:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
         self.sock.close()
 
 
 class ManualPeer:
-    """An endpoint, counter or agent that accepts, reads and writes only when its test does."""
+    """An endpoint, counter or agent that accepts, reads and writes only when the test does."""
 
     def __init__(self, receive_buffer_bytes: int = 0) -> None:
         self.sock, self.connections = socket.socket(), list[ScriptedConnection]()
-        if receive_buffer_bytes:  # of what is sent to it the system keeps so little
+        if receive_buffer_bytes:  # a small buffer makes the sender block early
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen(64)
@@ -89,27 +89,27 @@
         self.address = "{}:{}".format(*self.sock.getsockname())
 
     async def accept(self) -> ScriptedConnection:
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             self.connections.append(
                 ScriptedConnection((await asyncio.get_running_loop().sock_accept(self.sock))[0])
             )
         return self.connections[-1]
 
     def close(self) -> None:
-        for line in self.connections:
-            line.sock.close()
+        for connection in self.connections:
+            connection.sock.close()
         self.sock.close()
 
 
-async def wait_until(true: Callable[[], Any]) -> None:
-    """Waits until the condition holds; a time-out where it never does."""
-    async with asyncio.timeout(BOUND_S):
-        while not true():
+async def wait_until(condition: Callable[[], Any]) -> None:
+    """Waits until the condition holds; raises TimeoutError after `TIMEOUT_S`."""
+    async with asyncio.timeout(TIMEOUT_S):
+        while not condition():
             await asyncio.sleep(0.001)
 
 
 class RaceCase(GatewayCase):
-    """On uvloop, as the gateway runs in service."""
+    """Runs on uvloop, as the gateway does in production."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -125,9 +125,9 @@
         return peer
 
     def open_client(self) -> ScriptedConnection:
-        line = ScriptedConnection(socket.create_connection(self.listen_address))
-        self.addCleanup(line.sock.close)
-        return line
+        connection = ScriptedConnection(socket.create_connection(self.listen_address))
+        self.addCleanup(connection.sock.close)
+        return connection
 
     async def open_keyed_gateway(
         self, *addresses: str, window_ms: float = 150.0, group: str = "all", **more: Any
@@ -147,38 +147,38 @@
         )
 
     @contextmanager
-    def hold_connections(self, when: Callable[[Any], bool]) -> Iterator[asyncio.Event]:
-        """Holds connections to endpoints that come up, where told, until the event is set."""
-        connector, go = self.gateway.endpoint_clients.pool.connector, asyncio.Event()
+    def hold_connections(self, matches: Callable[[Any], bool]) -> Iterator[asyncio.Event]:
+        """Delays new endpoint connections whose request matches, until the yielded event is set."""
+        connector, release = self.gateway.endpoint_clients.pool.connector, asyncio.Event()
         connect = connector.connect
 
-        async def up(card: Any, *rest: Any) -> Any:
-            connection = await connect(card, *rest)
+        async def connect_and_hold(request: Any, *rest: Any) -> Any:
+            connection = await connect(request, *rest)
             try:
-                if when(card):
-                    await go.wait()
+                if matches(request):
+                    await release.wait()
             except asyncio.CancelledError:
                 connection.close()
                 raise
             return connection
 
-        with mock.patch.object(connector, "connect", up):
-            yield go
+        with mock.patch.object(connector, "connect", connect_and_hold):
+            yield release
 
     @contextmanager
     def shrink_send_buffers(self) -> Iterator[None]:
-        """Of what is sent to endpoints our system keeps little, so a large request stays in the gateway."""
+        """Shrinks the send buffers of endpoint connections, so that a large request stays in the gateway."""
         connector = self.gateway.endpoint_clients.pool.connector
         connect = connector.connect
 
-        async def up(*args: Any) -> Any:
+        async def connect_with_small_buffer(*args: Any) -> Any:
             connection = await connect(*args)
             assert connection.transport is not None
             sock = connection.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return connection
 
-        with mock.patch.object(connector, "connect", up):
+        with mock.patch.object(connector, "connect", connect_with_small_buffer):
             yield
 
     def has_elapsed(self, window_ms: float) -> Callable[[], bool]:
@@ -187,10 +187,10 @@
 
 
 class WatchingCase(RaceCase):
-    """A scripted agent, which falls silent and comes back when its test says so."""
+    """A gateway that watches a scripted agent, which answers no calls while `is_silent` is set."""
 
     async def open_watching_gateway(self, grace_ms: float) -> tuple[ManualPeer, GatewayProcess, list[str]]:
-        agent, self.is_silent, asked = self.peer(), False, list[str]()
+        agent, self.is_silent, targets = self.peer(), False, list[str]()
         contract = {**raw_settings()["contract"], "stopSendingWithinMs": grace_ms}
         self.generation, self.lifecycle = 1, "up"
         self.rows = [endpoint_row("s-0", "127.0.0.1:1")]
@@ -198,39 +198,42 @@
             load_config(raw_config(agent.address, self.rows, settings=raw_settings(contract=contract)))
         )
         self.gateway = gateway
-        self.tasks = [asyncio.create_task(self.accept(agent, asked))]
+        self.tasks = [asyncio.create_task(self.accept(agent, targets))]
         self.addCleanup(lambda: [task.cancel() for task in self.tasks])
         self.listen_address = await gateway.open()
         self.addAsyncCleanup(self.close_gateway)
-        return agent, gateway, asked
+        return agent, gateway, targets
 
-    async def accept(self, agent: ManualPeer, asked: list[str]) -> None:
+    async def accept(self, agent: ManualPeer, targets: list[str]) -> None:
         while True:
-            self.tasks.append(asyncio.create_task(self.serve(await agent.accept(), asked)))
+            self.tasks.append(asyncio.create_task(self.serve(await agent.accept(), targets)))
+
+    async def serve(self, connection: ScriptedConnection, targets: list[str]) -> None:
+        """Serves the calls on a connection; collects their targets.
 
-    async def serve(self, line: ScriptedConnection, asked: list[str]) -> None:
-        """The calls that come while it is deaf are never answered; others at once or after their wait."""
+        Calls received while the agent is silent are never answered, others at once or after their long poll.
+        """
         with suppress(EOFError, ConnectionError, TimeoutError):
             while True:
-                target = (await line.read(b"\r\n\r\n")).split()[1].decode()
-                asked.append(target)
+                target = (await connection.read(b"\r\n\r\n")).split()[1].decode()
+                targets.append(target)
                 if self.is_silent:
                     continue
                 if f"since={self.generation}&" in target:
                     await asyncio.sleep(float(target.partition("timeout_ms=")[2]) / 1000)
                 if not self.is_silent:
-                    news = (
+                    changed_rows = (
                         []
                         if f"since={self.generation}&" in target
                         else [{**self.rows[0], "lifecycle": self.lifecycle}, *self.rows[1:]]
                     )
-                    line.write(
+                    connection.write(
                         http_response(
                             json.dumps(
                                 {
                                     "generation": self.generation,
                                     "reset": "since=" not in target,
-                                    "instances": news,
+                                    "instances": changed_rows,
                                 }
                             ).encode()
                         )
@@ -238,19 +241,19 @@
 
 
 class GatewaySubprocess:
-    """A gateway's own process, and what it says."""
+    """A gateway in a process of its own, and its log."""
 
-    def __init__(self, run: asyncio.subprocess.Process, path: str) -> None:
-        assert run.stderr
-        self.run, self.log, self.path = run, run.stderr, path
+    def __init__(self, process: asyncio.subprocess.Process, config_path: str) -> None:
+        assert process.stderr
+        self.process, self.log, self.config_path = process, process.stderr, config_path
 
     @staticmethod
-    async def start(config: dict[str, Any], descriptors: int = 0) -> GatewaySubprocess:
-        """Started, and not ready yet; with so many descriptors at most, which its system enforces."""
+    async def start(config: dict[str, Any], max_descriptors: int = 0) -> GatewaySubprocess:
+        """Starts a gateway, without waiting until it serves; its file descriptors are limited if not 0."""
 
-        def bound() -> None:
-            if descriptors:
-                resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
+        def limit_descriptors() -> None:
+            if max_descriptors:
+                resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors))
 
         with tempfile.NamedTemporaryFile("w", suffix=".json", delete=False) as file:
             json.dump(config, file)
@@ -262,21 +265,21 @@
                 "drumgw",
                 env={**os.environ, "GW_CONFIG": file.name},
                 stderr=asyncio.subprocess.PIPE,
-                preexec_fn=bound,
+                preexec_fn=limit_descriptors,
             ),
             file.name,
         )
 
-    async def wait_for_log_line(self, words: bytes) -> bytes:
-        """The first line from here on that holds the words."""
-        async with asyncio.timeout(BOUND_S):
-            while words not in (line := await self.log.readline()):
+    async def wait_for_log_line(self, text: bytes) -> bytes:
+        """Skips log lines until one contains the text, and returns it."""
+        async with asyncio.timeout(TIMEOUT_S):
+            while text not in (line := await self.log.readline()):
                 if not line:
-                    raise EOFError("it ended early")
+                    raise EOFError("the gateway exited before it logged this line")
         return line
 
     async def wait_until_serving(self) -> tuple[str, int]:
         line = await self.wait_for_log_line(b" serves at ")
-        os.unlink(self.path)
+        os.unlink(self.config_path)
         host, _, port = line.split(b" serves at ")[1].split(b": ")[0].decode().rpartition(":")
         return host, int(port)
--- a/tests/test_client_connection_races.py
+++ b/tests/test_client_connection_races.py
@@ -15,8 +15,8 @@
     raw_settings,
 )
 from tests.race_case import (
-    BOUND_S,
     LARGE,
+    TIMEOUT_S,
     RaceCase,
     ScriptedConnection,
     wait_until,
@@ -142,7 +142,7 @@
         silent = self.open_client()
         await wait_until(lambda: self.gateway.http_server.limits.connections[ConnectionState.NEW])
         with mock.patch("drumgw.gateway.process.SHUTDOWN_LINGER_MS", 0.0):
-            async with asyncio.timeout(BOUND_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 await self.gateway.close()
         self.assertEqual(
             (
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -72,18 +72,18 @@
         self.tasks = [asyncio.create_task(self.accept(agent, targets))]
         self.addCleanup(lambda: [task.cancel() for task in self.tasks])
         config = raw_config(agent.address, self.rows, limits={"sockets": 64})
-        process = await GatewaySubprocess.start(config, descriptors=64)
-        self.listen_address = await process.wait_until_serving()
+        gateway = await GatewaySubprocess.start(config, max_descriptors=64)
+        self.listen_address = await gateway.wait_until_serving()
         idle = list[ScriptedConnection]()
         for _ in range(3):
             self.is_silent = True
             idle += [self.open_client() for _ in range(120)]  # twice its limit: it closes the first ones
             self.generation, self.lifecycle = self.generation + 1, "draining"
             self.is_silent, before = False, len(targets)
-            await process.wait_for_log_line(f" list {self.generation}, ".encode())
+            await gateway.wait_for_log_line(f" list {self.generation}, ".encode())
             self.assertLessEqual(len(targets) - before, 4)  # the drain grace is four poll intervals
             self.assertEqual((await self.send_request(Request_Timeout="60000m"))[:2], (200, b"ok"))
             self.lifecycle, self.generation = "up", self.generation + 1
-            await process.wait_for_log_line(f" list {self.generation}, ".encode())
-        process.run.terminate()
-        self.assertEqual(await process.run.wait(), 0)
+            await gateway.wait_for_log_line(f" list {self.generation}, ".encode())
+        gateway.process.terminate()
+        self.assertEqual(await gateway.process.wait(), 0)
--- a/tests/test_process_races.py
+++ b/tests/test_process_races.py
@@ -14,8 +14,8 @@
     raw_settings,
 )
 from tests.race_case import (
-    BOUND_S,
     ONE_ATTEMPT,
+    TIMEOUT_S,
     GatewaySubprocess,
     RaceCase,
     wait_until,
@@ -57,23 +57,23 @@
         )
         discovery = await self.start_server(lambda head, body: None if b"since=" in head else list_response)
         family = {"counter": True, "countWaitMs": 30.0, "unitsTop": 9}
-        process = await GatewaySubprocess.start(
+        gateway = await GatewaySubprocess.start(
             raw_config(
                 discovery.address, [row], counter=counter.address, settings=raw_settings(familyInfo=family)
             )
         )
-        self.listen_address = await process.wait_until_serving()
+        self.listen_address = await gateway.wait_until_serving()
         client = self.open_client()
         client.write(http_request(Request_Timeout="60000m"))
         await wait_until(lambda: endpoint.requests)
-        process.run.terminate()
-        await process.wait_for_log_line(b"received SIGTERM: ")
-        process.run.terminate()
+        gateway.process.terminate()
+        await gateway.wait_for_log_line(b"received SIGTERM: ")
+        gateway.process.terminate()
         held_response.set_result(http_response(b"ok"))
         self.assertIn(b"Connection: close", await client.read(b"ok"))
-        log = await process.log.read()
+        log = await gateway.log.read()
         self.assertIn(b"0 unfinished, invariant violations: none", log)
-        self.assertEqual(await process.run.wait(), 0)
+        self.assertEqual(await gateway.process.wait(), 0)
 
 
 class BoundarySettingsTest(RaceCase):
@@ -165,7 +165,7 @@
             target = f"/{class_name}?account={len(request_id) + int(request_id[1:]):016x}"
             return (await self.send_request(target, method, Request_Id=request_id, Request_Timeout="300m"))[0]
 
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             statuses = await asyncio.gather(*(send(*request) for request in requests))
         max_attempts = settings["ceilings"]["maxAttempts"]
         for (request_id, class_name), status in zip(requests, statuses, strict=True):
