--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,5 +1,5 @@
-"""The test suite; `python3 -m unittest` from the root runs all of it."""
+"""The test suite; `python3 -m unittest` in the repository root runs all of it."""
 
 from loguru import logger
 
-logger.remove()  # log lines would drown the test runner's own output
+logger.remove()  # log lines would clutter the output of the test runner
