--- a/tests/agent_case.py
+++ b/tests/agent_case.py
@@ -1,4 +1,4 @@
-"""A gateway whose discovery is an agent of the test's, with the content that the test sets."""
+"""Test case of a gateway whose discovery agent is scripted by the test."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 
 JsonObject = dict[str, Any]
 EVERY_GATEWAY = "units=1,spread=1024,first=1023"
-"""Quota-Info of a customer whose requests come in through all gateways of a large fleet."""
+"""Quota-Info of a customer whose requests are spread over all 1,024 gateways of a fleet."""
 
 
 def endpoint_list(generation: Any, *rows: Any, complete: bool = True) -> bytes:
-    """A response of discovery's."""
+    """Returns discovery's response with an endpoint list; a list that is not complete is an update."""
     content = {"generation": generation, "reset": complete, "instances": rows}
     return http_response(json.dumps(content, indent=4).encode())
 
 
 class AgentCase(GatewayCase):
-    """A gateway, and an agent that has what its test says; a watch is answered as that changes."""
+    """A gateway and an agent whose endpoint list the test sets; a watch is answered when the list changes."""
 
     async def start_agent(self, *rows: Any) -> ScriptedServer:
-        """Starts the agent with a complete list of these rows."""
+        """Starts the agent with a complete endpoint list of these rows."""
         self.content: JsonObject | None = {"generation": 7, "reset": True, "instances": list(rows)}
-        """What the agent has; None for an agent that answers nothing."""
-        self.targets: list[str] = []  # of the calls that came
+        """The agent's endpoint list; None for an agent that does not answer."""
+        self.targets: list[str] = []  # of the calls received
         self.content_changed = asyncio.Condition()
         self.discovery = await self.start_server(self.answer)
         return self.discovery
 
     async def answer(self, head: bytes, _body: bytes) -> bytes | None:
-        """The agent's answer to a call; waits for an update where the call has the content already."""
+        """Answers a call; waits for an update if the caller already has the current list."""
         target = head.split()[1].decode()
         self.targets.append(target)
         if self.content is None:
@@ -45,13 +45,13 @@
         return None if self.content is None else http_response(json.dumps(self.content).encode())
 
     async def update_agent(self, generation: int, *rows: Any) -> None:
-        """The agent has an update, and wakes the watch that waits for it."""
+        """Replaces the agent's endpoint list by an update, and answers the watch that waits for one."""
         self.content = {"generation": generation, "reset": False, "instances": list(rows)}
         async with self.content_changed:
             self.content_changed.notify_all()
 
     async def start_gateway(self, known: list[JsonObject], **config: Any) -> GatewayProcess:
-        """Begins to start a gateway."""
+        """Starts a gateway, without waiting until it accepts clients (see `wait_until_open`)."""
         self.gateway = GatewayProcess(load_config(raw_config(self.discovery.address, known, **config)))
         self.opening = asyncio.create_task(self.gateway.open())
         self.addAsyncCleanup(self.close_gateway)
@@ -61,25 +61,25 @@
         """Waits until the gateway accepts clients."""
         self.listen_address = await self.opening
 
-    async def wait_for_calls(self, *words: str) -> None:
-        """Waits until a call has come for each of the words, with that word in its target."""
-        while not all(any(word in target for target in self.targets) for word in words):
+    async def wait_for_calls(self, *texts: str) -> None:
+        """Waits until, for each of the texts, a call has been received whose target contains it."""
+        while not all(any(text in target for target in self.targets) for text in texts):
             await asyncio.sleep(0.001)
 
     def statuses(self) -> dict[str, str]:
-        """Status of each endpoint on the gateway's list."""
+        """Returns the status of each endpoint on the gateway's list, by name."""
         rows = self.gateway.discovery.membership.rows
         return {name: row.info.status.value for name, row in rows.items()}
 
     async def start_endpoints(self) -> tuple[ScriptedServer, ScriptedServer, list[JsonObject]]:
-        """Two endpoints, and their rows."""
-        one, other = (
+        """Starts two endpoints; returns them and their rows of the endpoint list."""
+        first, second = (
             await self.start_server(http_response(b"one")),
             await self.start_server(http_response(b"other")),
         )
-        return one, other, [endpoint_row("s-0", one.address), endpoint_row("s-1", other.address)]
+        return first, second, [endpoint_row("s-0", first.address), endpoint_row("s-1", second.address)]
 
     async def send_requests_of_all_customers(self) -> list[tuple[int, bytes]]:
-        """Requests of 16 customers, ranked by hash: half of them go to each of two endpoints."""
+        """Sends a request for each of 16 customers; half of them rank each of two endpoints first."""
         answers = [await self.send_request(f"/a?account={n:016x}", Request_Id=f"{n:x}") for n in range(16)]
         return [answer[:2] for answer in answers]
