--- a/tests/command_line_harness.py
+++ b/tests/command_line_harness.py
@@ -1,4 +1,4 @@
-"""Runs the command line in a test's own folder."""
+"""Test case that runs the command line on files in a temporary folder."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class CommandLineCase(unittest.TestCase):
-    """A test with a folder for the files that commands read and write."""
+    """A test with a temporary folder for the files that commands read and write."""
 
     def setUp(self) -> None:
-        """Makes the folder."""
+        """Creates the folder; it is removed after the test."""
         self.folder = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
 
     def write_file(self, text: str, name: str = "file.toml") -> str:
-        """Writes a file into the folder; returns its path."""
+        """Writes a file to the folder; returns its path."""
         path = self.folder / name
         path.write_text(text)
         return str(path)
 
     def drumgw(self, *arguments: str) -> Result:
-        """Runs a command; its output has standard error too."""
+        """Runs a `drumgw` command; the output of the result includes standard error."""
         return CliRunner().invoke(main, arguments)
