--- a/tests/gateway_case.py
+++ b/tests/gateway_case.py
@@ -1,4 +1,4 @@
-"""A gateway in this process, with the servers it meets and its clients' connections, for tests on sockets."""
+"""Test case that runs a gateway in this process, on sockets, with scripted servers as its peers."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def endpoint_row(name: str, address: str, state: str = "up", **more: Any) -> dict[str, Any]:
-    """A row of the endpoint list, as discovery tells it."""
+    """Returns a row of the endpoint list, in discovery's format."""
     return {
         "instanceId": name,
         "hostPort": address,
@@ -44,7 +44,7 @@
 
 
 def raw_settings(**more: Any) -> dict[str, Any]:
-    """The platform's settings for two request classes and a plan without narrow limits."""
+    """Returns the platform's settings, with two request classes and a plan with wide limits."""
     ceilings = {
         "maxAttempts": 2,
         "cancel": True,
@@ -53,12 +53,12 @@
         "retryAfter": True,
         "maxRetryAfterMs": 500.0,
     }
-    once = {**REQUEST_CLASS, "name": "b", "idempotency": "once", "gain": 3.0}
+    once_class = {**REQUEST_CLASS, "name": "b", "idempotency": "once", "gain": 3.0}
     plan = {**PLAN, "unitsPerS": 1000.0, "peakUnits": 1000.0}
     return {
         **OPTIONS,
         "ceilings": ceilings,
-        "classes": [REQUEST_CLASS, once],
+        "classes": [REQUEST_CLASS, once_class],
         "tiersOfService": [plan],
         "familyInfo": {"counter": False, "unitsTop": 9},
         **more,
@@ -66,7 +66,7 @@
 
 
 def load_config(document: dict[str, Any]) -> GatewayConfig:
-    """Reads a configuration as a gateway does at its start."""
+    """Reads a configuration in the way a gateway does when it starts."""
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         json.dump(document, file)
         file.flush()
@@ -74,7 +74,7 @@
 
 
 def raw_config(discovery: str, instances: list[dict[str, Any]], **more: Any) -> dict[str, Any]:
-    """What `GW_CONFIG` names, for one gateway on loopback."""
+    """Returns the content of the `GW_CONFIG` file for one gateway on loopback."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -88,27 +88,31 @@
 
 
 class GatewayCase(unittest.IsolatedAsyncioTestCase):
-    """A gateway, its clients' connections and the servers it meets, all closed at the end."""
+    """A gateway, its client connections and its peers, all of them closed after the test."""
 
     async def start_server(self, answer: Any) -> ScriptedServer:
-        async def say(head: bytes, body: bytes) -> bytes | None:
-            found: Any = answer(head, body) if callable(answer) else answer
-            said: bytes | None = await found if inspect.isawaitable(found) else found
-            return said
+        """Starts a server; `answer` is what it sends, or a function of head and body, also asynchronous."""
 
-        server = await ScriptedServer(say).open()
+        async def respond(head: bytes, body: bytes) -> bytes | None:
+            result: Any = answer(head, body) if callable(answer) else answer
+            response: bytes | None = await result if inspect.isawaitable(result) else result
+            return response
+
+        server = await ScriptedServer(respond).open()
         self.addCleanup(server.server.close)
         return server
 
     async def open_gateway(self, *addresses: str, watch: Any = None, **more: Any) -> GatewayProcess:
+        """Opens a gateway whose endpoints have these addresses; `watch` answers discovery's watch calls."""
         instances = [endpoint_row(f"s-{n}", address) for n, address in enumerate(addresses)]
-        listed = http_response(json.dumps({"generation": 1, "reset": True, "instances": instances}).encode())
+        full_list = http_response(
+            json.dumps({"generation": 1, "reset": True, "instances": instances}).encode()
+        )
 
-        def discover(head: bytes, body: bytes) -> Any:
-            """The whole list at once; what a watch is answered is the test's."""
-            return listed if b"since=" not in head else watch(head, body) if callable(watch) else watch
+        def answer_discovery(head: bytes, body: bytes) -> Any:
+            return full_list if b"since=" not in head else watch(head, body) if callable(watch) else watch
 
-        discovery = await self.start_server(discover)
+        discovery = await self.start_server(answer_discovery)
         self.raw_config = raw_config(discovery.address, instances, **more)
         self.gateway = GatewayProcess(load_config(self.raw_config))
         self.listen_address = await self.gateway.open()
@@ -116,7 +120,10 @@
         return self.gateway
 
     async def open_gateway_with_request_in_flight(self) -> tuple[ScriptedServer, asyncio.StreamWriter]:
-        """A gateway with a request open: its endpoint, which says nothing, and its client's connection."""
+        """Opens a gateway with a request that stays in flight, as its endpoint does not respond.
+
+        Returns the endpoint and the client's connection.
+        """
         endpoint = await self.start_server(None)
         await self.open_gateway(endpoint.address)
         _, writer = await self.connect()
@@ -145,6 +152,15 @@
         connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None,
         **headers: str | None,
     ) -> tuple[int, bytes, bytes]:
+        """Sends a request; returns status, body and head of the response.
+
+        Args:
+            target: path and query.
+            method: the HTTP method.
+            body: sent with its length, if not empty.
+            connection: the connection to use; a new one if None.
+            headers: added to `REQUEST_HEADERS`, with "_" for "-"; None removes a header.
+        """
         reader, writer = connection or await self.connect()
         writer.write(http_request(target, method, body, **headers))
         head, answer = await read_message(reader)
@@ -154,9 +170,9 @@
 def http_request(
     target: str = GET_TARGET, method: str = "GET", body: bytes = b"", **headers: str | None
 ) -> bytes:
-    """The bytes of a client's request."""
-    given = {**REQUEST_HEADERS, **{k.replace("_", "-"): v for k, v in headers.items()}}
+    """Returns a client's request; for the arguments see `GatewayCase.send_request`."""
+    sent = {**REQUEST_HEADERS, **{k.replace("_", "-"): v for k, v in headers.items()}}
     if body:
-        given["Content-Length"] = str(len(body))
-    lines = [f"{method} {target} HTTP/1.1", *(f"{k}: {v}" for k, v in given.items() if v is not None), "", ""]
+        sent["Content-Length"] = str(len(body))
+    lines = [f"{method} {target} HTTP/1.1", *(f"{k}: {v}" for k, v in sent.items() if v is not None), "", ""]
     return "\r\n".join(lines).encode() + body
