--- a/tests/scripted_server.py
+++ b/tests/scripted_server.py
@@ -1,4 +1,4 @@
-"""Scripted HTTP/1.1 servers for tests on sockets."""
+"""A scripted HTTP/1.1 server, for tests on sockets."""
 
 from __future__ import annotations
 
@@ -6,21 +6,25 @@
 import re
 from collections.abc import Awaitable, Callable
 
-Answerer = Callable[[bytes, bytes], Awaitable["bytes | None"]]
+Responder = Callable[[bytes, bytes], Awaitable["bytes | None"]]
 
 
 class PartialResponse(bytes):
-    """A part of an answer, after which the connection ends."""
+    """The first part of a response; the server closes its side of the connection after it."""
 
 
 class ScriptedServer:
-    """A server of a test: keeps what came and sends what its answer says; None: silence, b"": a reset."""
+    """Records the requests it receives, and responds as its test says.
 
-    def __init__(self, answer: Answerer) -> None:
+    Args:
+        answer: returns the response to a head and a body; None for no response, b"" for a reset.
+    """
+
+    def __init__(self, answer: Responder) -> None:
         self.answer, self.requests, self.disconnected = answer, list[tuple[bytes, bytes]](), asyncio.Event()
-        self.connections: list[asyncio.StreamWriter] = []  # every connection that came
-        self.request_connections: list[asyncio.StreamWriter] = []  # of each of what came
-        self.pipelined = False  # reads on while an answer is awaited; answers in order all the same
+        self.connections: list[asyncio.StreamWriter] = []  # all that were accepted
+        self.request_connections: list[asyncio.StreamWriter] = []  # the connection of each request
+        self.pipelined = False  # reads further requests before it has responded; responses are sent in order
 
     async def open(self) -> ScriptedServer:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -33,10 +37,10 @@
         writing = asyncio.ensure_future(self.write(answers, writer))
         try:
             while True:
-                came = await read_message(reader)
-                self.requests.append(came)
+                request = await read_message(reader)
+                self.requests.append(request)
                 self.request_connections.append(writer)
-                answer = asyncio.ensure_future(self.answer(*came))
+                answer = asyncio.ensure_future(self.answer(*request))
                 answers.put_nowait(answer)
                 if not self.pipelined:
                     await asyncio.wait([answer])
@@ -60,13 +64,13 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """Reads one message: its head and its body."""
+    """Reads one message; returns its head and its body, which is empty without Content-Length."""
     head = await reader.readuntil(b"\r\n\r\n")
-    found = re.search(rb"(?i)\r\ncontent-length: (\d+)", head)
-    return head, await reader.readexactly(int(found[1]) if found else 0)
+    length = re.search(rb"(?i)\r\ncontent-length: (\d+)", head)
+    return head, await reader.readexactly(int(length[1]) if length else 0)
 
 
 def http_response(body: bytes = b"", status: int = 200, **headers: str) -> bytes:
-    """The bytes of a response."""
+    """Returns a response; "_" in the name of a header stands for "-"."""
     lines = [f"HTTP/1.1 {status} x", *(f"{k.replace('_', '-')}: {v}" for k, v in headers.items())]
     return "\r\n".join([*lines, f"Content-Length: {len(body)}", "", ""]).encode() + body
