--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,6 +1,7 @@
-"""Which package may import which; a module never imports one that imports it.
+"""Checks which package may import which, and that no imports are circular.
 
-Imports inside functions and under TYPE_CHECKING count as well: they only hide a circle from the interpreter.
+Imports inside functions and under TYPE_CHECKING count as well: they only hide a circular import from the
+interpreter.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
     "testbed": frozenset({"config", "gateway", "model", "policy"}),
     "cli": frozenset({"config", "gateway", "hosting", "model", "testbed"}),
 }
-"""Packages that each package may import, besides its own modules and those of `drumgw` itself."""
+"""Packages that each package may import, besides its own modules and the modules directly in `drumgw`."""
 
 
 def project_modules() -> dict[str, pathlib.Path]:
-    """Every module of the program by its dotted name."""
+    """Returns the file of every module of the program, by dotted name."""
     modules = {}
     for path in (ROOT / "drumgw").rglob("*.py"):
         parts = path.relative_to(ROOT).with_suffix("").parts
@@ -33,7 +34,7 @@
 
 
 def imported_names(path: pathlib.Path) -> set[str]:
-    """Dotted names that a module's import statements mention."""
+    """Returns the dotted names that a module imports, of modules and of names from modules."""
     names = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -45,7 +46,7 @@
 
 
 def import_graph() -> dict[str, set[str]]:
-    """The project's modules that each of them imports."""
+    """Returns for each module the modules of the program that it imports, without package roots."""
     modules = project_modules()
     packages = {name for name, path in modules.items() if path.name == "__init__.py"}
     graph = {}
@@ -55,15 +56,15 @@
 
 
 def package_of(module: str) -> str:
-    """The package below `drumgw` that a module stands in; empty for a module of `drumgw` itself."""
+    """Returns the subpackage of `drumgw` that contains a module; empty for a module directly in `drumgw`."""
     parts = module.split(".")
     return parts[1] if len(parts) > 2 else ""
 
 
-class Imports(unittest.TestCase):
-    """The import statements of the program, as written."""
+class ImportsTest(unittest.TestCase):
+    """The import statements of the program's source code."""
 
-    def test_packages_import_only_what_they_may(self) -> None:
+    def test_packages_import_only_allowed_packages(self) -> None:
         for module, imported in import_graph().items():
             package = package_of(module)
             if not package:
@@ -71,13 +72,13 @@
             used = {package_of(other) for other in imported} - {package, ""}
             self.assertLessEqual(used, ALLOWED[package], module)
 
-    def test_no_module_imports_one_that_imports_it(self) -> None:
+    def test_no_imports_are_circular(self) -> None:
         remaining = import_graph()
         while leaves := {name for name, imported in remaining.items() if not imported & remaining.keys()}:
             remaining = {name: imported for name, imported in remaining.items() if name not in leaves}
-        self.assertEqual(set(remaining), set(), "these import each other, or something that does")
+        self.assertEqual(set(remaining), set(), "modules in import cycles, or importing such modules")
 
-    def test_every_package_has_its_row(self) -> None:
+    def test_every_package_is_listed(self) -> None:
         self.assertEqual({package_of(name) for name in project_modules()} - {""}, set(ALLOWED))
 
 
