--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""Plays events to one policy engine and traces its decisions, for tests that compare traces."""
+"""Feeds events to one policy engine and traces its decisions, for tests that compare traces."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 CUSTOMER = 1
 START_EPOCH = 3
 START_MS = START_EPOCH * EPOCH_MS - stable_hash(CUSTOMER) % int(EPOCH_MS)
-"""When an epoch of `CUSTOMER` begins."""
+"""Start of a harness's clock: the beginning of an epoch of `CUSTOMER`."""
 
 IDEMPOTENT_CLASS = RequestClass(
     priority_weight=1.0,
@@ -93,7 +93,7 @@
     plans: tuple[Plan, ...] = (HARD_PLAN,),
     **other: Any,
 ) -> GatewaySettings:
-    """Settings of one of two gateways; `other` replaces any field."""
+    """Returns the settings of the first of two gateways; `other` replaces any field."""
     settings = GatewaySettings(
         ordinal=0,
         gateways=2,
@@ -120,9 +120,10 @@
     """One policy engine, its clock, its shared counter and the trace of its decisions.
 
     Args:
-        endpoints: how many there are, numbered from 0; odd ones are in zone and cell 1, even ones in 0.
-        started_at_ms: when they started cold; None where they are warm.
-        hold_counter: whether calls to the counter wait for `reply_from_counter`; else it answers at once.
+        endpoints: number of endpoints, with ids from 0; odd ones are in zone and cell 1, even ones in 0.
+        started_at_ms: when the endpoints started and their warm-up began; None for warm endpoints.
+        hold_counter: whether calls to the counter wait for `reply_from_counter`; otherwise they are answered
+            at once.
         settings: see `gateway_settings`.
     """
 
@@ -138,25 +139,28 @@
         self.trace: list[str] = []
         self.last_request_id = 0
         self.attempted_endpoints: dict[int, list[int]] = {}
-        """By request: the endpoint of each attempt."""
+        """By request id: the endpoint of each attempt."""
         self.counter_calls: list[AddToCounter] = []
-        """Not answered yet, oldest first."""
+        """Calls that are not answered yet, oldest first."""
         self.counter_totals: dict[int, float] = {}
         self.hold_counter = hold_counter
         self.engine.start(self.now_ms)
-        listed = (self.endpoint_info(e, EndpointStatus.READY, started_at_ms) for e in range(endpoints))
-        self.play(EndpointsUpdated(True, tuple(listed)))
+        endpoint_infos = (
+            self.endpoint_info(endpoint_id, EndpointStatus.READY, started_at_ms)
+            for endpoint_id in range(endpoints)
+        )
+        self.play(EndpointsUpdated(True, tuple(endpoint_infos)))
         self.advance()
 
     @staticmethod
     def endpoint_info(
         endpoint_id: int, status: EndpointStatus, started_at_ms: float | None = None
     ) -> EndpointInfo:
-        """An endpoint's entry in the endpoint list."""
+        """Returns an endpoint's entry in the endpoint list."""
         return EndpointInfo(endpoint_id, endpoint_id % 2, endpoint_id % 2, "std", status, started_at_ms, 1.0)
 
     def play(self, event: Event) -> list[Action]:
-        """Hands an event to the engine, and traces what it decides."""
+        """Passes an event to the engine, and traces its actions."""
         actions = self.engine.handle(self.now_ms, event)
         for action in actions:
             if isinstance(action, ForwardRequest):
@@ -173,7 +177,7 @@
         self.trace.append(f"{self.now_ms - START_MS:7.0f}  {text}")
 
     def note(self, text: str) -> None:
-        """Writes a remark for the reader into the trace."""
+        """Adds a remark to the trace, for its readers."""
         self._trace("-- " + text)
 
     def request(
@@ -184,7 +188,7 @@
         time_left_ms: float = 5000.0,
         gateway_count: int = 2,
     ) -> int:
-        """A client's request; returns its id."""
+        """Passes a client's request to the engine; returns its id."""
         self.last_request_id += 1
         self.play(
             RequestReceived(
@@ -209,7 +213,7 @@
         is_final: bool | None = None,
         billed_units: float = 0.0,
     ) -> None:
-        """Ends a request's last attempt."""
+        """Ends a request's latest attempt; by default it is final only if it succeeded."""
         endpoints = self.attempted_endpoints[request_id]
         self.play(
             AttemptEnded(
@@ -225,7 +229,7 @@
         )
 
     def serve(self, request_id: int) -> None:
-        """Ends a request's attempt with success, if it was forwarded."""
+        """Ends a request's attempt with success, if the request was forwarded."""
         if request_id in self.attempted_endpoints:
             self.end_attempt(request_id)
 
@@ -235,7 +239,7 @@
         outcome: Outcome = Outcome.SUCCEEDED,
         duration_ms: float = 2.0,
     ) -> None:
-        """Answers the oldest call: with the counter's own sum, or with the total that the test gives."""
+        """Answers the oldest call, with the sum of all calls or with the given total."""
         call = self.counter_calls.pop(0)
         key = call.counter_key
         if outcome is Outcome.SUCCEEDED:
@@ -244,18 +248,18 @@
         self.play(CounterReplied(key, outcome, self.counter_totals.get(key, 0.0), duration_ms))
 
     def counter_key(self) -> int:
-        """The counter key of `CUSTOMER` at this time."""
+        """Returns the counter key of `CUSTOMER` in the current epoch."""
         return stable_hash(CUSTOMER, int((self.now_ms - START_MS) // EPOCH_MS) + START_EPOCH)
 
     def advance(self, duration_ms: float = TICK_MS) -> None:
-        """Lets time pass, with the engine's timer."""
+        """Advances the clock in ticks, and fires the engine's timer at each of them."""
         for _ in range(round(duration_ms / TICK_MS)):
             self.now_ms += TICK_MS
             self.play(TimerFired(0))
 
 
 def describe(action: Action) -> str | None:
-    """A line for the trace; None for a timer."""
+    """Returns an action as a line of the trace; None for an action that is not traced."""
     match action:
         case ForwardRequest():
             return f"forward request {action.request_id} to endpoint {action.endpoint_id}"
@@ -274,10 +278,12 @@
 
 
 class TraceCase(unittest.TestCase):
-    """Tests that compare a trace with the one kept for it."""
+    """Tests that compare a trace with the expected one in `tests/traces/`."""
 
     def assert_trace(self, harness: PolicyHarness, name: str) -> None:
-        """The trace must be the one in `tests/traces/`, which is meant to be read."""
-        kept = (TRACES / f"{name}.txt").read_text().splitlines()
-        difference = list(difflib.unified_diff(kept, harness.trace, "kept", "now", lineterm="", n=2))
+        """Compares a harness's trace with the expected one; the traces are kept readable for reviewers."""
+        expected = (TRACES / f"{name}.txt").read_text().splitlines()
+        difference = list(
+            difflib.unified_diff(expected, harness.trace, "expected", "actual", lineterm="", n=2)
+        )
         self.assertFalse(difference, "\n" + "\n".join(difference))
