--- a/tests/hosting_harness.py
+++ b/tests/hosting_harness.py
@@ -1,4 +1,4 @@
-"""A host on sockets for tests: its API, and for each tenant an endpoint and a discovery of the test's."""
+"""Test case that runs a host on sockets, with a scripted endpoint and a discovery for each tenant."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class ApiResponse(NamedTuple):
-    """What the administration API answered."""
+    """A response of the administration API; `body` is the decoded JSON, None if empty."""
 
     status: int
     body: Any
@@ -39,13 +39,13 @@
 
 
 class SharedCounter:
-    """Scripts a counter server that adds up what is reported."""
+    """The answers of a counter server that sums up what is reported, by counter key."""
 
     def __init__(self) -> None:
         self.totals: defaultdict[str, float] = defaultdict(float)
 
     def answer(self, head: bytes, body: bytes) -> bytes:
-        """Adds what the call reports, and answers with the total."""
+        """Adds the units of a call to the total of its key, and returns the total."""
         call = re.match(rb"POST /counters/([^?]+)\?by=([^&]+)", head)
         assert call
         key = call[1].decode()
@@ -54,16 +54,19 @@
 
 
 class HostCase(GatewayCase):
-    """Starts hosts and ends them with the test."""
+    """A test that starts hosts, which are closed after it."""
 
     def setUp(self) -> None:
-        """Forgets the endpoints of other tests."""
-        self.endpoints: dict[str, ScriptedServer] = {}  # by tenant
+        """Starts without endpoints."""
+        self.endpoints: dict[str, ScriptedServer] = {}  # by tenant name
 
     async def tenant(self, name: str, answer: Any = None, **more: Any) -> dict[str, Any]:
-        """Returns a tenant of a host's file, with an endpoint that answers with the tenant's name."""
+        """Starts a tenant's endpoint and discovery; returns the tenant's entry for the host file.
+
+        By default the endpoint responds with the tenant's name.
+        """
         endpoint = await self.start_server(http_response(name.encode()) if answer is None else answer)
-        rows = [endpoint_row("s-0", endpoint.address)]  # the same id at all tenants
+        rows = [endpoint_row("s-0", endpoint.address)]  # the same id for all tenants
         endpoint_list = http_response(
             json.dumps({"generation": 1, "reset": True, "instances": rows}).encode()
         )
@@ -83,13 +86,20 @@
         }
 
     def folder(self) -> str:
-        """Returns a new folder that is removed with the test."""
+        """Returns a new temporary folder, which is removed after the test."""
         return self.enterContext(tempfile.TemporaryDirectory())
 
     async def start_host(
         self, *tenants: dict[str, Any], state: str | None = NEW_FOLDER, ready: bool = True, **more: Any
     ) -> HostProcess:
-        """Starts a host with a state folder, and waits until all tenants are served."""
+        """Starts a host, by default with a state folder, and waits until all tenants are ready.
+
+        Args:
+            tenants: the tenants of the host file.
+            state: the state folder; None for a host without one.
+            ready: whether to wait for the tenants.
+            more: further keys of the host file's table `host`.
+        """
         file = {
             "version": 1,
             "host": {
@@ -114,7 +124,7 @@
         return host_process
 
     async def close_host(self, host_process: HostProcess) -> None:
-        """Ends a host without the time in which clients still come."""
+        """Closes a host, without the delay in which it still accepts clients."""
         with mock.patch("drumgw.hosting.host_process.SHUTDOWN_LINGER_MS", 0.0):
             await host_process.close()
 
@@ -125,12 +135,12 @@
             await asyncio.sleep(POLL_S)
 
     async def wait_until_services_closed(self) -> None:
-        """Waits until replaced and removed services are closed."""
+        """Waits until all replaced and removed services are closed."""
         while self.host_process.services.closing:
             await asyncio.sleep(POLL_S)
 
     async def wait_until_received(self, endpoint: ScriptedServer) -> None:
-        """Waits until a server has received something."""
+        """Waits until a server has received a request."""
         while not endpoint.requests:
             await asyncio.sleep(POLL_S)
 
@@ -140,7 +150,7 @@
             await asyncio.sleep(POLL_S)
 
     async def send(self, tenant: str, target: str = TARGET, **headers: str | None) -> tuple[int, bytes]:
-        """Sends a request to a tenant by its host name; returns status and body."""
+        """Sends a request to a tenant, selected by host name; returns status and body."""
         defaults = {"Host": f"{tenant}.example", "Request_Timeout": "2500m", "Plan": "p"}
         status, body, _ = await self.send_request(target, "GET", b"", None, **{**defaults, **headers})
         return status, body
@@ -154,29 +164,40 @@
         raw: bytes | None = None,
         **headers: str,
     ) -> ApiResponse:
-        """Calls the administration API."""
+        """Calls the administration API on a new connection.
+
+        Args:
+            method: the HTTP method.
+            path: the path, with the query.
+            body: sent as JSON, unless `raw` is given; None sends an empty body.
+            token: the bearer token; None sends none.
+            raw: the body as it is sent.
+            headers: further headers, with "_" for "-".
+        """
         reader, writer = await asyncio.open_connection(*self.api)
-        text = b"" if body is None else json.dumps(body).encode()
+        content = b"" if body is None else json.dumps(body).encode()
         if raw is not None:
-            text = raw
+            content = raw
         fields = {
             "Host": "api",
             "Connection": "close",
             "Content-Type": "application/json",
-            "Content-Length": str(len(text)),
+            "Content-Length": str(len(content)),
             **{name.replace("_", "-"): value for name, value in headers.items()},
         }
         if token is not None:
             fields["Authorization"] = f"Bearer {token}"
         lines = [f"{method} {path} HTTP/1.1", *(f"{k}: {v}" for k, v in fields.items()), "", ""]
-        writer.write("\r\n".join(lines).encode() + text)
+        writer.write("\r\n".join(lines).encode() + content)
         head, answer = await read_message(reader)
         writer.close()
-        received = dict(line.split(": ", 1) for line in head.decode().split("\r\n")[1:] if ": " in line)
-        return ApiResponse(int(head.split()[1]), json.loads(answer or b"null"), received)
+        response_headers = dict(
+            line.split(": ", 1) for line in head.decode().split("\r\n")[1:] if ": " in line
+        )
+        return ApiResponse(int(head.split()[1]), json.loads(answer or b"null"), response_headers)
 
     def log_lines(self) -> list[str]:
-        """Returns a list that receives the log's lines until the end of the test."""
+        """Returns a list to which log lines are appended until the end of the test."""
         lines: list[str] = []
         sink = logger.add(lambda line: lines.append(str(line)), format="{message}")
         self.addCleanup(logger.remove, sink)
