--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -1,4 +1,4 @@
-"""Short scenarios for the testbed, and gateways that are broken on purpose."""
+"""Short scenarios for the testbed, and faulty gateways that violate one rule each."""
 
 from __future__ import annotations
 
@@ -110,7 +110,12 @@
 
 
 def make_scenario(*faults: str, **values: Any) -> Scenario:
-    """A short scenario; each fault is given by its keys as TOML, in one line."""
+    """Returns a short scenario.
+
+    Args:
+        faults: the keys of each fault as TOML, separated by "; ".
+        values: replace values of `DEFAULT_VALUES`.
+    """
     text = SCENARIO_TEMPLATE.format(**{**DEFAULT_VALUES, **values})
     for fault in faults:
         text += "[[trouble]]\n" + fault.replace("; ", "\n") + "\n"
@@ -126,7 +131,7 @@
     engine: Any = PolicyEngine,
     gateway: type[VirtualGateway] = VirtualGateway,
 ) -> tuple[EventLog, list[Violation]]:
-    """Plays a scenario on the virtual clock; returns its event log and the rules that were broken."""
+    """Runs a scenario on the virtual clock; returns its event log and the violations of rules."""
 
     class Runner(VirtualRunner):
         gateway_class = gateway
@@ -135,11 +140,11 @@
     return event_log, find_violations(event_log, scenario)
 
 
-# Gateways that break one rule each
+# Faulty gateways
 
 
-class RetryAnything(RequestFlow):
-    """Forwards again whatever may have run already."""
+class RetriesAlways(RequestFlow):
+    """Retries requests even if an endpoint may have processed them."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -148,47 +153,49 @@
 
 
 class RetryingEngine(PolicyEngine):
-    """Forwards again whatever failed."""
+    """Retries after every failed attempt."""
 
-    request_flow_class = RetryAnything
+    request_flow_class = RetriesAlways
 
 
-class YoungestFirst(EndpointSelector):
-    """Ignores warm-up and load."""
+class SelectsNewest(EndpointSelector):
+    """Selects the endpoint that started last, regardless of warm-up and load."""
 
     def select(self, request: PendingRequest) -> EndpointState | None:
-        """The endpoint that started last."""
-        untried = [each for each in self.endpoints.preferred if each not in request.tried_endpoints]
+        """Returns the untried endpoint that started last; None if all were tried."""
+        untried = [
+            endpoint for endpoint in self.endpoints.preferred if endpoint not in request.tried_endpoints
+        ]
         return max(untried, key=started_at_ms) if untried else None
 
 
 def started_at_ms(endpoint: EndpointState) -> float:
-    """When an endpoint started; 0 for one that was warm when it was first listed."""
+    """Returns when an endpoint started; 0 for one that was warm when it was first listed."""
     return endpoint.started_at_ms or 0.0
 
 
 class YoungestFirstEngine(PolicyEngine):
-    """Sends all to the endpoint that started last, however cold."""
+    """Sends all requests to the endpoint that started last, even during its warm-up."""
 
-    selector_class = YoungestFirst
+    selector_class = SelectsNewest
 
 
-class NoQuotas(AdmissionControl):
-    """Ignores quotas."""
+class IgnoresQuotas(AdmissionControl):
+    """Admits requests without regard to quotas."""
 
     def quota_wait_ms(self, request: PendingRequest) -> float:
-        """Every request fits."""
+        """Returns 0: no request has to wait for its quota."""
         return 0.0
 
 
 class NoQuotasEngine(PolicyEngine):
-    """Admits everything."""
+    """Admits requests beyond their quota."""
 
-    admission_class = NoQuotas
+    admission_class = IgnoresQuotas
 
 
-class RejectAlways(RequestFlow):
-    """Rejects what may have run already, where it should fail it."""
+class RejectsProcessed(RequestFlow):
+    """Rejects a request that an endpoint may have processed; it should fail it instead."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -197,35 +204,35 @@
 
 
 def reject(flow: RequestFlow, request: PendingRequest) -> None:
-    """Answers that nothing was done."""
+    """Rejects a request, which tells the client that it was not processed."""
     flow.context.actions.append(RejectRequest(request.request_id, 10.0))
     flow.forget(request)
 
 
 class RejectingEngine(PolicyEngine):
-    """Says that trying again is harmless, whatever may have run."""
+    """Tells clients that a retry is safe even if the request may have been processed."""
 
-    request_flow_class = RejectAlways
+    request_flow_class = RejectsProcessed
 
 
 def up_row(row: EndpointRow) -> EndpointRow:
-    """The row, with its endpoint up."""
+    """Returns a copy of the row in which the endpoint is up."""
     row = row.copy()
     row["lifecycle"] = Lifecycle.UP
     return row
 
 
 class IgnoresDraining(VirtualGateway):
-    """Takes draining endpoints for ready ones."""
+    """Forwards requests to draining endpoints."""
 
     def apply_update(self, update: ListUpdate) -> EndpointsUpdated:
-        """Every row of the update says that its endpoint is up, and none is missing."""
+        """Applies the update with every endpoint up, and as a change, so that no endpoint is removed."""
         rows = [up_row(row) for row in update["instances"]]
         return super().apply_update({"generation": update["generation"], "reset": False, "instances": rows})
 
 
 class DoesNotWaitForDiscovery(VirtualGateway):
-    """Goes by the list of the run's beginning in its first second, as if its agent had not spoken yet."""
+    """Uses the endpoint list of the start of the run in its first second, without an answer of its agent."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -236,16 +243,16 @@
         self.execute(self.lifecycle.endpoints_updated(self.clock.now(), endpoints))
 
     def read_update(self) -> None:
-        """Reads nothing in the first second."""
+        """Ignores updates in the first second."""
         if self.clock.now() >= self.ignore_until_ms:
             super().read_update()
 
 
 class ForgetsResponses(VirtualGateway):
-    """Answers nineteen of twenty requests."""
+    """Loses the responses to some requests."""
 
     def respond(self, response: SendResponse) -> None:
-        """Drops the response of every twentieth request."""
+        """Drops the response to every twentieth request."""
         if response.request_id % 20:
             super().respond(response)
         else:
@@ -254,14 +261,14 @@
 
 
 class MixesResponses(VirtualGateway):
-    """Serves a client with the response made for another."""
+    """Delivers responses to the wrong client."""
 
     last_made_for = ""
 
     def attempt_ended(
         self, key: AttemptKey, outcome: Outcome, billed_units: float = 0.0, made_for: str = ""
     ) -> None:
-        """Passes on the response before."""
+        """Delivers the response of the previous successful attempt instead."""
         if outcome is Outcome.SUCCEEDED:
             previous = self.last_made_for or made_for
             self.last_made_for = made_for
