--- a/tests/customer_gateways.py
+++ b/tests/customer_gateways.py
@@ -1,6 +1,7 @@
-"""One customer's gateways, and a shared counter that can be lost, split or replaced.
+"""Simulates a customer's gateways and a shared counter that can be unavailable, split or reset.
 
-The policy engines are real ones; requests, replies, ends of attempts and restarts come in random order.
+The policy engines are the real ones; requests, counter replies, ends of attempts and restarts occur in random
+order.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 MAX_REQUEST_UNITS = 6
 CUSTOMER = 1
-ENDPOINTS = 4
+ENDPOINT_COUNT = 4
 MEAN_STEP_MS = 30.0
 FAILED_CALLS = (Outcome.TIMED_OUT, Outcome.REJECTED, Outcome.UNREACHABLE)
 ATTEMPT_OUTCOMES = (
@@ -42,16 +43,16 @@
 
 
 class PendingCall(NamedTuple):
-    """A call to the counter that is not answered yet."""
+    """A call to the counter that has not been answered."""
 
     gateway: int
     call: AddToCounter
     totals: dict[int, float]
-    """Of the part of the counter that it went to."""
+    """The totals of the counter part that received the call."""
 
 
 class PendingAttempt(NamedTuple):
-    """An attempt in flight."""
+    """An attempt that has not ended."""
 
     gateway: int
     request_id: int
@@ -59,13 +60,13 @@
 
 
 class CustomerGateways:
-    """One customer's gateways and the shared counter, in random order of events.
+    """A customer's gateways and the shared counter; each `step` is a random event.
 
     Args:
-        plan: the customer's.
-        gateway_count: how many gateways there are.
-        seed: of the random source.
-        engine_class: the policy engine of each gateway.
+        plan: the customer's plan.
+        gateway_count: number of gateways.
+        seed: seed of the random number generator.
+        engine_class: class of the gateways' policy engines.
     """
 
     def __init__(
@@ -78,15 +79,15 @@
         self.now_ms = 100_000.0
         self.last_request_id = 0
         self.counter_parts: list[dict[int, float]] = [{}]
-        """Totals by key; two while the counter is split."""
+        """Totals by key, for each part of the counter; there are two parts while it is split."""
         self.totals_at_split: dict[int, float] = {}
         self.counter_faults = 0
         self.counter_lost_at_ms: float | None = None
         self.counting_since_ms = self.now_ms
         self.sent_units = 0.0
-        """Since then."""
+        """Units of first attempts since `counting_since_ms`."""
         self.level_units = 0.0
-        """The customer's true usage, as its plan says."""
+        """The customer's true usage level at `level_at_ms`, from its plan's quota."""
         self.level_at_ms = self.now_ms
         self.restarts = [0] * gateway_count
         self.clock_skews_ms = [0.0] * gateway_count
@@ -97,11 +98,11 @@
         self.pending_calls: list[PendingCall] = []
         self.attempts: list[PendingAttempt] = []
         self.requested_units: dict[tuple[int, int], float] = {}
-        """By gateway and request id, until the first attempt."""
+        """Units by gateway and request id, until the first attempt."""
         self.engines = [self.new_engine(gateway) for gateway in range(gateway_count)]
 
     def new_engine(self, gateway: int) -> PolicyEngine:
-        """A gateway's engine, just started."""
+        """Returns a gateway's engine that has just started, with the endpoint list."""
         plan = dataclasses.replace(
             HARD_PLAN,
             units_per_s=self.plan.units_per_s,
@@ -119,13 +120,14 @@
         now_ms = self.now_ms + self.clock_skews_ms[gateway]
         engine.start(now_ms)
         endpoints = (
-            EndpointInfo(number, 0, 0, "std", EndpointStatus.READY, None, 1.0) for number in range(ENDPOINTS)
+            EndpointInfo(endpoint_id, 0, 0, "std", EndpointStatus.READY, None, 1.0)
+            for endpoint_id in range(ENDPOINT_COUNT)
         )
         engine.handle(now_ms, EndpointsUpdated(True, tuple(endpoints)))
         return engine
 
     def handle(self, gateway: int, event: Event) -> None:
-        """Hands an event to a gateway, and notes what it does."""
+        """Passes an event to a gateway's engine, and records its actions."""
         now_ms = self.now_ms + self.clock_skews_ms[gateway]
         for action in self.engines[gateway].handle(now_ms, event):
             if isinstance(action, AddToCounter):
@@ -140,7 +142,7 @@
                 self.rejected += 1
 
     def count_sent(self, units: float) -> None:
-        """Counts a first attempt; beyond the quota it takes nothing from it."""
+        """Counts a first attempt; one beyond the quota does not raise the true usage level."""
         self.sent_units += units
         self.level_units = self.true_level_units()
         self.level_at_ms = self.now_ms
@@ -148,12 +150,12 @@
             self.level_units += units
 
     def true_level_units(self) -> float:
-        """The customer's usage now."""
+        """Returns the customer's true usage level now."""
         refilled = (self.now_ms - self.level_at_ms) * self.plan.units_per_s / 1000.0
         return max(0.0, self.level_units - refilled)
 
     def step(self) -> None:
-        """Something random happens."""
+        """Advances the clock by a random time, and simulates one random event."""
         self.now_ms += self.random.expovariate(1 / MEAN_STEP_MS)
         gateway = self.random.randrange(self.gateway_count)
         draw = self.random.random()
@@ -165,13 +167,13 @@
         elif draw < 0.93 and self.pending_calls:
             self.reply(self.pending_calls.pop(0))
         elif draw < 0.99:
-            for each in range(self.gateway_count):
-                self.handle(each, TimerFired(0))
+            for ticking_gateway in range(self.gateway_count):
+                self.handle(ticking_gateway, TimerFired(0))
         elif self.counter_lost_at_ms is not None or self.random.random() < self.restart_probability:
             self.restart(gateway)
 
     def request(self, gateway: int) -> None:
-        """A request of random units and time left."""
+        """Sends a request of random units and with a random time left."""
         self.last_request_id += 1
         units = float(self.random.randint(1, MAX_REQUEST_UNITS))
         self.requested_units[gateway, self.last_request_id] = units
@@ -191,20 +193,24 @@
         self.handle(gateway, event)
 
     def end_attempt(self, attempt: PendingAttempt, outcome: Outcome) -> None:
-        """Ends an attempt."""
+        """Ends an attempt; only a success is final."""
         is_final = outcome is Outcome.SUCCEEDED
         event = AttemptEnded(attempt.request_id, 0, attempt.endpoint_id, outcome, 20.0, is_final, 0.0, {})
         self.handle(attempt.gateway, event)
 
     def reply(self, pending: PendingCall) -> None:
-        """Answers a call to the counter, or lets it fail."""
+        """Answers a call to the counter, or lets it fail.
+
+        It always fails while the counter is unavailable. Otherwise `lost_reply_share` is the share of lost
+        replies, and `noise_share` the share of replies with a wrong total.
+        """
         gateway, call, totals = pending
         key = call.counter_key
         if self.counter_lost_at_ms is not None:
             self.handle(gateway, CounterReplied(key, self.random.choice(FAILED_CALLS), 0.0, 50.0))
             return
         if self.random.random() < self.lost_reply_share:
-            if self.random.random() < 0.5:  # added all the same
+            if self.random.random() < 0.5:  # only the reply is lost, the units were added
                 totals[key] = totals.get(key, 0.0) + call.amount
             self.handle(gateway, CounterReplied(key, Outcome.TIMED_OUT, 0.0, 50.0))
             return
@@ -215,28 +221,28 @@
         self.handle(gateway, CounterReplied(key, Outcome.SUCCEEDED, total, 3.0))
 
     def reply_to_all(self) -> None:
-        """Answers calls until none is pending."""
+        """Answers calls to the counter until none is pending."""
         while self.pending_calls:
             self.reply(self.pending_calls.pop(0))
 
     def restart(self, gateway: int) -> None:
-        """Starts a gateway anew."""
+        """Restarts a gateway, which loses its state, calls and attempts."""
         self.restarts[gateway] += 1
         self.engines[gateway] = self.new_engine(gateway)
         self.pending_calls = [pending for pending in self.pending_calls if pending.gateway != gateway]
         self.attempts = [attempt for attempt in self.attempts if attempt.gateway != gateway]
 
     def lose_counter(self) -> None:
-        """The counter does not answer any more; what is sent counts from now on."""
+        """Makes the counter unavailable, and starts to count the sent units."""
         self.counter_lost_at_ms = self.now_ms
         self.counting_since_ms = self.now_ms
         self.sent_units = 0.0
         self.pending_calls.clear()
 
     def fault_counter(self) -> None:
-        """The counter comes back empty, or older, or splits, or becomes one again.
+        """Resets the counter, lowers its totals, or splits or merges its parts, at random.
 
-        Calls that are pending are answered by the part that they went to, late.
+        A pending call is answered later by the part that received it.
         """
         self.counter_faults += 1
         draw = self.random.random()
@@ -244,26 +250,26 @@
             self.counter_parts = [{} for _ in self.counter_parts]
             self.totals_at_split = {}
         elif draw < 0.6:
-            kept = self.random.random()
-            self.counter_parts = [scaled(totals, kept) for totals in self.counter_parts]
-            self.totals_at_split = scaled(self.totals_at_split, kept)
+            factor = self.random.random()
+            self.counter_parts = [scaled(totals, factor) for totals in self.counter_parts]
+            self.totals_at_split = scaled(self.totals_at_split, factor)
         elif len(self.counter_parts) == 1:
             self.totals_at_split = dict(self.counter_parts[0])
             self.counter_parts.append(dict(self.counter_parts[0]))
         else:
-            self.heal_split()
+            self.merge_parts()
 
-    def heal_split(self) -> None:
-        """One counter again, with what both parts added."""
+    def merge_parts(self) -> None:
+        """Merges the two parts: a total has what both parts added since the split."""
         first, second = self.counter_parts
         totals: dict[int, float] = {}
         for key in first.keys() | second:
-            both = first.get(key, 0.0) + second.get(key, 0.0)
-            totals[key] = both - self.totals_at_split.get(key, 0.0)
+            sum_of_parts = first.get(key, 0.0) + second.get(key, 0.0)
+            totals[key] = sum_of_parts - self.totals_at_split.get(key, 0.0)
         self.counter_parts = [totals]
 
     def share_of_bound(self) -> float:
-        """What was sent, as a share of the declared bound."""
+        """Returns the sent units as a share of the bound that `sending_bound` declares."""
         seconds = (self.now_ms - self.counting_since_ms) / 1000.0
         bound = sending_bound(self.plan, self.gateway_count, seconds, max(self.restarts))
         assert bound is not None
@@ -271,5 +277,5 @@
 
 
 def scaled(totals: dict[int, float], factor: float) -> dict[int, float]:
-    """Each total multiplied, with two decimals."""
+    """Returns the totals multiplied by a factor, rounded to two decimals."""
     return {key: round(total * factor, 2) for key, total in totals.items()}
