--- a/tests/harness.py
+++ b/tests/harness.py
@@ -63,9 +63,9 @@
     deduplication_scope=DeduplicationScope.ZONE,
     idempotency_window_ms=3000.0,
 )
-TOP = 0
+HIGH_PRIORITY = 0
 """Index of the class with the higher priority weight: not idempotent, unless a test says otherwise."""
-LOWER = 1
+LOW_PRIORITY = 1
 """Index of the class with the lower priority weight: idempotent."""
 
 HARD_PLAN = Plan(
@@ -182,7 +182,7 @@
 
     def request(
         self,
-        request_class: int = LOWER,
+        request_class: int = LOW_PRIORITY,
         units: float = 1.0,
         customer: int = CUSTOMER,
         time_left_ms: float = 5000.0,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,7 +24,7 @@
 from drumgw.model.settings import Plan
 from drumgw.policy.engine import TICK_MS, PolicyEngine
 from drumgw.policy.slow_start import SlowStart
-from tests.harness import LOWER, gateway_settings
+from tests.harness import LOW_PRIORITY, gateway_settings
 
 LARGE_PLAN = Plan(
     units_per_s=1000.0,
@@ -128,7 +128,7 @@
             (gateway,) = self.random.choices(range(len(self.engines)), self.traffic)
             customer = self.random.randrange(CUSTOMERS)
             request = RequestReceived(
-                request_id, 8000.0, 0, customer, LOWER, 1.0, False, len(self.engines), 0
+                request_id, 8000.0, 0, customer, LOW_PRIORITY, 1.0, False, len(self.engines), 0
             )
             self.schedule(time_ms, gateway, request)
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -7,10 +7,10 @@
 
 from drumgw.model.events import ClientDisconnected, EndpointStatus, EndpointsUpdated, Outcome
 from tests.harness import (
+    HIGH_PRIORITY,
     IDEMPOTENT_CLASS,
     KEYED_IN_ZONE_CLASS,
-    LOWER,
-    TOP,
+    LOW_PRIORITY,
     PolicyHarness,
     TraceCase,
 )
@@ -27,11 +27,11 @@
         """
         harness = PolicyHarness(has_counter=False)
         harness.note("may have run: fails without a retry")
-        harness.end_attempt(harness.request(TOP), Outcome.FAILED)
+        harness.end_attempt(harness.request(HIGH_PRIORITY), Outcome.FAILED)
         harness.note("timed out at its deadline: fails")
-        harness.end_attempt(harness.request(TOP, time_left_ms=2000.0), Outcome.TIMED_OUT, 2000.0)
+        harness.end_attempt(harness.request(HIGH_PRIORITY, time_left_ms=2000.0), Outcome.TIMED_OUT, 2000.0)
         harness.note("never ran: retried at other endpoints, finally rejected")
-        request = harness.request(TOP)
+        request = harness.request(HIGH_PRIORITY)
         for _ in range(3):
             harness.end_attempt(request, Outcome.UNREACHABLE)
         self.assert_trace(harness, "not-idempotent")
@@ -49,7 +49,7 @@
             has_counter=False,
         )
         for wait_ms in (100.0, 4000.0):
-            request = harness.request(TOP, time_left_ms=9000.0)
+            request = harness.request(HIGH_PRIORITY, time_left_ms=9000.0)
             harness.end_attempt(request, Outcome.BROKEN_RESPONSE)
             zones = [endpoint % 2 for endpoint in harness.attempted_endpoints[request]]
             harness.note(f"zones so far: {zones}")
@@ -65,7 +65,7 @@
         Nobody waits for the response, so the attempt is cancelled, and not retried when it ends.
         """
         harness = PolicyHarness(has_counter=False)
-        request = harness.request(LOWER)
+        request = harness.request(LOW_PRIORITY)
         harness.play(ClientDisconnected(request))
         harness.end_attempt(request, Outcome.CANCELLED, is_final=True)
         self.assert_trace(harness, "client-disconnected")
@@ -76,13 +76,13 @@
 
     def test_no_endpoint_known(self) -> None:
         harness = PolicyHarness(endpoints=0, has_counter=False)
-        harness.request(TOP)
-        harness.request(LOWER)
+        harness.request(HIGH_PRIORITY)
+        harness.request(LOW_PRIORITY)
         self.assert_trace(harness, "no-endpoint")
 
     def used_endpoints(self, harness: PolicyHarness) -> list[int]:
         """Returns the endpoints that receive the requests of five customers."""
-        requests = [harness.request(LOWER, 0.1, customer) for customer in range(5)]
+        requests = [harness.request(LOW_PRIORITY, 0.1, customer) for customer in range(5)]
         for request in requests:
             harness.end_attempt(request)
         return sorted({endpoint for r in requests for endpoint in harness.attempted_endpoints[r]})
@@ -107,7 +107,7 @@
         harness.play(EndpointsUpdated(False, (started,)))
         attempts = [0, 0, 0, 0]
         for number in range(200):
-            request = harness.request(LOWER, 0.1, number)
+            request = harness.request(LOW_PRIORITY, 0.1, number)
             attempts[harness.attempted_endpoints[request][0]] += 1
             harness.end_attempt(request)
             harness.advance()
@@ -127,7 +127,7 @@
         for ordinal in range(50):
             gateway = PolicyHarness(endpoints=50, has_counter=False, gateways=250, ordinal=ordinal)
             for _ in range(3):
-                request = gateway.request(LOWER, 0.1)
+                request = gateway.request(LOW_PRIORITY, 0.1)
                 endpoint = gateway.attempted_endpoints[request][0]
                 attempts[endpoint] = attempts.get(endpoint, 0) + 1
                 gateway.end_attempt(request)
@@ -147,13 +147,13 @@
         An overdue attempt is cancelled and its request is sent elsewhere; the second one ejects the endpoint.
         """
         harness = PolicyHarness(has_counter=False)
-        request = harness.request(LOWER, 0.1, time_left_ms=30000.0)
+        request = harness.request(LOW_PRIORITY, 0.1, time_left_ms=30000.0)
         harness.advance(2200)
         harness.note("cancelled; retried at another endpoint, where it succeeds")
         harness.end_attempt(request, Outcome.CANCELLED)
         harness.end_attempt(request)
         harness.note("second overdue attempt there: the endpoint is ejected for this class")
-        harness.request(LOWER, 0.1, time_left_ms=30000.0)
+        harness.request(LOW_PRIORITY, 0.1, time_left_ms=30000.0)
         harness.advance(2200)
         self.assert_trace(harness, "silent-endpoint")
 
@@ -165,15 +165,15 @@
         """
         harness = PolicyHarness(has_counter=False)
         harness.note("one broken response: no endpoint is ejected")
-        harness.end_attempt(harness.request(TOP, 0.1), Outcome.BROKEN_RESPONSE)
+        harness.end_attempt(harness.request(HIGH_PRIORITY, 0.1), Outcome.BROKEN_RESPONSE)
         harness.note("two of every eight responses broken, at any endpoint: none is ejected")
         for number in range(40):
             is_broken = number % 8 < 2
             outcome = Outcome.BROKEN_RESPONSE if is_broken else Outcome.SUCCEEDED
-            harness.end_attempt(harness.request(TOP, 0.1, customer=number), outcome)
+            harness.end_attempt(harness.request(HIGH_PRIORITY, 0.1, customer=number), outcome)
         harness.note("all responses of one endpoint broken: it is ejected")
         for number in range(40):
-            request = harness.request(TOP, 0.1, customer=number)
+            request = harness.request(HIGH_PRIORITY, 0.1, customer=number)
             is_broken = harness.attempted_endpoints[request][-1] == 2
             harness.end_attempt(request, Outcome.BROKEN_RESPONSE if is_broken else Outcome.SUCCEEDED)
         harness.trace = [line for line in harness.trace if "forward" not in line and "fail " not in line]
@@ -186,7 +186,7 @@
         """
         harness = PolicyHarness(endpoints=2, has_counter=False, warm_up_ms=0.0)
         for customer in range(12):
-            request = harness.request(TOP, 0.1, customer)
+            request = harness.request(HIGH_PRIORITY, 0.1, customer)
             is_failing = harness.attempted_endpoints[request][-1] == 0
             harness.end_attempt(request, Outcome.FAILED if is_failing else Outcome.SUCCEEDED)
         attempts = [[0, 0], [0, 0]]
@@ -199,7 +199,7 @@
         top, lower = attempts
         harness.note(f"endpoint 0 failed the top class; sent to endpoints 0, 1: {top}, lower class {lower}")
         harness.advance(16000)
-        requests = [harness.request(TOP, 0.1, customer) for customer in range(6)]
+        requests = [harness.request(HIGH_PRIORITY, 0.1, customer) for customer in range(6)]
         trials = [harness.attempted_endpoints[request] for request in requests].count([0])
         harness.trace = [line for line in harness.trace if "forward" not in line]
         harness.note(f"its ejection is over: of 6 concurrent requests it receives {trials}")
@@ -221,22 +221,22 @@
         These avoid the endpoint until a trial request of the other class has succeeded.
         """
         harness = PolicyHarness(has_counter=False)
-        failed = harness.request(LOWER, 0.1)
+        failed = harness.request(LOW_PRIORITY, 0.1)
         failing = harness.attempted_endpoints[failed][0]
         harness.end_attempt(failed, Outcome.FAILED)
         harness.end_attempt(failed)
-        received = self.attempts_at(harness, failing, TOP, first=2)
+        received = self.attempts_at(harness, failing, HIGH_PRIORITY, first=2)
         harness.note(
             f"endpoint {failing} failed the lower class; it receives {received} of 20 non-idempotent requests"
         )
         harness.advance(17000)
-        received = self.attempts_at(harness, failing, TOP, first=2)
+        received = self.attempts_at(harness, failing, HIGH_PRIORITY, first=2)
         harness.note(f"its ejection is over, without a trial yet: {received}")
-        trial_attempts = self.attempts_at(harness, failing, LOWER, first=22) + self.attempts_at(
-            harness, failing, LOWER, first=42
+        trial_attempts = self.attempts_at(harness, failing, LOW_PRIORITY, first=22) + self.attempts_at(
+            harness, failing, LOW_PRIORITY, first=42
         )
         self.assertGreater(trial_attempts, 0)
-        received = self.attempts_at(harness, failing, TOP, first=2)
+        received = self.attempts_at(harness, failing, HIGH_PRIORITY, first=2)
         harness.note(f"a trial succeeded: {received}")
         harness.trace = [line for line in harness.trace if "--" in line or "ejected" in line]
         self.assert_trace(harness, "not-idempotent-avoids-suspected")
@@ -249,7 +249,9 @@
         such a stall wait for the counter.
         """
         harness = PolicyHarness(has_counter=False)
-        requests = [harness.request(LOWER, 0.1, customer, time_left_ms=30000.0) for customer in range(6)]
+        requests = [
+            harness.request(LOW_PRIORITY, 0.1, customer, time_left_ms=30000.0) for customer in range(6)
+        ]
         harness.note("this process stalls for 8 s; the responses are read late")
         harness.now_ms += 8000
         for request in requests:
@@ -270,7 +272,7 @@
         """
         harness = PolicyHarness(has_counter=False)
         for customer in range(6):
-            harness.request(LOWER, 0.1, customer, time_left_ms=30000.0)
+            harness.request(LOW_PRIORITY, 0.1, customer, time_left_ms=30000.0)
         forwarded = list(harness.trace)
         harness.now_ms += 8000
         harness.advance()
@@ -288,7 +290,7 @@
         """
         harness = PolicyHarness(has_counter=False)
         for customer in range(16):
-            harness.request(LOWER, 0.1, customer=customer)
+            harness.request(LOW_PRIORITY, 0.1, customer=customer)
         self.assert_trace(harness, "limit-without-late-answers")
 
     def test_late_answers_shed_the_lower_class_first(self) -> None:
@@ -301,13 +303,13 @@
         for lower_ms in (100.0, 1900.0, 100.0):
             top_ms = min(lower_ms, 700.0)
             for number in range(60):
-                request = harness.request(LOWER, 0.1, 1000 + number)
+                request = harness.request(LOW_PRIORITY, 0.1, 1000 + number)
                 if request in harness.attempted_endpoints:
                     harness.end_attempt(request, duration_ms=lower_ms)
-                harness.end_attempt(harness.request(TOP, 0.1, 2000 + number), duration_ms=top_ms)
+                harness.end_attempt(harness.request(HIGH_PRIORITY, 0.1, 2000 + number), duration_ms=top_ms)
                 harness.advance()
-            lower = self.admitted_of_ten(harness, LOWER, top_ms)
-            top = self.admitted_of_ten(harness, TOP, top_ms)
+            lower = self.admitted_of_ten(harness, LOW_PRIORITY, top_ms)
+            top = self.admitted_of_ten(harness, HIGH_PRIORITY, top_ms)
             harness.trace = [line for line in harness.trace if "--" in line or "log: back" in line]
             admitted = f"admitted of 10: top class {top}, lower class {lower}"
             harness.note(f"answers in {lower_ms:.0f} ms: {admitted}")
--- a/tests/test_policy_counter.py
+++ b/tests/test_policy_counter.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from drumgw.model.events import GatewayStopping, Outcome
-from tests.harness import CUSTOMER, LOWER, TOP, PolicyHarness, TraceCase
+from tests.harness import CUSTOMER, HIGH_PRIORITY, LOW_PRIORITY, PolicyHarness, TraceCase
 
 
 class CounterTotalTest(TraceCase):
@@ -12,20 +12,20 @@
     def test_total_decides_by_usage_of_each_class(self) -> None:
         harness = PolicyHarness(hold_counter=True)
         harness.note("16 units used elsewhere, none by the top class: its floor excludes the lower class")
-        harness.request(TOP, 2.0)
+        harness.request(HIGH_PRIORITY, 2.0)
         harness.reply_from_counter(0.0)
         harness.reply_from_counter(0.0)  # total of the previous epoch's key
         harness.reply_from_counter(2.0)
-        harness.request(LOWER, 3.0)
+        harness.request(LOW_PRIORITY, 3.0)
         harness.reply_from_counter(16.0)
-        harness.request(TOP, 3.0)
+        harness.request(HIGH_PRIORITY, 3.0)
         harness.reply_from_counter(16.0)
         harness.reply_from_counter(19.01)
         other = PolicyHarness(hold_counter=True)
         other.note(
             "another gateway; all 16 units used by the top class: its floor is used up, the request fits"
         )
-        other.request(LOWER, 3.0)
+        other.request(LOW_PRIORITY, 3.0)
         other.reply_from_counter(16.02)
         harness.trace += other.trace
         self.assert_trace(harness, "counter-totals")
@@ -37,14 +37,14 @@
         reported.
         """
         harness = PolicyHarness(hold_counter=True)
-        harness.request(LOWER, 6.0)
+        harness.request(LOW_PRIORITY, 6.0)
         harness.note("waits for the total")
         harness.reply_from_counter()
         harness.note("too little time left for a stall: decided at once, and reported")
-        harness.request(LOWER, 6.0, time_left_ms=2000.0)
+        harness.request(LOW_PRIORITY, 6.0, time_left_ms=2000.0)
         harness.note("no total received for this customer: limited to quota / gateways")
         for _ in range(3):
-            harness.request(LOWER, 6.0, customer=2, time_left_ms=2000.0)
+            harness.request(LOW_PRIORITY, 6.0, customer=2, time_left_ms=2000.0)
         self.assert_trace(harness, "wait-for-total")
 
     def test_unused_reservations_are_returned_when_the_gateway_stops(self) -> None:
@@ -56,7 +56,7 @@
         harness = PolicyHarness(gateways=400)
         harness.advance(20000)
         while not self.reserved_units(harness):
-            harness.end_attempt(harness.request(LOWER, 1.0, time_left_ms=2000.0))
+            harness.end_attempt(harness.request(LOW_PRIORITY, 1.0, time_left_ms=2000.0))
         harness.note("nothing of the reservation reported last has been used")
         harness.play(GatewayStopping())
         harness.note("nothing is left to return")
@@ -79,10 +79,10 @@
         more than its quota at once. The next report therefore adds the lost refill.
         """
         harness = PolicyHarness()
-        harness.end_attempt(harness.request(LOWER, 3.0))
+        harness.end_attempt(harness.request(LOW_PRIORITY, 3.0))
         harness.note("ten seconds refill 20 units, but only 3 were used: the report adds the other 17")
         harness.advance(10000)
-        harness.request(LOWER, 3.0)
+        harness.request(LOW_PRIORITY, 3.0)
         self.assert_trace(harness, "counter-lags-refill")
 
     def test_units_reported_beyond_the_quota_are_subtracted(self) -> None:
@@ -95,12 +95,12 @@
         harness.note(
             "no time to wait; 18 of 20 units used elsewhere, 0.2 refilled: 3 of the 6 units are in excess"
         )
-        harness.request(LOWER, 6.0, time_left_ms=2000.0)
+        harness.request(LOW_PRIORITY, 6.0, time_left_ms=2000.0)
         harness.reply_from_counter(24.0)
         harness.reply_from_counter(20.0)
         other = PolicyHarness(hold_counter=True)
         other.note("another gateway; 6 units reported, 14 used elsewhere: nothing is subtracted")
-        other.request(LOWER, 6.0, time_left_ms=2000.0)
+        other.request(LOW_PRIORITY, 6.0, time_left_ms=2000.0)
         other.reply_from_counter(20.0)
         harness.trace += other.trace
         self.assert_trace(harness, "excess-usage-subtracted")
@@ -114,13 +114,13 @@
         harness = PolicyHarness()
         harness.advance(49000)
         harness.note("two gateways use 8 units each, a second before the epoch ends")
-        harness.request(TOP, 6.0)
-        harness.request(TOP, 2.0)
+        harness.request(HIGH_PRIORITY, 6.0)
+        harness.request(HIGH_PRIORITY, 2.0)
         harness.counter_totals[harness.counter_key()] += 8.0
         harness.advance(1400)
         harness.note("the new key is empty: the previous key is read, and its usage less the refill is added")
-        harness.request(TOP, 2.0)
-        harness.request(TOP, 6.0)
+        harness.request(HIGH_PRIORITY, 2.0)
+        harness.request(HIGH_PRIORITY, 6.0)
         self.assert_trace(harness, "epoch-change")
 
     def test_totals_of_an_emptied_counter_are_restored(self) -> None:
@@ -131,22 +131,22 @@
         """
         harness = PolicyHarness(hold_counter=True)
         harness.advance(20000)
-        harness.request(TOP, 5.0)
+        harness.request(HIGH_PRIORITY, 5.0)
         harness.reply_from_counter(53.0)  # 40.2 refilled
         harness.reply_from_counter(58.0)
         harness.note(
             "the 17.8 units used are missing from the total: 2 more just fit, and the usage is restored"
         )
-        harness.request(TOP, 2.0)
+        harness.request(HIGH_PRIORITY, 2.0)
         harness.reply_from_counter(0.0)
         harness.note("another gateway had just added 57 units: this gateway undoes its repair")
         harness.reply_from_counter(115.0)
         harness.reply_from_counter(117.0)
         harness.reply_from_counter(60.0)
-        harness.request(TOP, 1.0)
+        harness.request(HIGH_PRIORITY, 1.0)
         harness.advance(2000)
         harness.note("restored from an older state that lacks 10 units")
-        harness.request(TOP, 2.0)
+        harness.request(HIGH_PRIORITY, 2.0)
         harness.reply_from_counter(50.0)
         while harness.counter_calls:
             harness.reply_from_counter(50.0 + harness.counter_calls[0].amount)
@@ -178,7 +178,7 @@
         """Sends a new customer's request every 100 ms, and counts the calls sent before any reply."""
         calls = 0
         for number in range(40):
-            harness.request(LOWER, 1.0, customer=10 * number + round(duration_ms))
+            harness.request(LOW_PRIORITY, 1.0, customer=10 * number + round(duration_ms))
             calls += len(harness.counter_calls)
             harness.trace = [line for line in harness.trace if "--" in line or "log" in line]
             while harness.counter_calls:
