--- a/tests/agent_case.py
+++ b/tests/agent_case.py
@@ -11,7 +11,7 @@
 from tests.scripted_server import ScriptedServer, http_response
 
 JsonObject = dict[str, Any]
-EVERY_GATEWAY = "units=1,spread=1024,first=1023"
+ALL_GATEWAYS_QUOTA_INFO = "units=1,spread=1024,first=1023"
 """Quota-Info of a customer whose requests are spread over all 1,024 gateways of a fleet."""
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,7 @@
 from drumgw.gateway.discovery_poll import PollTimes
 from drumgw.gateway.membership import RENUMBERED_AFTER_MS
 from drumgw.gateway.process_config import MAX_BODY_BYTES
-from tests.agent_case import EVERY_GATEWAY, AgentCase, JsonObject, endpoint_list
+from tests.agent_case import ALL_GATEWAYS_QUOTA_INFO, AgentCase, JsonObject, endpoint_list
 from tests.gateway_case import POST_TARGET, endpoint_row, load_config, raw_config, raw_settings
 from tests.scripted_server import ScriptedServer, http_response
 
@@ -257,7 +257,7 @@
         self.assertEqual(len(self.gateway.endpoint_clients.clients), 1024)
         await self.update_agent(8, *({**row, "lifecycle": "draining"} for row in many))
         await self.wait_for_calls("since=8&")
-        self.assertEqual((await self.send_request(Quota_Info=EVERY_GATEWAY))[:2], (200, b"other"))
+        self.assertEqual((await self.send_request(Quota_Info=ALL_GATEWAYS_QUOTA_INFO))[:2], (200, b"other"))
         self.assertEqual(
             sum(client.accepts_attempts for client in self.gateway.endpoint_clients.clients.values()), 1
         )
--- a/tests/test_shared_discovery.py
+++ b/tests/test_shared_discovery.py
@@ -9,7 +9,7 @@
 from drumgw.gateway.discovery import BACKOFF_BY_OUTCOME
 from drumgw.gateway.discovery_poll import PollOutcome
 from drumgw.gateway.process import GatewayProcess
-from tests.agent_case import EVERY_GATEWAY, AgentCase, endpoint_list
+from tests.agent_case import ALL_GATEWAYS_QUOTA_INFO, AgentCase, endpoint_list
 from tests.gateway_case import endpoint_row, load_config, raw_config, raw_settings
 from tests.scripted_server import http_response
 
@@ -41,7 +41,7 @@
         self.assertEqual((gateway.discovery.membership.rows, gateway.endpoint_clients.clients), ({}, {}))
         self.listen_address = await gateway.open()
         self.addAsyncCleanup(self.close_gateway)
-        self.assertEqual((await self.send_request(Quota_Info=EVERY_GATEWAY))[:2], (200, b"other"))
+        self.assertEqual((await self.send_request(Quota_Info=ALL_GATEWAYS_QUOTA_INFO))[:2], (200, b"other"))
         await self.wait_for_calls("since=8&")
         self.assertEqual(
             self.targets,
