--- a/tests/harness.py
+++ b/tests/harness.py
@@ -149,7 +149,7 @@
             self.endpoint_info(endpoint_id, EndpointStatus.READY, started_at_ms)
             for endpoint_id in range(endpoints)
         )
-        self.play(EndpointsUpdated(True, tuple(endpoint_infos)))
+        self.feed(EndpointsUpdated(True, tuple(endpoint_infos)))
         self.advance()
 
     @staticmethod
@@ -159,7 +159,7 @@
         """Returns an endpoint's entry in the endpoint list."""
         return EndpointInfo(endpoint_id, endpoint_id % 2, endpoint_id % 2, "std", status, started_at_ms, 1.0)
 
-    def play(self, event: Event) -> list[Action]:
+    def feed(self, event: Event) -> list[Action]:
         """Passes an event to the engine, and traces its actions."""
         actions = self.engine.handle(self.now_ms, event)
         for action in actions:
@@ -190,7 +190,7 @@
     ) -> int:
         """Passes a client's request to the engine; returns its id."""
         self.last_request_id += 1
-        self.play(
+        self.feed(
             RequestReceived(
                 request_id=self.last_request_id,
                 time_left_ms=time_left_ms,
@@ -215,7 +215,7 @@
     ) -> None:
         """Ends a request's latest attempt; by default it is final only if it succeeded."""
         endpoints = self.attempted_endpoints[request_id]
-        self.play(
+        self.feed(
             AttemptEnded(
                 request_id=request_id,
                 attempt=len(endpoints) - 1,
@@ -245,7 +245,7 @@
         if outcome is Outcome.SUCCEEDED:
             added = self.counter_totals.get(key, 0.0) + call.amount
             self.counter_totals[key] = added if total is None else total
-        self.play(CounterReplied(key, outcome, self.counter_totals.get(key, 0.0), duration_ms))
+        self.feed(CounterReplied(key, outcome, self.counter_totals.get(key, 0.0), duration_ms))
 
     def counter_key(self) -> int:
         """Returns the counter key of `CUSTOMER` in the current epoch."""
@@ -255,7 +255,7 @@
         """Advances the clock in ticks, and fires the engine's timer at each of them."""
         for _ in range(round(duration_ms / TICK_MS)):
             self.now_ms += TICK_MS
-            self.play(TimerFired(0))
+            self.feed(TimerFired(0))
 
 
 def describe(action: Action) -> str | None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -66,7 +66,7 @@
         """
         harness = PolicyHarness(has_counter=False)
         request = harness.request(LOW_PRIORITY)
-        harness.play(ClientDisconnected(request))
+        harness.feed(ClientDisconnected(request))
         harness.end_attempt(request, Outcome.CANCELLED, is_final=True)
         self.assert_trace(harness, "client-disconnected")
 
@@ -91,9 +91,9 @@
         harness = PolicyHarness(has_counter=False)
         draining = harness.endpoint_info(0, EndpointStatus.DRAINING)
         removed = harness.endpoint_info(1, EndpointStatus.REMOVED)
-        harness.play(EndpointsUpdated(False, (draining, removed)))
+        harness.feed(EndpointsUpdated(False, (draining, removed)))
         harness.note(f"endpoints used: {self.used_endpoints(harness)}")
-        harness.play(EndpointsUpdated(True, (harness.endpoint_info(3, EndpointStatus.READY),)))
+        harness.feed(EndpointsUpdated(True, (harness.endpoint_info(3, EndpointStatus.READY),)))
         harness.note(f"endpoints used: {self.used_endpoints(harness)}")
         self.assert_trace(harness, "draining")
 
@@ -104,7 +104,7 @@
         """
         harness = PolicyHarness(endpoints=3, has_counter=False)
         started = harness.endpoint_info(3, EndpointStatus.READY, harness.now_ms)
-        harness.play(EndpointsUpdated(False, (started,)))
+        harness.feed(EndpointsUpdated(False, (started,)))
         attempts = [0, 0, 0, 0]
         for number in range(200):
             request = harness.request(LOW_PRIORITY, 0.1, number)
--- a/tests/test_policy_counter.py
+++ b/tests/test_policy_counter.py
@@ -58,9 +58,9 @@
         while not self.reserved_units(harness):
             harness.end_attempt(harness.request(LOW_PRIORITY, 1.0, time_left_ms=2000.0))
         harness.note("nothing of the reservation reported last has been used")
-        harness.play(GatewayStopping())
+        harness.feed(GatewayStopping())
         harness.note("nothing is left to return")
-        harness.play(GatewayStopping())
+        harness.feed(GatewayStopping())
         self.assert_trace(harness, "reservations-returned")
 
     def reserved_units(self, harness: PolicyHarness) -> int:
