--- a/examples/host_cost.py
+++ b/examples/host_cost.py
@@ -16,7 +16,7 @@
 import sys
 from dataclasses import dataclass
 
-from host_stand_ins import LISTEN, StubServer, request_head, running_host
+from host_stubs import LISTEN, StubServer, request_head, running_host
 
 TENANT_COUNTS = (1, 20, 200)
 CONNECTION_COUNT = 16
--- a/examples/host_rush.py
+++ b/examples/host_rush.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from aiohttp import web
-from host_stand_ins import LISTEN, StubServer, request_head, running_host
+from host_stubs import LISTEN, StubServer, request_head, running_host
 
 OTHER_TENANT_COUNT = 19
 RUN_S = 8.0
