--- a/examples/host_rush.py
+++ b/examples/host_overload.py
@@ -1,6 +1,6 @@
 """Measures how an overloaded tenant whose endpoint stalls affects nineteen other tenants of its host.
 
-    python examples/host_rush.py [SEEDS]
+    python examples/host_overload.py [SEEDS]
 
 Runs each of SEEDS seeds (default 3) twice on loopback, without the overload and with it. The other tenants'
 requests are sent at random times that do not depend on the responses (an open loop). Prints for each run how
