--- a/drumgw/hosting/admin_handlers.py
+++ b/drumgw/hosting/admin_handlers.py
@@ -83,7 +83,7 @@
         """Returns a page of the tenants that the caller may see, and the name to continue after, if any."""
         after = call.request.query.get("after", "")
         limit = _parse_page_size(call.request.query.get("limit", DEFAULT_PAGE_SIZE))
-        tenants, next_after = self._registry.list_page(after, limit, only=call.caller.tenant)
+        tenants, next_after = self._registry.list_page(after, limit, only_name=call.caller.tenant)
         return web.json_response(
             {"tenants": [tenant_resource(tenant) for tenant in tenants], "after": next_after}
         )
--- a/drumgw/hosting/tenant_registry.py
+++ b/drumgw/hosting/tenant_registry.py
@@ -155,15 +155,17 @@
             raise TenantNotFoundError(name)
         return tenant
 
-    def list_page(self, after: str, limit: int, only: str | None = None) -> tuple[list[Tenant], str | None]:
+    def list_page(
+        self, after: str, limit: int, only_name: str | None = None
+    ) -> tuple[list[Tenant], str | None]:
         """Returns a page of tenants in name order, and its last name if there are more, else None.
 
         Args:
             after: the last name of the previous page; "" for the first page.
             limit: the maximum number of tenants.
-            only: the only tenant to list; None lists all.
+            only_name: the only tenant to list; None lists all.
         """
-        names = sorted(name for name in self.tenants if name > after and only in (None, name))
+        names = sorted(name for name in self.tenants if name > after and only_name in (None, name))
         page = [self.tenants[name] for name in names[:limit]]
         return page, names[limit - 1] if len(names) > limit else None
 
