--- a/drumgw/hosting/host_process.py
+++ b/drumgw/hosting/host_process.py
@@ -100,12 +100,12 @@
         logger.info("SIGHUP: {} API tokens loaded", len(file.token))
 
 
-async def serve(file: HostFile, reload_file: Callable[[], HostFile]) -> None:
+async def serve(file: HostFile, read_file: Callable[[], HostFile]) -> None:
     """Runs a host until SIGTERM.
 
     Args:
         file: the host file.
-        reload_file: reads the host file again; called on SIGHUP.
+        read_file: reads the host file again; called on SIGHUP.
 
     Raises:
         ConfigError: the host cannot start with this file or with the stored state.
@@ -113,7 +113,7 @@
     host_process = HostProcess(file)
     loop = asyncio.get_running_loop()
     handle_signal(loop, signal.SIGTERM, host_process.stop_requested.set)
-    handle_signal(loop, signal.SIGHUP, lambda: host_process.reload_tokens(reload_file))
+    handle_signal(loop, signal.SIGHUP, lambda: host_process.reload_tokens(read_file))
     try:
         await host_process.open()
     except ConfigError:
