--- a/drumgw/hosting/host_process.py
+++ b/drumgw/hosting/host_process.py
@@ -24,7 +24,7 @@
 from drumgw.hosting.tenant_services import TenantServices
 
 DESCRIPTORS_PER_API_CALL = 2
-REQUESTING_CLIENTS_FRACTION = (3, 4)  # of the client connections, for those that have sent a request
+REQUESTING_CLIENTS_FRACTION = (3, 4)  # of the client connections; limits those that have sent a request
 SERVER_SHUTDOWN_TIMEOUT_S = 0.1
 
 Address = tuple[str, int]
