--- a/drumgw/hosting/tenant_services.py
+++ b/drumgw/hosting/tenant_services.py
@@ -93,8 +93,8 @@
     async def change(self, modify: Callable[[TenantRegistry], TenantChange]) -> TenantChange:
         """Applies a change to a copy of the registry, stores the copy, then puts it into effect.
 
-        If any step up to the storing fails, the current registry stays as it was, so a change is never made
-        in part. Changes are made one at a time.
+        If the change, its validation or the write fails, the current registry stays as it was, so a change is
+        never made in part. Changes are made one at a time.
 
         Args:
             modify: makes the change in the registry that is passed to it.
@@ -252,7 +252,7 @@
             self._check_drained(service.key, service.serial)
 
     def _check_drained(self, key: str, serial: int) -> None:
-        """Ends a drain or removal, or waits while any service of the tenant has requests in flight."""
+        """Ends a drain or removal, or postpones that while a service of the tenant has requests in flight."""
         if self.admission.has_requests_in_flight(key):
             self.awaiting_drain[key] = serial
         else:
