--- a/drumgw/hosting/tenant_registry.py
+++ b/drumgw/hosting/tenant_registry.py
@@ -66,7 +66,7 @@
 
     @property
     def key(self) -> str:
-        """Identifies the tenant wherever its shares, weight and connections are counted."""
+        """Identifies the tenant in the tables of shares, weights and connection counts."""
         return f"{self.name}#{self.serial}"
 
     @property
@@ -131,7 +131,7 @@
         self.last_sequence_number = 0  # versions, serials and operations are numbered in one sequence
 
     def next_sequence_number(self) -> int:
-        """Returns the next number of the sequence; no number is used twice, also across restarts."""
+        """Returns the next number of the sequence; no number is used twice, not even after a restart."""
         self.last_sequence_number += 1
         return self.last_sequence_number
 
