--- a/drumgw/hosting/admin_handlers.py
+++ b/drumgw/hosting/admin_handlers.py
@@ -38,7 +38,7 @@
 BODY_TIMEOUT_S = 5.0
 DEFAULT_PAGE_SIZE = "50"
 MAX_PAGE_SIZE = 200
-MAX_PAGE_SIZE_DIGITS = 6  # of limit, that the range check parses: guards int() against huge numbers
+MAX_PAGE_SIZE_DIGITS = 6  # leading digits that the range check converts: int() rejects huge numbers
 MAX_IDEMPOTENCY_KEY_LENGTH = 128
 MAX_PARSE_ERROR_LENGTH = 200
 
@@ -70,7 +70,10 @@
 
 
 class AdminHandlers:
-    """One handler for each kind of operation. A handler that makes a change returns once it is stored."""
+    """One handler for each kind of operation.
+
+    A handler that makes a change returns once the change is stored.
+    """
 
     def __init__(self, services: TenantServices) -> None:
         self._services = services
@@ -149,7 +152,7 @@
         return web.json_response(self._services.usage_report(tenant.name))
 
     async def read_operation(self, call: ApiCall) -> web.Response:
-        """Returns the state of a long-running operation; a tenant's token sees only its own tenant's."""
+        """Returns a long-running operation; a tenant's token may read only those of its own tenant."""
         operation = self._registry.get_operation(call.request.match_info["operation"])
         if call.caller.role is Role.TENANT and operation.tenant != call.caller.tenant:
             raise OperationNotFoundError("your tenant has no such operation")
