--- a/drumgw/hosting/api_operations.py
+++ b/drumgw/hosting/api_operations.py
@@ -42,8 +42,8 @@
         summary: its summary in the OpenAPI document.
         responses: descriptions by status, without the statuses that possible_responses adds.
         body: the schema of its request body; None if it has no body.
-        spec_key: the key of the tenant's spec that it reads or replaces; None for the whole spec, or where
-            it does neither.
+        spec_key: the key of the tenant's spec that it reads or replaces; None if it concerns the whole spec,
+            or no spec.
     """
 
     method: str
