--- a/drumgw/hosting/authentication.py
+++ b/drumgw/hosting/authentication.py
@@ -1,7 +1,7 @@
 """Authentication and authorization of the administration API. No I/O.
 
-Only the SHA-256 of each token is kept: the host file, the log and the host's long-lived state never
-contain a token itself.
+Only the SHA-256 of each token is kept: the host file and the log never contain a token itself, and the host
+does not keep it after the call.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 class Role(Enum):
-    """What the holder of a token administers; the value is the role's name in the host file."""
+    """The role of a token's holder; the value is its name in the host file."""
 
-    OPERATOR = "operator"  # the host and all its tenants
-    TENANT = "tenant"  # one tenant
+    OPERATOR = "operator"  # administers the host and all its tenants
+    TENANT = "tenant"  # administers one tenant
 
 
 class Permission(Enum):
@@ -70,7 +70,7 @@
     Attributes:
         id: identifies the caller in audit log lines.
         role: decides which permissions the caller has.
-        tenant: the one tenant that Role.TENANT gives access to.
+        tenant: the only tenant that Role.TENANT gives access to; None for an operator.
         sha256: the token's SHA-256 in lower-case hexadecimal digits.
     """
 
@@ -87,7 +87,7 @@
         self._tokens = tuple(tokens)
 
     def authenticate(self, authorization: str | None) -> ApiToken | None:
-        """Returns the token that an Authorization header holds, or None if it holds no valid one.
+        """Returns the configured token that matches an Authorization header; None if none does.
 
         Compares the hash with that of every token, each in constant time, so that response times reveal
         neither which token matches nor how close a guess is.
@@ -109,7 +109,7 @@
 
 
 def hash_token(token: str) -> str:
-    """Returns a token's SHA-256 in lower-case hexadecimal digits, as ApiToken.sha256 holds it."""
+    """Returns a token's SHA-256 in lower-case hexadecimal digits, the form of ApiToken.sha256."""
     return hashlib.sha256(token.encode("utf-8", "surrogateescape")).hexdigest()
 
 
