--- a/drumgw/hosting/http_server.py
+++ b/drumgw/hosting/http_server.py
@@ -1,8 +1,8 @@
-"""The client listener of a host: routes each request to its tenant and forwards it through that service.
+"""The client listener of a host: forwards each request through the service of its tenant.
 
 Connections are handled as in a single-tenant gateway (drumgw/gateway/http_server.py). A connection is not
 bound to a tenant: a client may send requests for several tenants on it, so it counts for the tenant of its
-last request.
+latest request.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
     """Limits on client connections, shared by all tenants.
 
     Attributes:
-        connection_counts: open connections, by the key of the tenant of their last request.
+        connection_counts: open connections, by the key of the tenant of their latest request.
     """
 
     def __init__(self, bounds: ListenerConfig, services: TenantServices) -> None:
@@ -77,8 +77,8 @@
     def longest_idle(self) -> ClientConnection | None:
         """Returns the idle connection to close when there are too many.
 
-        Connections of tenants that hold more than their share by weight are closed first: otherwise a tenant
-        whose clients keep hundreds of idle connections would displace those whose clients keep few.
+        Connections of tenants that have more than their share by weight are closed first: otherwise a tenant
+        with hundreds of idle connections would displace the connections of tenants that have few.
         """
         now_ms = self.clock.now()
         weights = self._services.admission.weights
@@ -114,7 +114,11 @@
         self._services = services
 
     async def serve(self, request: BaseRequest, target: str, client: ClientConnection) -> CompleteResponse:
-        """Forwards a request through its tenant's service, or rejects it with 503 and a Retry-After."""
+        """Forwards a request through its tenant's service, or rejects it with 503 and a Retry-After.
+
+        Raises:
+            BadRequestError: no tenant has a route for the request.
+        """
         route = self._services.registry.routes.find(request.headers.get("Host"), target)
         if route is None:
             raise BadRequestError(404, "no tenant is served there")
