--- a/drumgw/hosting/registry_persistence.py
+++ b/drumgw/hosting/registry_persistence.py
@@ -1,6 +1,6 @@
 """Converts the tenant registry to and from the JSON content of the state file.
 
-Operations are not stored: they wait for requests in flight, and none are left after a restart.
+Operations are not stored: they wait for requests in flight, and after a restart there are no such requests.
 """
 
 from __future__ import annotations
