--- a/drumgw/hosting/routing.py
+++ b/drumgw/hosting/routing.py
@@ -1,8 +1,8 @@
 """Finds the tenant of a request by its host and path prefix.
 
 Routes for the exact host take precedence over routes for any host; among those of a host, the longest prefix
-wins. Prefixes match whole path segments. A table in use is never changed but replaced as a whole, so requests
-that the old table has routed are not affected.
+takes precedence. Prefixes match whole path segments. A table in use is never changed but replaced as a whole,
+so requests that the old table has routed are not affected.
 """
 
 from __future__ import annotations
@@ -61,7 +61,10 @@
             self.add(tenant, route)
 
     def add(self, tenant: str, route: Route) -> None:
-        """Adds a route; raises AmbiguousRouteError if another tenant has it. Not for a table in use."""
+        """Adds a route; raises AmbiguousRouteError if another tenant has it.
+
+        Must not be called on a table in use.
+        """
         tenants = self.tenants_by_host.setdefault(route.host, {})
         segments = split_path(route.prefix)
         owner = tenants.get(segments, tenant)
@@ -94,7 +97,7 @@
 def normalize_host(host: str) -> str:
     """Returns the host name of a Host header in lower case, without a port or a trailing dot.
 
-    Browsers and proxies send a port, a trailing dot or capitals at times. An IPv6 address keeps its brackets.
+    Browsers and proxies may send a port, a trailing dot or capitals. An IPv6 address keeps its brackets.
     """
     name = host.strip().lower()
     if name.startswith("["):
