--- a/drumgw/hosting/tenant_states.py
+++ b/drumgw/hosting/tenant_states.py
@@ -38,7 +38,7 @@
 
 
 class TransitionEffect(Enum):
-    """What a transition does besides changing the state."""
+    """The side effect of a transition."""
 
     NONE = auto()
     BEGIN_DRAIN = auto()  # starts an operation that is done when no request is in flight
