--- a/drumgw/hosting/weighted_fair_limiter.py
+++ b/drumgw/hosting/weighted_fair_limiter.py
@@ -1,8 +1,8 @@
 """Limits tenants to their weighted fair share of the requests while the event loop lags.
 
 The shares of resource_limits.py bound the requests in flight of a tenant, not its request rate: a tenant with
-many short requests could keep the event loop busy by itself. While the event loop lags, a tenant that clearly
-exceeds its fair share, by weight, of the requests admitted within a sliding window is rejected.
+many short requests could keep the event loop busy by itself. While the event loop lags, requests of a tenant
+that clearly exceeds its fair share, by weight, of the requests admitted within a sliding window are rejected.
 
 This module does no I/O and reads no clock: the caller passes the time.
 """
@@ -16,14 +16,14 @@
 WINDOW_MS = 1000.0  # length of the sliding window
 SLICE_MS = 100.0  # requests leave the window in slices of this length
 MAX_LAG_MS = 50.0  # event loop lag above which the limit applies
-MAX_FAIR_SHARE_MULTIPLE = 1.25  # of its fair share that a tenant may use while the event loop lags
+MAX_FAIR_SHARE_MULTIPLE = 1.25  # multiple of its fair share that a tenant may use while the event loop lags
 EXTRA_REQUESTS = 8  # allowed on top of that, because small counts vary by chance
 MIN_TOTAL_WEIGHT = 1e-9  # avoids a division by zero; configured weights are larger
 
 
 @dataclass
 class _Slice:
-    """A slice of the window: the admitted requests by tenant, from its start on."""
+    """A slice of the window: the number of requests admitted since its start, by tenant."""
 
     slice_start_ms: float
     admitted: Counter[str] = field(default_factory=Counter)
