--- a/examples/host_stubs.py
+++ b/examples/host_stubs.py
@@ -1,4 +1,4 @@
-"""Shared by the host examples: a stub server for what a host talks to, its host file, and its process."""
+"""Shared by the host examples: a stub server for the host's peers, its host file, and its process."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class StubServer:
-    """Serves as an endpoint, as a discovery that lists this endpoint, and as a counter, on one port.
+    """Acts as an endpoint, as the discovery that lists this endpoint, and as the counter, on one port.
 
     Attributes:
         address: host:port; empty until `open` has returned.
