--- a/examples/host_overload.py
+++ b/examples/host_overload.py
@@ -70,7 +70,7 @@
 
 
 async def send_at_random_times(seed: int, end: float) -> list[Outcome]:
-    """Sends requests to the other tenants as a Poisson process, whatever was answered before."""
+    """Sends requests to the other tenants as a Poisson process, regardless of the responses."""
     loop = asyncio.get_running_loop()
     rng = random.Random(seed)
     outcomes: list[Outcome] = []
