--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -26,8 +26,8 @@
         counter_server = await self.start_server(counter.answer)
         names = [f"t{n}" for n in range(20)]
         small_plan = [{"name": "p", "units_per_s": 1.0, "burst_units": 6.0}]
-        # With twenty starting at once, a slow machine may exceed the default of 80 ms, and a request would
-        # then be decided without the counter's answer
+        # With twenty tenants starting at once, a slow machine may exceed the default of 80 ms, and a request
+        # would then be decided without the counter's answer.
         long_counter_wait = {"counter_wait_ms": 60000.0}
         tenants = [
             await self.tenant(
@@ -219,7 +219,7 @@
         counter = SharedCounter()
         counter_server = await self.start_server(counter.answer)
         plan = {"name": "p", "units_per_s": 0.01, "burst_units": 60.0}
-        # A slow machine may exceed the default of 80 ms; a request would then be decided without the counter
+        # A slow machine may exceed the default of 80 ms; a request would then be decided without the counter.
         long_counter_wait = {"counter_wait_ms": 1000.0}
         await self.start_host(
             await self.tenant("t1", counter=counter_server.address, plan=[plan], allowed=long_counter_wait)
