--- a/tests/test_hosting_admin.py
+++ b/tests/test_hosting_admin.py
@@ -218,7 +218,7 @@
         self.assertEqual((await self.call("GET", "/v1/tenants/t1")).body["state"], "active")
 
     async def test_shutdown_during_a_change_keeps_the_change(self) -> None:
-        """Guards against a stop that loses a change or reports it as failed.
+        """Guards against a shutdown that loses a change or reports it as failed.
 
         The host is closed while a thread writes the change to disk. The state file must hold the change, and
         the caller must get status 200 or no answer.
