--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -257,7 +257,7 @@
         self.assertEqual(len(registry.operations), MAX_OPERATIONS)
 
     def test_a_stored_registry_is_restored_and_a_copy_is_independent(self) -> None:
-        """After a restart, a draining tenant is drained and idempotency keys are still known."""
+        """After a restart, a draining tenant is drained and idempotency keys are still recognized."""
         registry = TenantRegistry()
         registry.create("a", spec(("a.example", "")), "k")
         b = registry.create("b", spec(("b.example", ""))).tenant
