--- a/tests/hosting_harness.py
+++ b/tests/hosting_harness.py
@@ -39,7 +39,7 @@
 
 
 class SharedCounter:
-    """The answers of a counter server that sums up what is reported, by counter key."""
+    """The answers of a counter server that sums up the reported units by counter key."""
 
     def __init__(self) -> None:
         self.totals: defaultdict[str, float] = defaultdict(float)
@@ -57,7 +57,7 @@
     """A test that starts hosts, which are closed after it."""
 
     def setUp(self) -> None:
-        """Starts without endpoints."""
+        """Empties the table of endpoints, which `tenant` fills."""
         self.endpoints: dict[str, ScriptedServer] = {}  # by tenant name
 
     async def tenant(self, name: str, answer: Any = None, **more: Any) -> dict[str, Any]:
