--- a/tests/test_client_connection_races.py
+++ b/tests/test_client_connection_races.py
@@ -127,7 +127,7 @@
                 )
 
     def skip_first_sleep(self) -> Any:
-        """Skips the wait between SIGTERM and the shutdown, so that the event loop reads nothing meanwhile."""
+        """Skips the wait between SIGTERM and the shutdown, so that the event loop reads nothing during it."""
         sleep, is_first_call = asyncio.sleep, [True]
 
         async def sleep_unless_first(seconds: float, *arguments: Any) -> None:
@@ -155,10 +155,10 @@
 
 
 class ClientDisconnectTest(RaceCase):
-    """A client that disconnects while its request waits: nothing more is sent, all it held is released."""
+    """A client that disconnects while its request waits: no more is sent, its resources are released."""
 
     def is_everything_released(self) -> bool:
-        """Whether no request holds anything: quota, in-flight limit, attempts, deadlines or request ids."""
+        """Returns whether no request has quota, in-flight slots, attempts, deadlines or request ids."""
         dispatcher, policy = self.gateway.dispatcher, self.gateway.dispatcher.lifecycle.policy
         held = policy.pending or policy.back_end.limit.in_flight  # type: ignore[attr-defined]
         held = held or policy.back_end.endpoints.with_attempts  # type: ignore[attr-defined]
@@ -192,7 +192,7 @@
                 await self.close_gateway()
 
     async def test_while_waiting_for_the_counter(self) -> None:
-        """A hundred clients at once, by a close or a reset, some with bytes after their request."""
+        """A hundred clients disconnect at once by a close or a reset, some with bytes after their request."""
         endpoint, counter = await self.start_server(http_response(b"ok")), self.peer()
         family_info = {"counter": True, "countWaitMs": 60000.0, "unitsTop": 9}
         slow = {**REQUEST_CLASS, "deadlineMs": 900000.0, "onTimeMs": 100000.0}
