--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -39,7 +39,7 @@
             before_update = [
                 target for target in targets[before:] if f"since={self.generation}&" not in target
             ]
-            self.assertEqual(len(before_update), 1, outage_ms)  # the first call after the outage brings it
+            self.assertEqual(len(before_update), 1, outage_ms)  # the first call after the outage returns it
             self.assertLessEqual(
                 gateway.discovery.next_backup_poll_ms - gateway.discovery.last_answer_ms, 1000.0 / 2
             )
