--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -24,10 +24,10 @@
     """A gateway starts while the endpoint list in its configuration is out of date."""
 
     async def test_start_with_outdated_list_forwards_nothing_to_drained_endpoint(self) -> None:
-        """An endpoint drained while the gateway was down; in the configuration it is still ready.
+        """An endpoint was drained while the gateway was down; in the configuration it is still ready.
 
-        What the agent has counts as known from the start. The gateway must not accept clients or forward
-        requests before the agent has answered.
+        The protocol counts the agent's list as known to the gateway from the start. The gateway must not
+        accept clients or forward requests before the agent has answered.
         """
         one, _, known = await self.start_endpoints()
         await self.start_agent({**known[0], "lifecycle": "draining"}, known[1])
@@ -140,7 +140,7 @@
         """An endpoint drains during an outage of the agent.
 
         The watch in progress when the outage began is never answered, and times out long after the drain must
-        be known. A backup poll must bring the drain.
+        have been applied. A backup poll must return the drain.
         """
         await self.start_agent(endpoint_row("s-0", "127.0.0.1:1"))
         with (
@@ -149,7 +149,7 @@
         ):
             await self.start_gateway([])
             await self.wait_until_open()
-            await self.wait_for_calls("since=7&")  # never answered: the update does not wake it
+            await self.wait_for_calls("since=7&")  # never answered: the change of content is not notified
             self.content = {
                 "generation": 8,
                 "reset": False,
@@ -225,7 +225,7 @@
     async def test_endpoint_omitted_by_new_agent_with_lower_generations_is_removed(self) -> None:
         """A reload switches the gateway to another agent, whose generations are lower.
 
-        What the new agent has counts as known 4 s after the reload. An endpoint that its complete list omits
+        The new agent's list counts as known 4 s after the reload. An endpoint that its complete list omits
         must be removed at once, long before the new numbering is accepted after RENUMBERED_AFTER_MS.
         """
         one, _, rows = await self.start_endpoints()
@@ -283,7 +283,7 @@
         self.assertEqual(slept_s, [0.05])
 
     async def test_invalid_responses_keep_the_last_list_and_are_logged_once(self) -> None:
-        """The agent sends ten invalid responses in a row, each with another fault."""
+        """The agent sends ten invalid responses in a row, each of a different kind."""
         await self.start_agent(endpoint_row("s-0", "127.0.0.1:1"))
         broken = [
             http_response(status=500),
