--- a/tests/test_client_connection_races.py
+++ b/tests/test_client_connection_races.py
@@ -218,7 +218,7 @@
         await asyncio.sleep(0.05)
         self.assertEqual((endpoint.requests, endpoint.connections), ([], []))
 
-    async def test_with_the_close_unread_when_an_attempt_starts(self) -> None:
+    async def test_while_an_attempt_starts_with_the_close_unread(self) -> None:
         """The event loop has not read the close or reset yet; for first attempts and retries."""
         for first, reset in ((True, False), (True, True), (False, False), (False, True)):
             endpoints = [
