--- a/tests/test_hosting_admin.py
+++ b/tests/test_hosting_admin.py
@@ -125,7 +125,7 @@
 class RolesAndAudit(HostCase):
     """Roles, concurrent administrators and the audit log."""
 
-    async def test_each_role_reads_and_changes_only_what_it_may(self) -> None:
+    async def test_each_role_is_limited_to_its_permissions(self) -> None:
         await self.start_host(await self.tenant("t1"), await self.tenant("t2"))
         for token in (None, "", "guess", hash_token(OPERATOR_TOKEN)):
             self.assertEqual((await self.call("GET", "/v1/tenants", token=token)).status, 401)
