--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -234,7 +234,7 @@
         self.assert_rejected(409, registry.create, "a", spec(("a.example", "")), "other")
         self.assert_rejected(409, registry.create, "a", spec(("a.example", "")))
 
-    def test_pages(self) -> None:
+    def test_tenants_are_listed_in_pages(self) -> None:
         registry = TenantRegistry()
         for n in range(7):
             registry.create(f"t{n}", spec((f"h{n}", "")))
