--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -223,7 +223,7 @@
         self.assertEqual(operation.state, OperationState.DONE)
         self.assertEqual(registry.tenants["a"].state, TenantState.ACTIVE)
 
-    def test_a_repeated_create_acts_once(self) -> None:
+    def test_a_repeated_create_takes_effect_once(self) -> None:
         """The response to a create is lost, and the client repeats it with the same idempotency key."""
         registry = TenantRegistry()
         first = registry.create("a", spec(("a.example", "")), "k").tenant
