--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -381,7 +381,7 @@
         assert loaded is not None
         return loaded
 
-    def test_killed_at_every_point_of_a_write(self) -> None:
+    def test_a_complete_file_exists_after_a_kill_at_any_step_of_a_write(self) -> None:
         """The process is killed at random steps of many writes.
 
         The state that is read next must be the last one stored or the one being written, without a warning.
