--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -125,15 +125,15 @@
         window, and the quiet one never is; a tenant that is the only one in the window is not rejected.
         """
         limiter = WeightedFairLimiter()
-        weights = {"rush": 1.0, "calm": 1.0}
-        calm_count = sum(limiter.admit(now, "calm", weights) for now in range(0, 1000, 50))
-        self.assertEqual(sum(limiter.admit(999.0, "rush", weights) for _ in range(400)), 400)
+        weights = {"busy": 1.0, "quiet": 1.0}
+        quiet_count = sum(limiter.admit(now, "quiet", weights) for now in range(0, 1000, 50))
+        self.assertEqual(sum(limiter.admit(999.0, "busy", weights) for _ in range(400)), 400)
         limiter.lag_ms = 100.0
-        self.assertFalse(limiter.admit(1000.0, "rush", weights))
-        self.assertTrue(limiter.admit(1000.0, "calm", weights))
-        self.assertEqual(calm_count, 20)
-        self.assertTrue(limiter.admit(3000.0, "rush", weights))
-        self.assertEqual(sum(limiter.admit(3001.0, "rush", weights) for _ in range(50)), 50)
+        self.assertFalse(limiter.admit(1000.0, "busy", weights))
+        self.assertTrue(limiter.admit(1000.0, "quiet", weights))
+        self.assertEqual(quiet_count, 20)
+        self.assertTrue(limiter.admit(3000.0, "busy", weights))
+        self.assertEqual(sum(limiter.admit(3001.0, "busy", weights) for _ in range(50)), 50)
 
 
 class Registry(unittest.TestCase):
