--- a/drumgw/hosting/host_process.py
+++ b/drumgw/hosting/host_process.py
@@ -71,8 +71,9 @@
     async def close(self) -> None:
         """Shuts down gracefully.
 
-        New clients are served for SHUTDOWN_LINGER_MS after readiness is withdrawn; then the requests in
-        flight are completed, within the longest deadline of any tenant, and all components are closed.
+        First, readiness is withdrawn and the API is closed. New clients are served for SHUTDOWN_LINGER_MS
+        more; then the requests in flight are completed, within the longest deadline of any tenant, and the
+        other components are closed.
         """
         self.http_server.withdraw_readiness()
         await self.api.close()
