--- a/tests/test_attempt_races.py
+++ b/tests/test_attempt_races.py
@@ -84,7 +84,7 @@
 
         A retry would then be processed a second time, so the response is a 500.
         """
-        # Retry-After is half of the time that is left of the window, and at most 0.5 s.
+        # Retry-After is half of the window's remaining time, and at most 0.5 s.
         for window_ms, max_retry_after_s in ((60000.0, 0.5), (300.0, 0.15)):
             failing = await self.start_server(http_response(status=500))
             await self.open_keyed_gateway(failing.address, window_ms=window_ms)
