--- a/tests/scripted_server.py
+++ b/tests/scripted_server.py
@@ -14,7 +14,7 @@
 
 
 class ScriptedServer:
-    """Records the requests it receives, and responds as its test says.
+    """Records the requests it receives, and responds as the test specifies.
 
     Args:
         answer: returns the response to a head and a body; None for no response, b"" for a reset.
