--- a/tests/agent_case.py
+++ b/tests/agent_case.py
@@ -80,6 +80,6 @@
         return first, second, [endpoint_row("s-0", first.address), endpoint_row("s-1", second.address)]
 
     async def send_requests_of_all_customers(self) -> list[tuple[int, bytes]]:
-        """Sends a request for each of 16 customers; half of them rank each of two endpoints first."""
+        """Sends a request for each of 16 customers; half of them rank one endpoint first, half the other."""
         answers = [await self.send_request(f"/a?account={n:016x}", Request_Id=f"{n:x}") for n in range(16)]
         return [answer[:2] for answer in answers]
