--- a/tests/gateway_case.py
+++ b/tests/gateway_case.py
@@ -91,7 +91,7 @@
     """A gateway, its client connections and its peers, all of them closed after the test."""
 
     async def start_server(self, answer: Any) -> ScriptedServer:
-        """Starts a server; `answer` is what it sends, or a function of head and body, also asynchronous."""
+        """Starts a server; `answer` is its response, or a function of head and body, also asynchronous."""
 
         async def respond(head: bytes, body: bytes) -> bytes | None:
             result: Any = answer(head, body) if callable(answer) else answer
