--- a/tests/test_client_connection_races.py
+++ b/tests/test_client_connection_races.py
@@ -47,7 +47,7 @@
         self.assertEqual((await connection.read_to_end(), len(endpoint.requests)), (b"", 2))
 
     async def test_request_that_arrives_after_the_shutdown_is_not_read(self) -> None:
-        """The client gets neither a response nor a reset, only the end of the stream, and can send it again."""
+        """The client gets neither a response nor a reset but an end of stream, and can send it again."""
         endpoint, connection = await self.open_idle_connection()
         with mock.patch("drumgw.gateway.connection_limits.CLOSING_TIMEOUT_MS", 1e9):
             self.assertEqual(self.gateway.http_server.close_idle(), 0)
