--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -184,8 +184,8 @@
         Each request must be answered by the endpoint it was forwarded to. The removal ends with the last
         request of the old tenant, and then no table has an entry for it.
         """
-        held: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        host_process = await self.start_host(await self.tenant("t1", answer=lambda head, body: held))
+        held_response: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+        host_process = await self.start_host(await self.tenant("t1", answer=lambda head, body: held_response))
         services = host_process.services
         request = asyncio.create_task(self.send("t1", Request_Timeout="60000m"))
         await self.wait_until_received(self.endpoints["t1"])
@@ -201,7 +201,7 @@
         await self.wait_until_ready()
         self.assertEqual(await self.send("t1", Request_Id="2"), (200, b"new"))
         self.assertEqual((await self.call("GET", location)).body["state"], "running")
-        held.set_result(http_response(b"old"))
+        held_response.set_result(http_response(b"old"))
         self.assertEqual(await request, (200, b"old"))
         await self.wait_until_done(removal.body["id"])
         await self.wait_until_services_closed()
@@ -240,15 +240,15 @@
 
         The request is in flight at the replaced service; the new one must not forward it a second time.
         """
-        held: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        await self.start_host(await self.tenant("t1", answer=lambda head, body: held))
+        held_response: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+        await self.start_host(await self.tenant("t1", answer=lambda head, body: held_response))
         request = asyncio.create_task(self.send("t1", Request_Id="same", Request_Timeout="60000m"))
         await self.wait_until_received(self.endpoints["t1"])
         replaced = await self.call("PUT", "/v1/tenants/t1/limits", {"submissions": 2}, If_Match='"1"')
         self.assertEqual(replaced.status, 200)
         await self.wait_until_ready()
         self.assertEqual((await self.send("t1", Request_Id="same"))[0], 409)
-        held.set_result(http_response(b"ok"))
+        held_response.set_result(http_response(b"ok"))
         self.assertEqual(await request, (200, b"ok"))
         self.assertEqual(len(self.endpoints["t1"].requests), 1)
         self.assertEqual(await self.send("t1", Request_Id="same"), (200, b"ok"))
@@ -271,8 +271,8 @@
         await self.wait_until_received(elsewhere)
 
     async def test_a_tenant_is_suspended_drained_and_resumed(self) -> None:
-        held: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        host_process = await self.start_host(await self.tenant("t1", answer=lambda head, body: held))
+        held_response: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+        host_process = await self.start_host(await self.tenant("t1", answer=lambda head, body: held_response))
         request = asyncio.create_task(self.send("t1", Request_Timeout="60000m"))
         await self.wait_until_received(self.endpoints["t1"])
         suspended = await self.call("POST", "/v1/tenants/t1/suspend", If_Match='"1"')
@@ -280,7 +280,7 @@
         self.assertEqual((await self.send("t1", Request_Id="2"))[0], 503)
         drain = await self.call("POST", "/v1/tenants/t1/drain", If_Match='"2"')
         self.assertEqual((await self.call("GET", "/v1/tenants/t1")).body["state"], "draining")
-        held.set_result(http_response(b"ok"))
+        held_response.set_result(http_response(b"ok"))
         self.assertEqual(await request, (200, b"ok"))
         await self.wait_until_done(drain.body["id"])
         self.assertEqual((await self.call("GET", "/v1/tenants/t1")).body["state"], "drained")
