--- a/tests/test_hosting_state.py
+++ b/tests/test_hosting_state.py
@@ -100,7 +100,7 @@
         rng = random.Random(5)
         for _ in range(40):
             shares = FairShares(rng.randint(2, 60))
-            held: Counter[str] = Counter()
+            acquired: Counter[str] = Counter()
             for _ in range(400):
                 name = rng.choice("abcdef")
                 choice = rng.random()
@@ -109,12 +109,12 @@
                 elif choice < 0.11 and name in shares.tenants:
                     shares.remove(name)
                 elif choice < 0.6:
-                    held[name] += shares.acquire(name)
-                elif held[name]:
+                    acquired[name] += shares.acquire(name)
+                elif acquired[name]:
                     shares.release(name)
-                    held[name] -= 1
+                    acquired[name] -= 1
                 in_use = {name: share.in_use for name, share in shares.tenants.items() if share.in_use}
-                self.assertEqual(in_use, {name: count for name, count in held.items() if count})
+                self.assertEqual(in_use, {name: count for name, count in acquired.items() if count})
                 borrowed = sum(max(0, share.in_use - share.guaranteed) for share in shares.tenants.values())
                 self.assertEqual(shares.borrowed, borrowed)
 
