--- a/tests/test_client_connection_races.py
+++ b/tests/test_client_connection_races.py
@@ -160,11 +160,11 @@
     def is_everything_released(self) -> bool:
         """Returns whether no request has quota, in-flight slots, attempts, deadlines or request ids."""
         dispatcher, policy = self.gateway.dispatcher, self.gateway.dispatcher.lifecycle.policy
-        held = policy.pending or policy.back_end.limit.in_flight  # type: ignore[attr-defined]
-        held = held or policy.back_end.endpoints.with_attempts  # type: ignore[attr-defined]
+        has_requests = policy.pending or policy.back_end.limit.in_flight  # type: ignore[attr-defined]
+        has_requests = has_requests or policy.back_end.endpoints.with_attempts  # type: ignore[attr-defined]
         has_attempts = any(account.attempts_in_flight for account in policy.accounts.values())  # type: ignore[attr-defined]
         return not (
-            held
+            has_requests
             or has_attempts
             or dispatcher.lifecycle.in_flight
             or dispatcher.pending_requests
