--- a/tests/test_attempt_races.py
+++ b/tests/test_attempt_races.py
@@ -80,7 +80,7 @@
         self.assertLess((await connection.read_to_end()).count(b"x"), len(LARGE))
 
     async def test_request_is_rejected_only_while_a_retry_falls_within_the_window(self) -> None:
-        """A 503 tells the client that a retry is safe; after the window, endpoints have discarded the key.
+        """A 503 means to the client that a retry is safe; after the window, endpoints have discarded the key.
 
         A retry would then be processed a second time, so the response is a 500.
         """
@@ -108,7 +108,7 @@
     async def test_reset_before_the_last_byte_is_safe_to_retry(self) -> None:
         """A request that is not idempotent may be retried if its last byte was not sent.
 
-        Guards against answering it with 500, which says that it may have been processed.
+        Guards against answering it with 500, which means that it may have been processed.
         """
         peer = self.peer(receive_buffer_bytes=4096)
         await self.open_gateway(peer.address, settings=raw_settings(ceilings=ONE_ATTEMPT))
