--- a/drumgw/testbed/endpoint.py
+++ b/drumgw/testbed/endpoint.py
@@ -32,7 +32,7 @@
 
 DUPLICATE_SERVICE_MS = 0.1
 """Service time of a request whose idempotency key is stored: it is answered without running again."""
-CHANCE_MULTIPLE = 3
+OVERLOAD_TOLERANCE_REQUESTS = 3
 """Tolerance for random bursts while warming up.
 
 The overload limit is raised by this multiple of the latest request's work.
@@ -269,7 +269,7 @@
             self._recent_work.popleft()
         capacity_ms = self.section.cores * self.speed * warm_up_fraction * window_ms
         received_ms = sum(recent_ms for _, recent_ms in self._recent_work)
-        return received_ms > self._rules.fall_multiple * capacity_ms + CHANCE_MULTIPLE * work_ms
+        return received_ms > self._rules.fall_multiple * capacity_ms + OVERLOAD_TOLERANCE_REQUESTS * work_ms
 
     def _run(self, attempt: ReceivedAttempt, forced_outcome: EndpointOutcome | None = None) -> None:
         client_attempt = attempt.client_attempt
