--- a/drumgw/testbed/clients.py
+++ b/drumgw/testbed/clients.py
@@ -27,7 +27,7 @@
 
 GIVE_UP_GRACE_MS = 500.0
 """How long a client still waits after an attempt's deadline; a response in this time has no value."""
-DRAIN_NOTICED_MS = 300.0
+DRAIN_DETECTION_MS = 300.0
 """Time from the start of a gateway's shutdown until the load balancer stops sending it requests."""
 MAX_LATENESS_MS = 20.0
 """A request sent more than this after its arrival time is logged as late: the testbed did not keep up."""
--- a/drumgw/testbed/gateway_subprocess.py
+++ b/drumgw/testbed/gateway_subprocess.py
@@ -14,7 +14,7 @@
 from functools import partial
 
 from drumgw.testbed.background_tasks import BackgroundTasks
-from drumgw.testbed.clients import DRAIN_NOTICED_MS
+from drumgw.testbed.clients import DRAIN_DETECTION_MS
 from drumgw.testbed.clocks import TestbedClock
 from drumgw.testbed.discovery import ListUpdate
 from drumgw.testbed.environment import Environment
@@ -120,7 +120,7 @@
         fleet = self._environment.scenario.fleet
         self._log_state(GatewayState.KILLED if is_killed else GatewayState.STOPPING)
         self.send_signal(signal_number)
-        noticed_ms = fleet.front_notices_ms if is_killed else DRAIN_NOTICED_MS
+        noticed_ms = fleet.front_notices_ms if is_killed else DRAIN_DETECTION_MS
         self._clock.call_at(self._clock.now() + noticed_ms, partial(self._leave_rotation, process))
         await self._wait_exit(process)
         if not is_killed:
--- a/drumgw/testbed/virtual_runner.py
+++ b/drumgw/testbed/virtual_runner.py
@@ -12,7 +12,7 @@
 from drumgw.gateway.process import SHUTDOWN_LINGER_MS
 from drumgw.policy.engine import PolicyEngine
 from drumgw.testbed.client_requests import ClientAttempt
-from drumgw.testbed.clients import DRAIN_NOTICED_MS
+from drumgw.testbed.clients import DRAIN_DETECTION_MS
 from drumgw.testbed.clocks import VirtualClock
 from drumgw.testbed.environment import Environment
 from drumgw.testbed.event_log import EventLog, RunHeader
@@ -97,7 +97,7 @@
             return
         process.is_stopping = True
         self._log_state(gateway, GatewayState.STOPPING)
-        self._call_after(DRAIN_NOTICED_MS, lambda: self.environment.clients.set_in_rotation(gateway, False))
+        self._call_after(DRAIN_DETECTION_MS, lambda: self.environment.clients.set_in_rotation(gateway, False))
         self._call_after(SHUTDOWN_LINGER_MS, partial(self._finish_shutdown, process))
 
     def kill(self, gateway: int) -> None:
