--- a/drumgw/testbed/endpoint.py
+++ b/drumgw/testbed/endpoint.py
@@ -55,17 +55,26 @@
 class ReceivedAttempt:
     """One attempt whose last byte has reached an endpoint."""
 
-    __slots__ = ("receipt", "attempt_id", "client_attempt", "gateway", "on_end", "endpoint", "state", "timer")
+    __slots__ = (
+        "delivery_number",
+        "attempt_id",
+        "client_attempt",
+        "gateway",
+        "on_end",
+        "endpoint",
+        "state",
+        "timer",
+    )
 
     def __init__(
         self,
-        receipt: int,
+        delivery_number: int,
         attempt_id: str,
         client_attempt: ClientAttempt | None,
         gateway: int,
         on_end: EndCallback,
     ) -> None:
-        self.receipt = receipt
+        self.delivery_number = delivery_number
         self.attempt_id = attempt_id
         self.client_attempt = client_attempt
         """The client's attempt behind it; None if its id belongs to no known client attempt."""
@@ -133,7 +142,7 @@
         self.is_up = True
         self.is_draining = False
         self.running: dict[int, ReceivedAttempt] = {}
-        """Attempts being executed, by receipt."""
+        """Attempts being executed, by delivery number."""
         self.queue: deque[ReceivedAttempt] = deque()
         self.connections: dict[int, int] = {}
         """Open connections by gateway."""
@@ -211,7 +220,7 @@
             EndpointReceived(
                 self._clock.now(),
                 attempt_id=attempt.attempt_id,
-                receipt=attempt.receipt,
+                delivery_number=attempt.delivery_number,
                 endpoint=self.name,
                 gateway=attempt.gateway,
                 first_byte_ms=first_byte_ms,
@@ -223,7 +232,7 @@
         """Handles a closed connection: a running attempt runs to its end, a queued one is dropped."""
         if attempt.state is ReceivedState.FINISHED:
             return
-        self._event_log.add(AttemptAbandoned(self._clock.now(), attempt.attempt_id, attempt.receipt))
+        self._event_log.add(AttemptAbandoned(self._clock.now(), attempt.attempt_id, attempt.delivery_number))
         if attempt.state is ReceivedState.QUEUED and attempt in self.queue:
             self.queue.remove(attempt)
         attempt.state = ReceivedState.FINISHED
@@ -234,7 +243,7 @@
             return
         attempt.state = ReceivedState.FINISHED
         self._event_log.add(
-            EndpointFinished(self._clock.now(), attempt.attempt_id, attempt.receipt, outcome, has_run)
+            EndpointFinished(self._clock.now(), attempt.attempt_id, attempt.delivery_number, outcome, has_run)
         )
         attempt.on_end(attempt, outcome)
 
@@ -275,7 +284,7 @@
         client_attempt = attempt.client_attempt
         assert client_attempt is not None
         attempt.state = ReceivedState.RUNNING
-        self.running[attempt.receipt] = attempt
+        self.running[attempt.delivery_number] = attempt
         service_ms = self._service_ms(attempt, client_attempt)
         self.mean_service_ms += SERVICE_TIME_SMOOTHING * (service_ms - self.mean_service_ms)
 
@@ -310,9 +319,9 @@
     def _finish(self, attempt: ReceivedAttempt, outcome: EndpointOutcome) -> None:
         """Ends an executed attempt, after a delay or without a response if a fault says so."""
         now = self._clock.now()
-        self.running.pop(attempt.receipt, None)
+        self.running.pop(attempt.delivery_number, None)
         if self.faults.lost_share and self._random.random() < self.faults.lost_share:
-            self._event_log.add(ResponseLost(now, attempt.attempt_id, attempt.receipt))
+            self._event_log.add(ResponseLost(now, attempt.attempt_id, attempt.delivery_number))
         elif self.faults.delay_ms:
             self._clock.call_at(
                 now + self.faults.delay_ms, lambda: self.end_attempt(attempt, outcome, has_run=True)
--- a/drumgw/testbed/environment.py
+++ b/drumgw/testbed/environment.py
@@ -43,7 +43,7 @@
         self.isolated_zones: set[str] = set()
         """Zones whose network connection to all other zones is down."""
         self._deduplication = DeduplicationStore(clock)
-        self._last_receipt = 0
+        self._last_delivery_number = 0
         self._current_names: list[str] = []
         """By endpoint number: name of the endpoint that currently has the number."""
         for number in range(scenario.fleet.workers):
@@ -90,10 +90,10 @@
         self.discovery.put(name, identity.zone, identity.cell, started_at_ms)
         return endpoint
 
-    def next_receipt(self) -> int:
+    def next_delivery_number(self) -> int:
         """Returns a run-wide unique number for an attempt that is sent to an endpoint."""
-        self._last_receipt += 1
-        return self._last_receipt
+        self._last_delivery_number += 1
+        return self._last_delivery_number
 
     # The network
 
--- a/drumgw/testbed/logged_events.py
+++ b/drumgw/testbed/logged_events.py
@@ -191,7 +191,7 @@
     """An endpoint received an attempt completely."""
 
     attempt_id: str
-    receipt: int
+    delivery_number: int
     """Number of this forwarded attempt, unique within the run."""
     endpoint: str
     gateway: int
@@ -220,7 +220,7 @@
     """An injected fault suppressed the response of an attempt that had run."""
 
     attempt_id: str
-    receipt: int
+    delivery_number: int
 
 
 @dataclass(slots=True)
@@ -228,7 +228,7 @@
     """An attempt ended at an endpoint."""
 
     attempt_id: str
-    receipt: int
+    delivery_number: int
     outcome: EndpointOutcome
     has_run: bool
 
@@ -238,7 +238,7 @@
     """The gateway closed the connection before the attempt had ended at the endpoint."""
 
     attempt_id: str
-    receipt: int
+    delivery_number: int
 
 
 @dataclass(slots=True)
@@ -333,7 +333,7 @@
     "made_for": "mark",
     "retry_after_ms": "wait",
     "is_duplicate": "more",
-    "receipt": "ticket",
+    "delivery_number": "ticket",
     "first_byte_ms": "first",
     "work_ms": "work",
     "idempotency_key": "reference",
--- a/drumgw/testbed/observations.py
+++ b/drumgw/testbed/observations.py
@@ -96,11 +96,11 @@
     received: list[EndpointReceived] = field(default_factory=list)
     """The forwarded attempts that endpoints received for it, in chronological order."""
     ends: dict[int, EndpointFinished | AttemptAbandoned] = field(default_factory=dict)
-    """How the forwarded attempts ended, by receipt."""
+    """How the forwarded attempts ended, by delivery number."""
 
     def may_have_run(self, received: EndpointReceived, at_ms: float) -> bool:
         """Whether a forwarded attempt may have run: by `at_ms`, its endpoint had not reported otherwise."""
-        end = self.ends.get(received.receipt)
+        end = self.ends.get(received.delivery_number)
         is_known_not_run = isinstance(end, EndpointFinished) and not end.has_run and end.time_ms <= at_ms
         return not is_known_not_run
 
@@ -175,4 +175,4 @@
             case EndpointReceived():
                 history.received.append(event)
             case EndpointFinished() | AttemptAbandoned():
-                history.ends[event.receipt] = event
+                history.ends[event.delivery_number] = event
--- a/drumgw/testbed/request_rules.py
+++ b/drumgw/testbed/request_rules.py
@@ -100,7 +100,7 @@
     for position, received in enumerate(history.received):
         for earlier in history.received[:position]:
             known_until_ms = received.time_ms + observations.slack_ms
-            end = history.ends.get(earlier.receipt)
+            end = history.ends.get(earlier.delivery_number)
             is_in_flight = end is None or end.time_ms > known_until_ms
             if is_in_flight and not observations.scenario.allowed.second_copies:
                 yield _duplicate_violation(
--- a/drumgw/testbed/socket_servers.py
+++ b/drumgw/testbed/socket_servers.py
@@ -90,7 +90,7 @@
         attempt_id = parse_headers(head).get("request-id", "")
         client_attempt = self._environment.clients.known_attempts.get(attempt_id)
         self._attempt = ReceivedAttempt(
-            self._environment.next_receipt(),
+            self._environment.next_delivery_number(),
             attempt_id,
             client_attempt,
             self._gateway,
--- a/drumgw/testbed/virtual_endpoint_client.py
+++ b/drumgw/testbed/virtual_endpoint_client.py
@@ -177,7 +177,7 @@
         written_ms = self._clock.now()
         attempt.is_written = True
         received = attempt.received = ReceivedAttempt(
-            self._environment.next_receipt(),
+            self._environment.next_delivery_number(),
             client_attempt.attempt_id if client_attempt is not None else "",
             client_attempt,
             self._owner.number,
--- a/tests/test_testbed_oracle.py
+++ b/tests/test_testbed_oracle.py
@@ -107,9 +107,11 @@
     )
 
 
-def received(time_ms: float, receipt: int, endpoint: str = "w0") -> EndpointReceived:
+def received(time_ms: float, delivery_number: int, endpoint: str = "w0") -> EndpointReceived:
     """Returns the event of an endpoint that receives this attempt."""
-    return EndpointReceived(time_ms, "x", receipt, endpoint, gateway=1, first_byte_ms=time_ms, work_ms=5.0)
+    return EndpointReceived(
+        time_ms, "x", delivery_number, endpoint, gateway=1, first_byte_ms=time_ms, work_ms=5.0
+    )
 
 
 def started(endpoint: str, zone: str) -> EndpointChanged:
@@ -120,10 +122,10 @@
 
 
 def finished(
-    time_ms: float, receipt: int, outcome: EndpointOutcome, has_run: bool = True
+    time_ms: float, delivery_number: int, outcome: EndpointOutcome, has_run: bool = True
 ) -> EndpointFinished:
     """Returns the event of the end of this attempt at an endpoint."""
-    return EndpointFinished(time_ms, "x", receipt, outcome, has_run)
+    return EndpointFinished(time_ms, "x", delivery_number, outcome, has_run)
 
 
 class HandWrittenLogTest(unittest.TestCase):
--- a/tests/test_testbed_parties.py
+++ b/tests/test_testbed_parties.py
@@ -44,7 +44,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.outcomes: list[tuple[float, int, EndpointOutcome]] = []
-        """Milliseconds since START_MS, receipt and outcome of each finished attempt."""
+        """Milliseconds since START_MS, delivery number and outcome of each finished attempt."""
 
     def endpoint(self, started_at_ms: float | None = None, **values: Any) -> EmulatedEndpoint:
         """The first endpoint, with speed 1 and the given values of its section overridden."""
@@ -56,7 +56,7 @@
 
     def send(
         self,
-        receipt: int,
+        delivery_number: int,
         endpoint: EmulatedEndpoint,
         class_index: int = IDEMPOTENT_CLASS,
         work_ms: float = 100.0,
@@ -66,19 +66,21 @@
         arrivals = self.environment.workload.arrivals()
         arrival = next(arrival for arrival in arrivals if arrival.request_class is request_class)
         request = ClientRequest(arrival._replace(work_ms=work_ms), self.clock.now())
-        client_attempt = ClientAttempt(f"t{receipt}", request, 0, 900.0, self.clock.now())
-        attempt = ReceivedAttempt(receipt, client_attempt.attempt_id, client_attempt, 0, self.record_outcome)
+        client_attempt = ClientAttempt(f"t{delivery_number}", request, 0, 900.0, self.clock.now())
+        attempt = ReceivedAttempt(
+            delivery_number, client_attempt.attempt_id, client_attempt, 0, self.record_outcome
+        )
         endpoint.receive(attempt)
         return attempt
 
     def record_outcome(self, attempt: ReceivedAttempt, outcome: EndpointOutcome) -> None:
         """Callback for finished attempts."""
-        self.outcomes.append((round(self.clock.now() - START_MS), attempt.receipt, outcome))
+        self.outcomes.append((round(self.clock.now() - START_MS), attempt.delivery_number, outcome))
 
     def test_cores_and_queue_are_limited(self) -> None:
         endpoint = self.endpoint(cores=2, queue=1)
-        for receipt in range(4):
-            self.send(receipt, endpoint)
+        for delivery_number in range(4):
+            self.send(delivery_number, endpoint)
         self.clock.run_until(1500.0)
         self.assertEqual(
             self.outcomes,
@@ -101,8 +103,8 @@
         self.clock.run_until(1200.0)
         self.assertEqual(self.outcomes, [(100, 1, EndpointOutcome.SUCCEEDED)])
         self.assertAlmostEqual(endpoint.warm_up_fraction(), 0.2 + 0.8 * 200 / 3000)
-        for receipt in range(2, 14):
-            self.send(receipt, endpoint, work_ms=100.0)
+        for delivery_number in range(2, 14):
+            self.send(delivery_number, endpoint, work_ms=100.0)
         self.assertFalse(endpoint.is_up)
         self.assertEqual(self.outcomes[-1][2], EndpointOutcome.CONNECTION_RESET)
         changes = [event for event in self.event_log.events if isinstance(event, EndpointChanged)]
@@ -132,8 +134,8 @@
         first = self.endpoint(cores=9)
         other_zone = self.environment.endpoints["w1"]
         same_zone = self.environment.endpoints["w2"]
-        for receipt, endpoint in enumerate((first, same_zone, other_zone)):
-            self.send(receipt, endpoint, class_index=KEYED_CLASS)
+        for delivery_number, endpoint in enumerate((first, same_zone, other_zone)):
+            self.send(delivery_number, endpoint, class_index=KEYED_CLASS)
         self.clock.run_until(2500.0)
         self.send(9, first, class_index=KEYED_CLASS)
         executed = [event.endpoint for event in self.event_log.events if isinstance(event, RequestExecuted)]
