--- a/drumgw/testbed/clients.py
+++ b/drumgw/testbed/clients.py
@@ -108,18 +108,18 @@
     # Results reported by the sender
 
     def response_received(
-        self, attempt: ClientAttempt, status: int, made_for: str, retry_after_ms: float
+        self, attempt: ClientAttempt, status: int, body_attempt_id: str, retry_after_ms: float
     ) -> None:
-        """Handles a complete response; `made_for` is the id of the attempt that its body names."""
+        """Handles a complete response; `body_attempt_id` is the id of the attempt that its body names."""
         now = self._clock.now()
         if attempt.is_closed:
             self._event_log.add(
-                ResponseReceived(now, attempt.attempt_id, status, made_for, is_duplicate=True)
+                ResponseReceived(now, attempt.attempt_id, status, body_attempt_id, is_duplicate=True)
             )
             return
         self._close(attempt)
         self._event_log.add(
-            ResponseReceived(now, attempt.attempt_id, status, made_for, round(retry_after_ms, 3))
+            ResponseReceived(now, attempt.attempt_id, status, body_attempt_id, round(retry_after_ms, 3))
         )
         if status in REJECTION_STATUSES:
             self._retry(attempt, retry_after_ms)
--- a/drumgw/testbed/logged_events.py
+++ b/drumgw/testbed/logged_events.py
@@ -152,7 +152,7 @@
 
     attempt_id: str
     status: int
-    made_for: str
+    body_attempt_id: str
     """Id of the attempt that the endpoint answered, as given in the response body."""
     retry_after_ms: float | None = None
     is_duplicate: bool | None = None
@@ -330,7 +330,7 @@
     "attempt_id": "txn",
     "gateway": "gate",
     "time_left_ms": "left",
-    "made_for": "mark",
+    "body_attempt_id": "mark",
     "retry_after_ms": "wait",
     "is_duplicate": "more",
     "delivery_number": "ticket",
--- a/drumgw/testbed/request_rules.py
+++ b/drumgw/testbed/request_rules.py
@@ -35,9 +35,8 @@
         if late_by_ms > 0:
             yield _response_violation(history, response.time_ms, f"answered {late_by_ms:.0f} ms too late")
         if response.status == STATUS_SUCCEEDED and not _is_genuine_response(history, response):
-            description = (
-                f"successful response that no endpoint made for it (made for {response.made_for or 'none'})"
-            )
+            named = response.body_attempt_id or "none"
+            description = f"successful response that no endpoint made for it (made for {named})"
             yield _response_violation(history, response.time_ms, description)
 
 
@@ -72,7 +71,7 @@
         isinstance(end, EndpointFinished) and end.outcome is EndpointOutcome.SUCCEEDED
         for end in history.ends.values()
     )
-    return response.made_for == history.sent.attempt_id and has_succeeded
+    return response.body_attempt_id == history.sent.attempt_id and has_succeeded
 
 
 def _response_violation(history: AttemptHistory, time_ms: float, description: str) -> Violation:
--- a/drumgw/testbed/socket_clients.py
+++ b/drumgw/testbed/socket_clients.py
@@ -89,9 +89,11 @@
             else:
                 gateway.idle.append(connection)
             status = int(head.split(b" ", 2)[1])
-            made_for = body.decode("latin-1")[:MAX_BODY_CHARACTERS] if status == STATUS_SUCCEEDED else ""
+            body_attempt_id = (
+                body.decode("latin-1")[:MAX_BODY_CHARACTERS] if status == STATUS_SUCCEEDED else ""
+            )
             retry_after_ms = float(headers.get("retry-after", 0.0)) * 1000.0
-            self._clients.response_received(attempt, status, made_for, retry_after_ms)
+            self._clients.response_received(attempt, status, body_attempt_id, retry_after_ms)
 
         def on_lost(has_partial_response: bool) -> None:
             gateway.busy.pop(attempt.attempt_id, None)
--- a/drumgw/testbed/virtual_endpoint_client.py
+++ b/drumgw/testbed/virtual_endpoint_client.py
@@ -54,7 +54,7 @@
         """Returns the client's attempt; None if it was answered or the client has disconnected."""
 
     def attempt_ended(
-        self, key: AttemptKey, outcome: Outcome, billed_units: float = 0.0, made_for: str = ""
+        self, key: AttemptKey, outcome: Outcome, billed_units: float = 0.0, body_attempt_id: str = ""
     ) -> None:
         """Handles the end of an attempt that the gateway did not abort."""
 
@@ -209,7 +209,7 @@
         )
 
     def _receive_response(
-        self, attempt: ForwardedAttempt, outcome: EndpointOutcome, billed_units: float, made_for: str
+        self, attempt: ForwardedAttempt, outcome: EndpointOutcome, billed_units: float, body_attempt_id: str
     ) -> None:
         if not self._is_current(attempt):
             return
@@ -217,4 +217,6 @@
             attempt.endpoint.connection_closed(self._owner.number)
         else:
             self._idle_since.setdefault(attempt.endpoint.name, []).append(self._clock.now())
-        self._owner.attempt_ended(attempt.key, OUTCOME_BY_ENDPOINT_OUTCOME[outcome], billed_units, made_for)
+        self._owner.attempt_ended(
+            attempt.key, OUTCOME_BY_ENDPOINT_OUTCOME[outcome], billed_units, body_attempt_id
+        )
--- a/drumgw/testbed/virtual_gateway.py
+++ b/drumgw/testbed/virtual_gateway.py
@@ -240,13 +240,13 @@
             self._endpoint_client.forward(key, endpoint)
 
     def attempt_ended(
-        self, key: AttemptKey, outcome: Outcome, billed_units: float = 0.0, made_for: str = ""
+        self, key: AttemptKey, outcome: Outcome, billed_units: float = 0.0, body_attempt_id: str = ""
     ) -> None:
         """Handles the end of an attempt that the gateway did not abort."""
         self._endpoint_client.forget(key)
         self.execute(
             self.lifecycle.attempt_ended(
-                self.clock.now(), key.request_id, key.attempt, outcome, billed_units, {}, made_for
+                self.clock.now(), key.request_id, key.attempt, outcome, billed_units, {}, body_attempt_id
             )
         )
 
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -263,14 +263,14 @@
 class MixesResponses(VirtualGateway):
     """Delivers responses to the wrong client."""
 
-    last_made_for = ""
+    last_body_attempt_id = ""
 
     def attempt_ended(
-        self, key: AttemptKey, outcome: Outcome, billed_units: float = 0.0, made_for: str = ""
+        self, key: AttemptKey, outcome: Outcome, billed_units: float = 0.0, body_attempt_id: str = ""
     ) -> None:
         """Delivers the response of the previous successful attempt instead."""
         if outcome is Outcome.SUCCEEDED:
-            previous = self.last_made_for or made_for
-            self.last_made_for = made_for
-            made_for = previous
-        super().attempt_ended(key, outcome, billed_units, made_for)
+            previous = self.last_body_attempt_id or body_attempt_id
+            self.last_body_attempt_id = body_attempt_id
+            body_attempt_id = previous
+        super().attempt_ended(key, outcome, billed_units, body_attempt_id)
--- a/tests/test_testbed_oracle.py
+++ b/tests/test_testbed_oracle.py
@@ -160,10 +160,10 @@
         self.assertEqual(len(self.violations(killed_before, started_again, sent(), closed)), 1)
 
     def test_late_and_second_responses_are_violations(self) -> None:
-        late = ResponseReceived(700.0, "x", 503, made_for="")
+        late = ResponseReceived(700.0, "x", 503, body_attempt_id="")
         self.assertEqual(self.violations(sent(), late), ["lost: answered 92 ms too late"])
-        first = ResponseReceived(400.0, "x", 503, made_for="")
-        second = ResponseReceived(401.0, "x", 503, made_for="")
+        first = ResponseReceived(400.0, "x", 503, body_attempt_id="")
+        second = ResponseReceived(401.0, "x", 503, body_attempt_id="")
         self.assertEqual(self.violations(sent(), first, second), ["lost: answered twice"])
 
     def test_a_request_with_a_key_stays_in_its_zone_and_is_not_hedged(self) -> None:
@@ -178,7 +178,7 @@
         rejected = finished(150.0, 1, EndpointOutcome.REJECTED, has_run=False)
         served = [
             finished(190.0, 2, EndpointOutcome.SUCCEEDED),
-            ResponseReceived(200.0, "x", 200, made_for="x"),
+            ResponseReceived(200.0, "x", 200, body_attempt_id="x"),
         ]
         same_zone = received(160.0, 2, "w2")
         other_zone = received(160.0, 2, "w1")
@@ -203,7 +203,7 @@
             sent(),
             received(400.0, 1),
             finished(410.0, 1, EndpointOutcome.SUCCEEDED),
-            ResponseReceived(420.0, "x", 200, made_for="x"),
+            ResponseReceived(420.0, "x", 200, body_attempt_id="x"),
         ]
         self.assertEqual(
             self.violations(announcement, *served),
