--- a/drumgw/testbed/clients.py
+++ b/drumgw/testbed/clients.py
@@ -23,7 +23,7 @@
 )
 from drumgw.testbed.scenario import IDEMPOTENT, Scenario
 from drumgw.testbed.statuses import REJECTION_STATUSES, STATUS_SUCCEEDED
-from drumgw.testbed.workload import Arrival, Customer, RandomUse, Workload
+from drumgw.testbed.workload import Arrival, Customer, RandomStream, Workload
 
 GIVE_UP_GRACE_MS = 500.0
 """How long a client still waits after an attempt's deadline; a response in this time has no value."""
@@ -70,7 +70,7 @@
         self._workload = workload
         self._clock = clock
         self._event_log = event_log
-        self._random = workload.random_stream(RandomUse.CLIENTS)
+        self._random = workload.random_stream(RandomStream.CLIENTS)
         self._arrivals: Iterator[Arrival] = iter(())
         self._in_rotation = [True] * scenario.fleet.gatekeepers
 
--- a/drumgw/testbed/environment.py
+++ b/drumgw/testbed/environment.py
@@ -14,7 +14,7 @@
 from drumgw.testbed.event_log import EventLog
 from drumgw.testbed.logged_events import CounterSummary, RunEnded
 from drumgw.testbed.scenario import Scenario
-from drumgw.testbed.workload import RandomUse, Workload
+from drumgw.testbed.workload import RandomStream, Workload
 
 ENDPOINTS_PER_CELL = 4
 RUN_END_MARGIN_MS = 1000.0
@@ -36,7 +36,7 @@
             scenario.fleet.gatekeepers,
             clock,
             event_log,
-            self.workload.random_stream(RandomUse.DISCOVERY),
+            self.workload.random_stream(RandomStream.DISCOVERY),
         )
         self.endpoints: dict[str, EmulatedEndpoint] = {}
         """All endpoints of the run by name, including those that were replaced."""
@@ -84,7 +84,7 @@
             self.clock,
             self.event_log,
             self._deduplication,
-            self.workload.random_stream(RandomUse.ENDPOINT, name),
+            self.workload.random_stream(RandomStream.ENDPOINT, name),
         )
         self.endpoints[name] = endpoint
         self.discovery.put(name, identity.zone, identity.cell, started_at_ms)
--- a/drumgw/testbed/faults.py
+++ b/drumgw/testbed/faults.py
@@ -23,7 +23,7 @@
     RunStarted,
 )
 from drumgw.testbed.scenario import Fault, FaultKind
-from drumgw.testbed.workload import RandomUse
+from drumgw.testbed.workload import RandomStream
 
 REPLACED_DRAIN_MS = 3000.0
 """How long a replaced endpoint keeps draining after all gateways should have been informed."""
@@ -53,7 +53,7 @@
     def __init__(self, environment: Environment, gateways: GatewayControls) -> None:
         self.environment = environment
         self.gateways = gateways
-        self._random: random.Random = environment.workload.random_stream(RandomUse.FAULTS)
+        self._random: random.Random = environment.workload.random_stream(RandomStream.FAULTS)
 
     def target_endpoints(self, fault: Fault) -> list[EmulatedEndpoint]:
         """The endpoints that a fault affects, chosen from those that have not been replaced."""
--- a/drumgw/testbed/socket_runner.py
+++ b/drumgw/testbed/socket_runner.py
@@ -19,7 +19,7 @@
 from drumgw.testbed.scenario import Scenario
 from drumgw.testbed.socket_clients import SocketAttemptSender
 from drumgw.testbed.socket_network import SocketNetwork
-from drumgw.testbed.workload import RandomUse
+from drumgw.testbed.workload import RandomStream
 
 OLD_ADDRESS_CLOSE_DELAY_MS = 1500.0
 """Time after which the old addresses of discovery and counter are closed once they have moved."""
@@ -48,7 +48,7 @@
             network=self._network,
             tasks=self._tasks,
             folder=folder,
-            random=self._environment.workload.random_stream(RandomUse.GATEWAYS),
+            random=self._environment.workload.random_stream(RandomStream.GATEWAYS),
             initial_list=self._environment.discovery.publish_initial_list(),
         )
         self.gateways = [GatewaySubprocess(shared, number) for number in range(scenario.fleet.gatekeepers)]
--- a/drumgw/testbed/virtual_runner.py
+++ b/drumgw/testbed/virtual_runner.py
@@ -20,7 +20,7 @@
 from drumgw.testbed.logged_events import ClockKind, GatewayChanged, GatewayState
 from drumgw.testbed.scenario import Scenario
 from drumgw.testbed.virtual_gateway import EngineFactory, VirtualGateway
-from drumgw.testbed.workload import RandomUse
+from drumgw.testbed.workload import RandomStream
 
 START_MS = 1_700_000_000_000.0
 """Unix time at the start of each run; the value is arbitrary, but must be the same for all runs."""
@@ -50,7 +50,7 @@
         self.environment.clients.sender = self
         self._fleet = scenario.fleet
         self._engine_factory = engine_factory
-        self._random = self.environment.workload.random_stream(RandomUse.GATEWAYS)
+        self._random = self.environment.workload.random_stream(RandomStream.GATEWAYS)
         self.environment.discovery.publish_initial_list()
         self._gateways = [self._start_gateway(number) for number in range(scenario.fleet.gatekeepers)]
 
--- a/drumgw/testbed/workload.py
+++ b/drumgw/testbed/workload.py
@@ -20,8 +20,8 @@
 MAX_CUSTOMER_NUMBER = 2**33
 
 
-class RandomUse(StrEnum):
-    """Uses of random numbers. The values are parts of the seeds and must not change."""
+class RandomStream(StrEnum):
+    """Independent random streams of a run. The values are parts of the seeds and must not change."""
 
     CUSTOMER = "customer"
     ARRIVALS = "arrivals"
@@ -81,9 +81,9 @@
             customer for group in scenario.customers for customer in self._draw_customers(group)
         ]
 
-    def random_stream(self, use: RandomUse, *names: object) -> random.Random:
+    def random_stream(self, stream: RandomStream, *names: object) -> random.Random:
         """Returns an independent random stream: draws from one do not affect the others."""
-        return random.Random("/".join(map(str, (self._seed, use, *names))))
+        return random.Random("/".join(map(str, (self._seed, stream, *names))))
 
     def arrivals(self) -> Iterator[Arrival]:
         """Yields all arrivals in chronological order, generated lazily to save memory."""
@@ -97,7 +97,7 @@
         plan = self._plans[group.plan]
         fleet_size = self._scenario.fleet.gatekeepers
         for index in range(group.number):
-            stream = self.random_stream(RandomUse.CUSTOMER, group.plan, index)
+            stream = self.random_stream(RandomStream.CUSTOMER, group.plan, index)
             number = stream.randrange(MAX_CUSTOMER_NUMBER)
             first_gateway = stream.randrange(fleet_size)
             gateways = tuple((first_gateway + offset) % fleet_size for offset in range(group.gatekeepers))
@@ -132,7 +132,7 @@
 
     def _arrival_times(self, customer: Customer, peak_factor: float) -> Iterator[_ArrivalTime]:
         """Draws a Poisson process at the peak rate and thins it to the rate at each time."""
-        stream = self.random_stream(RandomUse.ARRIVALS, customer.number)
+        stream = self.random_stream(RandomStream.ARRIVALS, customer.number)
         peak_rate = customer.requests_per_s * peak_factor
         if peak_rate <= 0:
             return
--- a/tests/test_testbed_parties.py
+++ b/tests/test_testbed_parties.py
@@ -20,7 +20,7 @@
     RequestExecuted,
 )
 from drumgw.testbed.scenario import CounterSection, DiscoverySection
-from drumgw.testbed.workload import RandomUse
+from drumgw.testbed.workload import RandomStream
 from tests.scenarios import make_scenario
 
 START_MS = 1000.0
@@ -235,7 +235,7 @@
         complete list.
         """
         section = DiscoverySection(delay_ms=100.0, spread_ms=0.0)
-        random_stream = self.environment.workload.random_stream(RandomUse.DISCOVERY)
+        random_stream = self.environment.workload.random_stream(RandomStream.DISCOVERY)
         discovery = EmulatedDiscovery(section, 2, self.clock, self.event_log, random_stream)
         discovery.put("w0", "a", 0, None)
         known = discovery.publish_initial_list()["generation"]
