--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -248,7 +248,7 @@
             super().read_update()
 
 
-class ForgetsResponses(VirtualGateway):
+class LosesResponses(VirtualGateway):
     """Loses the responses to some requests."""
 
     def respond(self, response: SendResponse) -> None:
--- a/tests/test_testbed_oracle.py
+++ b/tests/test_testbed_oracle.py
@@ -73,7 +73,7 @@
 
     def test_forgets_responses(self) -> None:
         """The gateway never answers one request in twenty."""
-        self.assertEqual(self.broken_rules(make_scenario(), gateway=scenarios.ForgetsResponses), {"lost"})
+        self.assertEqual(self.broken_rules(make_scenario(), gateway=scenarios.LosesResponses), {"lost"})
 
     def test_mixes_responses(self) -> None:
         """The gateway sends clients the responses to other attempts."""
