--- a/tests/customer_gateways.py
+++ b/tests/customer_gateways.py
@@ -239,7 +239,7 @@
         self.sent_units = 0.0
         self.pending_calls.clear()
 
-    def fault_counter(self) -> None:
+    def inject_counter_fault(self) -> None:
         """Resets the counter, lowers its totals, or splits or merges its parts, at random.
 
         A pending call is answered later by the part that received it.
--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -97,7 +97,7 @@
             for _ in range(2500):
                 gateways.step()
                 if gateways.random.random() < 1 / steps_between_faults:
-                    gateways.fault_counter()
+                    gateways.inject_counter_fault()
                 largest = max(largest, gateways.share_of_bound())
         return largest
 
@@ -134,7 +134,7 @@
                     attempt = gateways.attempts.pop()
                     gateways.end_attempt(attempt._replace(endpoint_id=0), Outcome.SUCCEEDED)
                 if gateways.random.random() < 0.1:
-                    gateways.fault_counter()
+                    gateways.inject_counter_fault()
             with self.subTest(seed):
                 self.assertLessEqual(gateways.true_level_units(), 60.0)
                 self.assertEqual((gateways.rejected, gateways.counter_faults > 10), (0, True))
