--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -125,7 +125,7 @@
         return read_scenario(file.name)
 
 
-def play(
+def run_scenario_virtually(
     scenario: Scenario,
     seed: int = 1,
     engine: Any = PolicyEngine,
--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -21,7 +21,7 @@
 from drumgw.stable_hash import stable_hash
 from drumgw.testbed.quota_usage import usage_in_outages
 from tests.customer_gateways import CUSTOMER, MAX_REQUEST_UNITS, CustomerGateways
-from tests.scenarios import NoQuotasEngine, make_scenario, play
+from tests.scenarios import NoQuotasEngine, make_scenario, run_scenario_virtually
 
 
 class TrustingCounterSync(CounterSync):
@@ -214,7 +214,7 @@
             fault = f'kind = "counter {kind}"; at_s = 1; for_s = 3'
             scenario = make_scenario(fault, seconds=5, use=2.0, units_spread=0)
             for seed in (1, 2):
-                log, violations = play(scenario, seed)
+                log, violations = run_scenario_virtually(scenario, seed)
                 usages = usage_in_outages(log, scenario)
                 self.assertEqual(violations, [])
                 self.assertTrue(usages)
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -34,7 +34,7 @@
 from drumgw.testbed.scenario import COUNTER_FAULTS, REQUIRED_KEYS, FaultKind
 from drumgw.testbed.virtual_runner import VirtualRunner
 from drumgw.testbed.workload import Workload
-from tests.scenarios import make_scenario, play
+from tests.scenarios import make_scenario, run_scenario_virtually
 
 FAULT_KEYS: dict[FaultKind, str] = {
     FaultKind.ENDPOINT_SLOW: "part = 0.5; size = 6; for_s = 1",
@@ -97,13 +97,17 @@
         """
         self.assertEqual(set(FAULT_KEYS), set(FAULTS) & set(REQUIRED_KEYS))
         without_fault = {
-            (seconds, use): visible_effects(play(make_scenario(seconds=seconds, use=use))[0])
+            (seconds, use): visible_effects(
+                run_scenario_virtually(make_scenario(seconds=seconds, use=use))[0]
+            )
             for seconds, use in ((3, 0.4), (4, 2.0))
         }
         for kind in FAULTS:
             seconds, use = (4, 2.0) if kind in COUNTER_FAULTS else (3, 0.4)
             with self.subTest(kind):
-                event_log, violations = play(make_scenario(fault_keys(kind), seconds=seconds, use=use))
+                event_log, violations = run_scenario_virtually(
+                    make_scenario(fault_keys(kind), seconds=seconds, use=use)
+                )
                 self.assertEqual(violations, [])
                 seen = [
                     type(event)
@@ -137,7 +141,7 @@
         )
         scenario = make_scenario(*map(fault_keys, kinds), seconds=4)
         for seed in (1, 2, 3):
-            event_log, violations = play(scenario, seed)
+            event_log, violations = run_scenario_virtually(scenario, seed)
             self.assertEqual(violations, [])
             self.assertGreater(run_figures(event_log, scenario)["whole"]["served"], 0.2)
 
@@ -152,7 +156,7 @@
             'kind = "kill"; at_s = 2; part = 1',
             'kind = "kill"; at_s = 2.1; part = 1',
         )
-        event_log, violations = play(scenario)
+        event_log, violations = run_scenario_virtually(scenario)
         self.assertEqual(violations, [])
         endpoint_states = [event.state for event in event_log.events if isinstance(event, EndpointChanged)]
         gateway_states = [event.state for event in event_log.events if isinstance(event, GatewayChanged)]
@@ -172,7 +176,7 @@
             seconds=6,
         )
         for seed in (1, 2, 3):
-            event_log, violations = play(scenario, seed)
+            event_log, violations = run_scenario_virtually(scenario, seed)
             self.assertEqual(violations, [])
             self.assertGreater(run_figures(event_log, scenario)["whole"]["served"], 0.3)
 
@@ -200,8 +204,10 @@
         self.assertEqual(times_ms, sorted(times_ms))
         per_second = [sum(n * 1000 <= at_ms < n * 1000 + 1000 for at_ms in times_ms) for n in range(3)]
         self.assertGreater(per_second[1], 2 * max(per_second[0], per_second[2]))
-        slow_log, _ = play(make_scenario('kind = "slow"; at_s = 0; part = 1; size = 40; for_s = 3'))
-        normal_log, _ = play(make_scenario())
+        slow_log, _ = run_scenario_virtually(
+            make_scenario('kind = "slow"; at_s = 0; part = 1; size = 40; for_s = 3')
+        )
+        normal_log, _ = run_scenario_virtually(make_scenario())
         slow_requests, normal_requests = (
             [(event.request, event.intended_ms) for event in log.events if isinstance(event, RequestCreated)]
             for log in (slow_log, normal_log)
@@ -257,7 +263,8 @@
         program = (
             "import hashlib; from tests.scenarios import *;"
             "scenario = make_scenario('kind = \"kill\"; at_s = 1; part = 0.6');"
-            "print(hashlib.sha256(''.join(play(scenario, 5)[0].lines()).encode()).hexdigest())"
+            "event_log, _ = run_scenario_virtually(scenario, 5);"
+            "print(hashlib.sha256(''.join(event_log.lines()).encode()).hexdigest())"
         )
         digests = {
             subprocess.run(
@@ -270,12 +277,12 @@
             for hash_seed in ("1", "77")
         }
         self.assertEqual(len(digests), 1)
-        other_log, _ = play(make_scenario('kind = "kill"; at_s = 1; part = 0.6'), 6)
+        other_log, _ = run_scenario_virtually(make_scenario('kind = "kill"; at_s = 1; part = 0.6'), 6)
         self.assertNotIn(hashlib.sha256("".join(other_log.lines()).encode()).hexdigest(), digests.pop())
 
     def test_figures_add_up(self) -> None:
         scenario = make_scenario()
-        event_log, _ = play(scenario)
+        event_log, _ = run_scenario_virtually(scenario)
         figures = run_figures(event_log, scenario)
         whole = figures["whole"]
         for part in ("by product", "by plan", "by zone", "by time"):
--- a/tests/test_testbed_oracle.py
+++ b/tests/test_testbed_oracle.py
@@ -27,7 +27,7 @@
 from drumgw.testbed.oracle import find_violations
 from drumgw.testbed.scenario import Scenario
 from tests import scenarios
-from tests.scenarios import make_scenario, play
+from tests.scenarios import make_scenario, run_scenario_virtually
 
 
 class BrokenGatewayTest(unittest.TestCase):
@@ -35,8 +35,8 @@
 
     def broken_rules(self, scenario: Scenario, **broken: Any) -> set[str]:
         """Returns the rules that faulty gateways break; checks that correct ones break none."""
-        self.assertEqual(play(scenario)[1], [])
-        _, violations = play(scenario, **broken)
+        self.assertEqual(run_scenario_virtually(scenario)[1], [])
+        _, violations = run_scenario_virtually(scenario, **broken)
         for violation in violations:
             self.assertTrue(violation.gateways)
             self.assertTrue(violation.time_ms)
