--- a/drumgw/testbed/oracle.py
+++ b/drumgw/testbed/oracle.py
@@ -1,8 +1,8 @@
-"""The test oracle: checks a run against the rules of the service, using nothing but its event log.
+"""The test oracle: checks a run against the rules of the service, using only its event log and its scenario.
 
 It shares no code with the gateway. Each rule is a function of the observations; each violation names the
-rule, the time, the attempt and the gateways involved. Effects of what the testbed did itself (it killed a
-gateway, a client disconnected early) are not violations.
+rule, the time, the attempt and the gateways involved. Effects of the testbed's own actions (killing a
+gateway, disconnecting a client early) are not violations.
 """
 
 from __future__ import annotations
