--- a/drumgw/testbed/event_log.py
+++ b/drumgw/testbed/event_log.py
@@ -1,4 +1,4 @@
-"""The event log of a run, in memory and as a file of JSON lines; oracle and reports have no other input.
+"""The event log of a run, in memory and as a file of JSON lines, the input of oracle and reports.
 
 The first line is the header of the run. Each following line is one event, in chronological order.
 """
@@ -109,7 +109,7 @@
 
 
 def event_from_row(row: Row) -> LoggedEvent | None:
-    """Parses an event; returns None for an event type that this version does not know.
+    """Parses an event; returns None if its type is unknown to this version.
 
     Raises:
         KeyError, TypeError, ValueError: if a value is unknown or a field is missing.
@@ -119,7 +119,7 @@
 
 
 def read_event_log(path: str) -> EventLog:
-    """Reads the event log of a run. A log without its last events is read as far as it goes.
+    """Reads the event log of a run. A log that lacks its last events is accepted.
 
     Raises:
         EventLogError: if the file cannot be read or is not an event log of this format version.
