--- a/drumgw/testbed/logged_events.py
+++ b/drumgw/testbed/logged_events.py
@@ -208,7 +208,7 @@
 
 @dataclass(slots=True)
 class RequestExecuted(LoggedEvent):
-    """An endpoint executed a request with an idempotency key that it had no stored result for."""
+    """An endpoint executed a request whose idempotency key was not in its deduplication store."""
 
     attempt_id: str
     idempotency_key: str
