--- a/drumgw/testbed/clients.py
+++ b/drumgw/testbed/clients.py
@@ -26,7 +26,9 @@
 from drumgw.testbed.workload import Arrival, Customer, RandomStream, Workload
 
 GIVE_UP_GRACE_MS = 500.0
-"""How long a client still waits after an attempt's deadline; a response in this time has no value."""
+"""How long a client still waits after an attempt's time left.
+
+The oracle reports a response in this time as late, unless it is within the oracle's tolerance."""
 DRAIN_DETECTION_MS = 300.0
 """Time from the start of a gateway's shutdown until the load balancer stops sending it requests."""
 MAX_LATENESS_MS = 20.0
@@ -196,11 +198,11 @@
         attempt.is_closed = True
         for timer in attempt.timers:
             timer.cancel()
-        forget_ms = self._clock.now() + 2 * attempt.request_class.expiry_ms
-        self._clock.call_at(forget_ms, lambda: self._forget(attempt))
+        removal_ms = self._clock.now() + 2 * attempt.request_class.expiry_ms
+        self._clock.call_at(removal_ms, lambda: self._remove_known_attempt(attempt))
         return True
 
-    def _forget(self, attempt: ClientAttempt) -> None:
+    def _remove_known_attempt(self, attempt: ClientAttempt) -> None:
         self.known_attempts.pop(attempt.attempt_id, None)
 
     def _disconnect(self, attempt: ClientAttempt) -> None:
