--- a/drumgw/testbed/faults.py
+++ b/drumgw/testbed/faults.py
@@ -1,7 +1,7 @@
-"""The faults of a run: how each kind is injected and removed.
+"""The faults of a run: how each kind is injected and reverted.
 
-`FAULTS` has a function for each kind. It injects the fault and returns a function that removes it again, or
-None for a fault that is not removed.
+`FAULTS` has a function for each kind. It injects the fault and returns a function that reverts it, or None
+for a fault that is not reverted.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class FaultContext:
-    """What faults act on, and the random choice of their targets."""
+    """The components that faults act on, and the random selection of their targets."""
 
     def __init__(self, environment: Environment, gateways: GatewayControls) -> None:
         self.environment = environment
@@ -198,10 +198,10 @@
 def _take_down(context: FaultContext, targets: list[EmulatedEndpoint]) -> Undo:
     """Stops processes; they leave the endpoint list after a delay and are listed again once restarted."""
     environment = context.environment
-    noticed_ms = environment.clock.now() + environment.scenario.worker.dead_noticed_ms
+    removal_ms = environment.clock.now() + environment.scenario.worker.dead_noticed_ms
     for endpoint in targets:
         endpoint.go_down(None)
-        environment.clock.call_at(noticed_ms, partial(_unlist_if_down, environment, endpoint))
+        environment.clock.call_at(removal_ms, partial(_unlist_if_down, environment, endpoint))
 
     def undo() -> None:
         for endpoint in targets:
