--- a/drumgw/testbed/virtual_endpoint_client.py
+++ b/drumgw/testbed/virtual_endpoint_client.py
@@ -36,7 +36,7 @@
 
 
 class AttemptOwner(Protocol):
-    """What the endpoint client needs of the gateway that it belongs to."""
+    """Interface of the gateway that an endpoint client belongs to."""
 
     number: int
     is_alive: bool
@@ -96,7 +96,7 @@
             self._connect(attempt)
 
     def abort(self, key: AttemptKey) -> None:
-        """Aborts an attempt and closes its connection, without a report to the gateway."""
+        """Aborts an attempt and closes its connection; the gateway is not notified."""
         attempt = self._attempts.pop(key, None)
         if attempt is None:
             return
@@ -111,7 +111,7 @@
         for key in list(self._attempts):
             self.abort(key)
 
-    def forget(self, key: AttemptKey) -> None:
+    def remove_attempt(self, key: AttemptKey) -> None:
         """Drops an attempt whose end is being reported, so that later events for it are ignored."""
         self._attempts.pop(key, None)
 
--- a/drumgw/testbed/virtual_gateway.py
+++ b/drumgw/testbed/virtual_gateway.py
@@ -83,7 +83,7 @@
             callback()
 
     def pause(self, duration_ms: float) -> None:
-        """Pauses the process: callbacks that are due meanwhile run when the pause ends."""
+        """Pauses the process: callbacks that become due during the pause run at its end."""
         self._paused_until_ms = self.clock.now() + duration_ms
         self.lifecycle.stalled_ms += duration_ms
 
@@ -243,7 +243,7 @@
         self, key: AttemptKey, outcome: Outcome, billed_units: float = 0.0, body_attempt_id: str = ""
     ) -> None:
         """Handles the end of an attempt that the gateway did not abort."""
-        self._endpoint_client.forget(key)
+        self._endpoint_client.remove_attempt(key)
         self.execute(
             self.lifecycle.attempt_ended(
                 self.clock.now(), key.request_id, key.attempt, outcome, billed_units, {}, body_attempt_id
