--- a/drumgw/testbed/endpoint.py
+++ b/drumgw/testbed/endpoint.py
@@ -77,7 +77,7 @@
         self.delivery_number = delivery_number
         self.attempt_id = attempt_id
         self.client_attempt = client_attempt
-        """The client's attempt behind it; None if its id belongs to no known client attempt."""
+        """The client attempt that the gateway forwarded; None if no client attempt has this id."""
         self.gateway = gateway
         self.on_end = on_end
         self.endpoint: EmulatedEndpoint | None = None
@@ -91,7 +91,7 @@
 
     slowdown: float = 1.0
     failing_classes: set[str | None] = field(default_factory=set)
-    """Request classes whose requests fail; None stands for all classes."""
+    """Request classes whose requests fail; None means all classes."""
     is_silent: bool = False
     """The endpoint accepts connections and never answers."""
     reset_share: float = 0.0
@@ -107,7 +107,7 @@
 
 
 class EndpointIdentity(NamedTuple):
-    """Name and place of an endpoint."""
+    """Name and location of an endpoint."""
 
     name: str
     number: int
@@ -121,7 +121,7 @@
 
 
 class EmulatedEndpoint:
-    """One endpoint over its restarts: its process state, connections, queue and running attempts."""
+    """One endpoint, across restarts of its process: its state, connections, queue and running attempts."""
 
     def __init__(
         self,
@@ -317,7 +317,7 @@
         return EndpointOutcome.SUCCEEDED
 
     def _finish(self, attempt: ReceivedAttempt, outcome: EndpointOutcome) -> None:
-        """Ends an executed attempt, after a delay or without a response if a fault says so."""
+        """Ends an executed attempt, after a delay or without a response if an active fault requires it."""
         now = self._clock.now()
         self.running.pop(attempt.delivery_number, None)
         if self.faults.lost_share and self._random.random() < self.faults.lost_share:
