--- a/drumgw/testbed/scenario.py
+++ b/drumgw/testbed/scenario.py
@@ -190,7 +190,7 @@
     cross_zone_ms: Amount = 1.0
     client_ms: Amount = 0.5
     front_notices_ms: Amount = 1500.0
-    """Time until the load balancer takes a dead gateway out of rotation."""
+    """Time until the load balancer takes a killed gateway out of rotation."""
     restart_ms: Amount = 1000.0
     """Time from the end of a gateway's process to its next start."""
 
@@ -321,17 +321,17 @@
         """Yields an error for each fault that cannot take effect in this scenario."""
         class_names = [section.name for section in self.product]
         for position, fault in enumerate(self.trouble, 1):
-            where = f"trouble[{position}] ({fault.kind})"
+            prefix = f"trouble[{position}] ({fault.kind})"
             if fault.at_s >= self.seconds:
-                yield f"{where}: starts at {fault.at_s:g} s, after the scenario's end at {self.seconds:g} s"
+                yield f"{prefix}: starts at {fault.at_s:g} s, after the scenario's end at {self.seconds:g} s"
             if fault.zone is not None and fault.zone not in self.fleet.zones:
-                yield f"{where}: no such zone {fault.zone!r}"
+                yield f"{prefix}: no such zone {fault.zone!r}"
             if fault.worker is not None and fault.worker >= self.fleet.workers:
-                yield f"{where}: workers are numbered 0 to {self.fleet.workers - 1}"
+                yield f"{prefix}: workers are numbered 0 to {self.fleet.workers - 1}"
             if fault.product is not None and fault.product not in class_names:
-                yield f"{where}: no such product {fault.product!r}"
+                yield f"{prefix}: no such product {fault.product!r}"
             if fault.kind in COUNTER_FAULTS and self.counter is None:
-                yield f"{where}: the scenario has no counter"
+                yield f"{prefix}: the scenario has no counter"
 
     def mean_units(self) -> float:
         """Mean of the units that clients state, which are drawn uniformly."""
@@ -342,7 +342,7 @@
         return max(section.expiry_ms for section in self.product)
 
     def max_expected_requests(self) -> float:
-        """Upper estimate of the number of requests: the highest load step for the whole duration."""
+        """Upper estimate of the number of requests: the highest load step throughout, without surges."""
         rates = {section.name: section.units_per_s for section in self.plan}
         units_per_s = sum(
             group.number * rates[group.plan] * group.use * (1 + group.heavy * (group.heavy_x - 1))
