--- a/drumgw/testbed/observations.py
+++ b/drumgw/testbed/observations.py
@@ -46,7 +46,7 @@
 
 
 class Violation(NamedTuple):
-    """A rule that was broken, when, and by whom."""
+    """A broken rule, with the time, the attempt and the gateways involved."""
 
     rule: RuleName
     time_ms: float
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True)
 class AttemptHistory:
-    """Everything that was observed of one client's attempt."""
+    """All events of one client's attempt, from gateways and endpoints too."""
 
     sent: AttemptSent
     responses: list[ResponseReceived] = field(default_factory=list)
@@ -135,8 +135,8 @@
         """Whether the testbed killed the gateway during an attempt or shortly before it.
 
         A connection can stay open for some milliseconds after its process was killed, and an attempt sent on
-        it never reaches the gateway. So a gateway that is still dead at the end of the attempt counts too. A
-        gateway that ended by itself does not.
+        it never reaches the gateway. So a gateway that is still down at the end of the attempt counts too. A
+        gateway that ended for another reason does not count.
 
         Args:
             gateway: the gateway's number.
