--- a/drumgw/testbed/request_rules.py
+++ b/drumgw/testbed/request_rules.py
@@ -35,13 +35,15 @@
         if late_by_ms > 0:
             yield _response_violation(history, response.time_ms, f"answered {late_by_ms:.0f} ms too late")
         if response.status == STATUS_SUCCEEDED and not _is_genuine_response(history, response):
-            named = response.body_attempt_id or "none"
-            description = f"successful response that no endpoint made for it (made for {named})"
+            named_attempt = response.body_attempt_id or "none"
+            description = (
+                f"successful response that no endpoint sent for this attempt (body names {named_attempt})"
+            )
             yield _response_violation(history, response.time_ms, description)
 
 
 def _check_end(observations: Observations, history: AttemptHistory) -> Iterator[Violation]:
-    """Reports a missing response, unless the client left or the testbed killed the gateway."""
+    """Reports a missing response, unless the client left or could not connect, or the gateway was killed."""
     end = history.end
     if history.responses or isinstance(end, ClientLeft | ConnectFailed):
         return
@@ -66,7 +68,7 @@
 
 
 def _is_genuine_response(history: AttemptHistory, response: ResponseReceived) -> bool:
-    """Whether the response was made for this attempt, and an endpoint completed it successfully."""
+    """Whether the response body names this attempt, and an endpoint completed the attempt successfully."""
     has_succeeded = any(
         isinstance(end, EndpointFinished) and end.outcome is EndpointOutcome.SUCCEEDED
         for end in history.ends.values()
@@ -144,7 +146,7 @@
 
 
 def _check_rejection(observations: Observations, history: AttemptHistory) -> Iterator[Violation]:
-    """Clients retry a rejected request, so only one that did not run, or may run again, can be rejected."""
+    """Clients retry a rejected request, so only one that did not run, or may run again, may be rejected."""
     request_class = observations.request_classes[history.sent.request_class]
     is_repeatable_anywhere = request_class.repeat == IDEMPOTENT or (
         request_class.repeat == IDEMPOTENT_WITH_KEY and request_class.group == "all"
