--- a/drumgw/testbed/endpoint_rules.py
+++ b/drumgw/testbed/endpoint_rules.py
@@ -67,14 +67,14 @@
     recent: deque[EndpointReceived] = field(default_factory=deque)
     """Attempts received within the overload window (`rules.fall_ms`)."""
     informed_gateways: set[int] = field(default_factory=set)
-    """Gateways whose discovery agents know of this start."""
+    """Gateways whose discovery agents have received this start."""
 
 
 def warm_up_rule(observations: Observations) -> Iterator[Violation]:
-    """An endpoint that is warming up receives at most `fall_multiple` times the work that it can do.
+    """An endpoint that is warming up receives at most `fall_multiple` times its capacity in the window.
 
-    An overload counts only if at least two thirds of the work came from gateways whose discovery agents knew
-    of the start.
+    An overload counts only if at least two thirds of the work came from gateways whose discovery agents had
+    received the start.
     """
     warming: dict[str, _WarmUp] = {}
     for event in observations.events:
@@ -107,7 +107,7 @@
         return None
     informed_work_ms = sum(event.work_ms for event in recent if event.gateway in warm_up.informed_gateways)
     if informed_work_ms < 2 * work_ms / 3:
-        return None  # too much of the work came from gateways that could not know of the start
+        return None  # too much of the work came from gateways that were not informed of the start
     gateways = tuple(sorted({event.gateway for event in recent}))
     description = f"{received.endpoint} was overloaded with {work_ms:.0f} ms of work while warming up"
     return Violation(RuleName.WARM_UP, received.time_ms, received.attempt_id, gateways, description)
