--- a/drumgw/testbed/gateway_subprocess.py
+++ b/drumgw/testbed/gateway_subprocess.py
@@ -57,7 +57,7 @@
         self.process: asyncio.subprocess.Process | None = None
         self.is_ready = False
         self.is_exit_expected = False
-        """True once the testbed has decided to end the process; an exit before is logged as a crash."""
+        """True once the testbed has decided to end the process; an exit before that is logged as a crash."""
         self._shared = shared
         self._environment = shared.environment
         self._clock = shared.clock
@@ -120,8 +120,8 @@
         fleet = self._environment.scenario.fleet
         self._log_state(GatewayState.KILLED if is_killed else GatewayState.STOPPING)
         self.send_signal(signal_number)
-        noticed_ms = fleet.front_notices_ms if is_killed else DRAIN_DETECTION_MS
-        self._clock.call_at(self._clock.now() + noticed_ms, partial(self._leave_rotation, process))
+        detection_ms = fleet.front_notices_ms if is_killed else DRAIN_DETECTION_MS
+        self._clock.call_at(self._clock.now() + detection_ms, partial(self._leave_rotation, process))
         await self._wait_exit(process)
         if not is_killed:
             self._log_state(GatewayState.ENDED, process.returncode)
