--- a/drumgw/testbed/http_wire.py
+++ b/drumgw/testbed/http_wire.py
@@ -58,7 +58,7 @@
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Called by the event loop; handles complete messages and aborts if the buffer limit is passed."""
+        """Called by the event loop; handles complete messages and aborts if the buffer limit is exceeded."""
         if self._first_byte_ms is None:
             self._first_byte_ms = self.now()
         self._buffer += data
