--- a/drumgw/testbed/socket_network.py
+++ b/drumgw/testbed/socket_network.py
@@ -1,6 +1,6 @@
 """The servers of the emulated components on loopback addresses.
 
-Each component has a separate address for every gateway, so that it can tell which gateway connects.
+Each component has a separate address for every gateway, so that it can identify the gateway.
 """
 
 from __future__ import annotations
@@ -74,7 +74,7 @@
         return f"{HOST}:{self._endpoint_ports[gateway, name]}"
 
     def close(self) -> None:
-        """Closes all servers; detached ones are left to their owner."""
+        """Closes all servers; those from `detach_services` are left to its caller."""
         endpoint_servers = [server for servers in self._endpoint_servers.values() for server in servers]
         for server in [*self._service_servers, *endpoint_servers]:
             server.close()
