--- a/drumgw/testbed/socket_runner.py
+++ b/drumgw/testbed/socket_runner.py
@@ -26,7 +26,7 @@
 
 
 class CannotRunError(RuntimeError):
-    """The testbed could not run the scenario; this is no result about how the gateways behave."""
+    """The testbed could not run the scenario, so there is no result for the gateways."""
 
 
 class SocketRunner:
