--- a/drumgw/testbed/socket_servers.py
+++ b/drumgw/testbed/socket_servers.py
@@ -1,6 +1,6 @@
 """Emulated components on sockets: the server side of gateways' connections.
 
-Each component has a separate address for every gateway, so that a server knows which gateway calls.
+Each component has a separate address for every gateway, so that a server can identify the gateway.
 """
 
 from __future__ import annotations
