--- a/drumgw/testbed/statuses.py
+++ b/drumgw/testbed/statuses.py
@@ -2,8 +2,9 @@
 
 STATUS_SUCCEEDED = 200
 STATUS_BAD_REQUEST = 400
+"""A counter call was malformed, or an endpoint received a request whose id no client had sent."""
 STATUS_UNKNOWN_REQUEST = 404
-"""An endpoint received a request that no client had sent."""
+"""An endpoint received a request without an id."""
 STATUS_FAILED = 500
 """The request failed and may have run."""
 STATUS_REJECTED = 503
