--- a/drumgw/testbed/quota_usage.py
+++ b/drumgw/testbed/quota_usage.py
@@ -20,7 +20,7 @@
     FaultKind.COUNTER_SPLIT,
 )
 OPEN_ENDED_OUTAGE_MS = 5000.0
-"""How long usage is measured for a fault that has no end, such as a counter that was replaced."""
+"""How long usage is measured for a fault that has no end, such as an emptied counter."""
 
 
 class _FirstForward(NamedTuple):
@@ -56,7 +56,7 @@
     seconds: float
     sent_units: int
     quota_units: float
-    """Units that the quota allows in that time, from a full account."""
+    """Units that the quota allows in that time, starting from a full token bucket."""
     bound_units: float
     """Upper bound on `sent_units`, as derived in drumgw/config/quota_bounds.py."""
     share_of_bound: float
@@ -65,7 +65,7 @@
 def usage_beyond_quotas(event_log: EventLog, scenario: Scenario) -> dict[str, Any]:
     """Returns the units forwarded and those beyond the customers' quotas, by plan.
 
-    Each customer has one account for all gateways, as if each knew at once what the others forward.
+    Each customer has one account for all gateways, as if they shared their usage without delay.
     """
     plans = {section.name: section for section in scenario.plan}
     accounts: dict[int, _QuotaAccount] = {}
