--- a/drumgw/testbed/metrics.py
+++ b/drumgw/testbed/metrics.py
@@ -78,7 +78,7 @@
 
 
 def run_figures(event_log: EventLog, scenario: Scenario) -> Figures:
-    """Computes all figures of one run, as reports and `figures.json` have them."""
+    """Computes all figures of one run, for reports and `figures.json`."""
     outcomes = RequestOutcomes(event_log, scenario)
     invalid_reason = _invalid_reason(event_log, outcomes.request_count)
     header = event_log.header
@@ -97,14 +97,14 @@
 
 
 def _invalid_reason(event_log: EventLog, request_count: int) -> str | None:
-    """Returns why the figures say nothing about the gateways; None if the run is valid."""
+    """Returns why the run is invalid; None if it is valid."""
     ended = next((event for event in reversed(event_log.events) if isinstance(event, RunEnded)), None)
     if ended is None:
         return "the event log has no end: the run was cut off"
     if ended.sent_late_count > MAX_LATE_SHARE * max(1, ended.sent_count):
         return (
             f"the testbed sent {ended.sent_late_count} of {ended.sent_count} requests late: "
-            f"the figures say nothing about the gateways"
+            f"the figures do not describe the gateways"
         )
     return None
 
