--- a/drumgw/testbed/report.py
+++ b/drumgw/testbed/report.py
@@ -89,7 +89,7 @@
                 f"{measure.label:<34}{_format_mean(values):>22}{_format_mean(other_values):>22}{difference:>+14.4g}"
             )
     if any(not run["valid"] for run in [*runs, *others]):
-        lines.append("INVALID runs are included: their figures say nothing about the gateways")
+        lines.append("INVALID runs are included: their figures do not describe the gateways")
     lines += violation_lines(runs)
     lines += [f"against: {line}" for line in violation_lines(others)]
     return "\n".join(lines)
