--- a/drumgw/testbed/discovery.py
+++ b/drumgw/testbed/discovery.py
@@ -1,7 +1,8 @@
 """Emulated discovery: one endpoint list, whose changes reach each gateway's agent late or not at all.
 
-Whatever a gateway's agent has received counts as known to the gateway, even if the gateway has not read it
-yet. For a new gateway process this holds from its start. Rows and updates use the discovery protocol's names.
+The oracle treats a row as received by a gateway once the gateway's agent has received it, even if the gateway
+has not read it yet. For a new gateway process this applies from its start. Rows and updates use the discovery
+protocol's names.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 MAX_CHANGES = 200
 """Number of changes kept; a watcher that is further behind receives the complete list."""
 SILENT_RETRY_MS = 100.0
-"""Interval at which a change is offered to an agent again while discovery is silent."""
+"""Interval at which the delivery of a change to an agent is retried while discovery is silent."""
 
 
 class EndpointRow(TypedDict):
@@ -51,7 +52,7 @@
 
 
 class _AnnouncedState(NamedTuple):
-    """What an agent has last received about one endpoint."""
+    """The last state of an endpoint that an agent has received."""
 
     lifecycle: Lifecycle
     started_at_ms: float
@@ -143,9 +144,9 @@
         }
 
     def gateway_started(self, gateway: int) -> None:
-        """Logs all that the agent has as announced to a new gateway process.
+        """Logs every row that the agent has as announced to a new gateway process.
 
-        It counts as known to the process from its start. Call this after the start has been logged: the
+        The rows apply to the process from its start. Call this after the start has been logged: the
         oracle discards a gateway's earlier announcements at its start.
         """
         self._announced_states[gateway].clear()
@@ -195,7 +196,7 @@
         return list(rows.values())
 
     def _announce(self, gateway: int, rows: Iterable[EndpointRow], is_complete: bool) -> None:
-        """Logs rows that have reached the agent; from now on the oracle holds the gateway to them."""
+        """Logs rows that have reached the agent; the oracle checks the gateway against them from now on."""
         states = {row["instanceId"]: _AnnouncedState(row["lifecycle"], row["startedAtMs"]) for row in rows}
         known = self._announced_states[gateway]
         if is_complete:
