--- a/drumgw/testbed/request_rules.py
+++ b/drumgw/testbed/request_rules.py
@@ -43,7 +43,10 @@
 
 
 def _check_end(observations: Observations, history: AttemptHistory) -> Iterator[Violation]:
-    """Reports a missing response, unless the client left or could not connect, or the gateway was killed."""
+    """Reports a missing response.
+
+    None is expected if the client left or could not connect, or if the testbed killed the gateway.
+    """
     end = history.end
     if history.responses or isinstance(end, ClientLeft | ConnectFailed):
         return
