--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -174,7 +174,7 @@
     return endpoint.started_at_ms or 0.0
 
 
-class YoungestFirstEngine(PolicyEngine):
+class NewestFirstEngine(PolicyEngine):
     """Sends all requests to the endpoint that started last, even during its warm-up."""
 
     selector_class = SelectsNewest
--- a/tests/test_testbed_oracle.py
+++ b/tests/test_testbed_oracle.py
@@ -84,7 +84,7 @@
         scenario = make_scenario(
             'kind = "replace"; at_s = 1; worker = 0', cores=1, cold_from=0.05, fall_multiple=1.5
         )
-        self.assertEqual(self.broken_rules(scenario, engine=scenarios.YoungestFirstEngine), {"pushed"})
+        self.assertEqual(self.broken_rules(scenario, engine=scenarios.NewestFirstEngine), {"pushed"})
 
     def test_exceeds_ceilings(self) -> None:
         """The gateway admits everything while customers send four times their quota."""
