--- a/tests/customer_gateways.py
+++ b/tests/customer_gateways.py
@@ -39,7 +39,7 @@
     Outcome.REJECTED,
     Outcome.BROKEN_RESPONSE,
 )
-NOISE_TOTALS = (1e30, -1e30, 1e9, -1e9, 0.0, 3.7)
+WRONG_TOTALS = (1e30, -1e30, 1e9, -1e9, 0.0, 3.7)
 
 
 class PendingCall(NamedTuple):
@@ -92,7 +92,7 @@
         self.restarts = [0] * gateway_count
         self.clock_skews_ms = [0.0] * gateway_count
         self.lost_reply_share = 0.0
-        self.noise_share = 0.0
+        self.wrong_total_share = 0.0
         self.restart_probability = 0.0
         self.rejected = 0
         self.pending_calls: list[PendingCall] = []
@@ -202,7 +202,7 @@
         """Answers a call to the counter, or lets it fail.
 
         It always fails while the counter is unavailable. Otherwise `lost_reply_share` is the share of lost
-        replies, and `noise_share` the share of replies with a wrong total.
+        replies, and `wrong_total_share` the share of replies with a wrong total.
         """
         gateway, call, totals = pending
         key = call.counter_key
@@ -216,8 +216,8 @@
             return
         total = round(totals.get(key, 0.0) + call.amount, 2)
         totals[key] = total
-        if self.random.random() < self.noise_share:
-            total = self.random.choice(NOISE_TOTALS)
+        if self.random.random() < self.wrong_total_share:
+            total = self.random.choice(WRONG_TOTALS)
         self.handle(gateway, CounterReplied(key, Outcome.SUCCEEDED, total, 3.0))
 
     def reply_to_all(self) -> None:
--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -104,7 +104,7 @@
     def make_unreliable(self, gateways: CustomerGateways) -> None:
         """Enables lost replies, random totals, gateway restarts and clock skew."""
         gateways.lost_reply_share = 0.1
-        gateways.noise_share = 0.05
+        gateways.wrong_total_share = 0.05
         gateways.restart_probability = 0.2
         gateways.clock_skews_ms = [gateways.random.uniform(0.0, 3000.0) for _ in gateways.clock_skews_ms]
         gateways.engines = [gateways.new_engine(number) for number in range(gateways.gateway_count)]
