--- a/tests/customer_gateways.py
+++ b/tests/customer_gateways.py
@@ -48,7 +48,7 @@
     gateway: int
     call: AddToCounter
     totals: dict[int, float]
-    """The totals of the counter part that received the call."""
+    """The totals of the counter replica that received the call."""
 
 
 class PendingAttempt(NamedTuple):
@@ -78,8 +78,8 @@
         self.random = random.Random(seed)
         self.now_ms = 100_000.0
         self.last_request_id = 0
-        self.counter_parts: list[dict[int, float]] = [{}]
-        """Totals by key, for each part of the counter; there are two parts while it is split."""
+        self.counter_replicas: list[dict[int, float]] = [{}]
+        """Totals by key, for each replica of the counter; there are two while it is split."""
         self.totals_at_split: dict[int, float] = {}
         self.counter_faults = 0
         self.counter_lost_at_ms: float | None = None
@@ -131,7 +131,7 @@
         now_ms = self.now_ms + self.clock_skews_ms[gateway]
         for action in self.engines[gateway].handle(now_ms, event):
             if isinstance(action, AddToCounter):
-                totals = self.counter_parts[gateway % len(self.counter_parts)]
+                totals = self.counter_replicas[gateway % len(self.counter_replicas)]
                 self.pending_calls.append(PendingCall(gateway, action, totals))
             elif isinstance(action, ForwardRequest):
                 units = self.requested_units.pop((gateway, action.request_id), None)
@@ -240,33 +240,33 @@
         self.pending_calls.clear()
 
     def inject_counter_fault(self) -> None:
-        """Resets the counter, lowers its totals, or splits or merges its parts, at random.
+        """Resets the counter, lowers its totals, or splits or merges its replicas, at random.
 
-        A pending call is answered later by the part that received it.
+        A pending call is answered later by the replica that received it.
         """
         self.counter_faults += 1
         draw = self.random.random()
         if draw < 0.4:
-            self.counter_parts = [{} for _ in self.counter_parts]
+            self.counter_replicas = [{} for _ in self.counter_replicas]
             self.totals_at_split = {}
         elif draw < 0.6:
             factor = self.random.random()
-            self.counter_parts = [scaled(totals, factor) for totals in self.counter_parts]
+            self.counter_replicas = [scaled(totals, factor) for totals in self.counter_replicas]
             self.totals_at_split = scaled(self.totals_at_split, factor)
-        elif len(self.counter_parts) == 1:
-            self.totals_at_split = dict(self.counter_parts[0])
-            self.counter_parts.append(dict(self.counter_parts[0]))
+        elif len(self.counter_replicas) == 1:
+            self.totals_at_split = dict(self.counter_replicas[0])
+            self.counter_replicas.append(dict(self.counter_replicas[0]))
         else:
-            self.merge_parts()
+            self.merge_replicas()
 
-    def merge_parts(self) -> None:
-        """Merges the two parts: a total has what both parts added since the split."""
-        first, second = self.counter_parts
+    def merge_replicas(self) -> None:
+        """Merges the two replicas: a total includes the additions of both since the split."""
+        first, second = self.counter_replicas
         totals: dict[int, float] = {}
         for key in first.keys() | second:
-            sum_of_parts = first.get(key, 0.0) + second.get(key, 0.0)
-            totals[key] = sum_of_parts - self.totals_at_split.get(key, 0.0)
-        self.counter_parts = [totals]
+            sum_of_replicas = first.get(key, 0.0) + second.get(key, 0.0)
+            totals[key] = sum_of_replicas - self.totals_at_split.get(key, 0.0)
+        self.counter_replicas = [totals]
 
     def share_of_bound(self) -> float:
         """Returns the sent units as a share of the bound that `sending_bound` declares."""
--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -147,13 +147,13 @@
         gateways = CustomerGateways(large, gateway_count, seed, engine_class)
         for _ in range(200):
             gateways.step()
-        gateways.counter_parts = [{}]
+        gateways.counter_replicas = [{}]
         for gateway in (*range(gateway_count), *range(gateway_count)):
             gateways.request(gateway)
         gateways.reply_to_all()
         account = gateways.engines[0].accounts[CUSTOMER]
         epoch = account.epoch_at(gateways.now_ms)
-        total = gateways.counter_parts[0].get(stable_hash(CUSTOMER, epoch), 0.0)
+        total = gateways.counter_replicas[0].get(stable_hash(CUSTOMER, epoch), 0.0)
         refilled = account.refilled_units(epoch, gateways.now_ms)
         return total - refilled, gateways.true_level_units()
 
