--- a/tests/customer_gateways.py
+++ b/tests/customer_gateways.py
@@ -269,7 +269,7 @@
         self.counter_replicas = [totals]
 
     def share_of_bound(self) -> float:
-        """Returns the sent units as a share of the bound that `sending_bound` declares."""
+        """Returns the sent units as a share of the bound that `sending_bound` computes."""
         seconds = (self.now_ms - self.counting_since_ms) / 1000.0
         bound = sending_bound(self.plan, self.gateway_count, seconds, max(self.restarts))
         assert bound is not None
