--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -195,7 +195,7 @@
 
 
 class RejectsProcessed(RequestFlow):
-    """Rejects a request that an endpoint may have processed; it should fail it instead."""
+    """Rejects a request that an endpoint may have processed; a correct gateway fails it."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -204,13 +204,13 @@
 
 
 def reject(flow: RequestFlow, request: PendingRequest) -> None:
-    """Rejects a request, which tells the client that it was not processed."""
+    """Rejects a request; for the client this means that it was not processed."""
     flow.context.actions.append(RejectRequest(request.request_id, 10.0))
     flow.forget(request)
 
 
 class RejectingEngine(PolicyEngine):
-    """Tells clients that a retry is safe even if the request may have been processed."""
+    """Rejects requests that may have been processed, so that clients retry them."""
 
     request_flow_class = RejectsProcessed
 
@@ -226,13 +226,13 @@
     """Forwards requests to draining endpoints."""
 
     def apply_update(self, update: ListUpdate) -> EndpointsUpdated:
-        """Applies the update with every endpoint up, and as a change, so that no endpoint is removed."""
+        """Applies the update as an incremental one with all endpoints up, so that none is removed."""
         rows = [up_row(row) for row in update["instances"]]
         return super().apply_update({"generation": update["generation"], "reset": False, "instances": rows})
 
 
 class DoesNotWaitForDiscovery(VirtualGateway):
-    """Uses the endpoint list of the start of the run in its first second, without an answer of its agent."""
+    """In its first second, uses the endpoint list from the start of the run instead of its agent's list."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -249,7 +249,7 @@
 
 
 class LosesResponses(VirtualGateway):
-    """Loses the responses to some requests."""
+    """Never responds to one request in twenty."""
 
     def respond(self, response: SendResponse) -> None:
         """Drops the response to every twentieth request."""
@@ -261,7 +261,7 @@
 
 
 class MixesResponses(VirtualGateway):
-    """Delivers responses to the wrong client."""
+    """Answers a client with the response to another attempt."""
 
     last_body_attempt_id = ""
 
