--- a/tests/test_lab_on_sockets.py
+++ b/tests/test_lab_on_sockets.py
@@ -57,8 +57,8 @@
         event_log, processes = asyncio.run(run())
         self.assertTrue(all(p is not None and p.returncode is not None for p in processes))
         violations = find_violations(event_log, scenario)
-        kinds = {violation.rule for violation in violations}
-        self.assertLessEqual(kinds, {"lost"}, [str(violation) for violation in violations])
+        rules = {violation.rule for violation in violations}
+        self.assertLessEqual(rules, {"lost"}, [str(violation) for violation in violations])
         responses = [event for event in event_log.events if isinstance(event, ResponseReceived)]
         self.assertTrue(any(response.status == 200 for response in responses))
         sent = {event.attempt_id for event in event_log.events if isinstance(event, AttemptSent)}
