--- a/tests/test_testbed_oracle.py
+++ b/tests/test_testbed_oracle.py
@@ -43,7 +43,7 @@
             self.assertTrue(str(violation))
         return {violation.rule for violation in violations}
 
-    def test_retries_what_may_have_run(self) -> None:
+    def test_retries_requests_that_may_have_run(self) -> None:
         """The gateway forwards again after a connection reset, although the request may have run.
 
         Half of the attempts have their connection reset after the request was written.
@@ -51,8 +51,8 @@
         scenario = make_scenario('kind = "resets"; at_s = 0.5; part = 1; size = 0.5; for_s = 2')
         self.assertEqual(self.broken_rules(scenario, engine=scenarios.RetryingEngine), {"doubled"})
 
-    def test_rejects_what_may_have_run(self) -> None:
-        """The gateway rejects requests that failed at endpoints, so that clients retry what may have run."""
+    def test_rejects_requests_that_may_have_run(self) -> None:
+        """The gateway rejects requests that failed at endpoints, so clients retry some that may have run."""
         scenario = make_scenario('kind = "failing"; at_s = 0.5; part = 0.7; for_s = 2')
         self.assertEqual(self.broken_rules(scenario, engine=scenarios.RejectingEngine), {"doubled"})
 
@@ -71,7 +71,7 @@
         )
         self.assertEqual(self.broken_rules(scenario, gateway=scenarios.DoesNotWaitForDiscovery), {"drains"})
 
-    def test_forgets_responses(self) -> None:
+    def test_loses_responses(self) -> None:
         """The gateway never answers one request in twenty."""
         self.assertEqual(self.broken_rules(make_scenario(), gateway=scenarios.LosesResponses), {"lost"})
 
@@ -144,7 +144,7 @@
         self.assertEqual(self.violations(sent(), ClientLeft(300.0, "x")), [])
         self.assertEqual(self.violations(sent(), ConnectFailed(300.0, "x")), [])
 
-    def test_a_closed_connection_is_excused_by_a_kill_only(self) -> None:
+    def test_a_closed_connection_is_allowed_only_after_a_kill(self) -> None:
         """A client's connection closes without a response.
 
         It is no violation if the testbed killed the gateway during the attempt or just before it, as a
@@ -172,8 +172,8 @@
         The endpoints of a zone share a deduplication store. Within the zone, a repeat is allowed once the
         first attempt has ended; in another zone, only if the first attempt did not run.
         """
-        places = [started("w0", "a"), started("w1", "b"), started("w2", "a")]
-        first = [*places, sent("booking"), received(110.0, 1)]
+        endpoints = [started("w0", "a"), started("w1", "b"), started("w2", "a")]
+        first = [*endpoints, sent("booking"), received(110.0, 1)]
         failed = finished(150.0, 1, EndpointOutcome.FAILED)
         rejected = finished(150.0, 1, EndpointOutcome.REJECTED, has_run=False)
         served = [
@@ -212,7 +212,7 @@
         restarted = GatewayChanged(60.0, 1, GatewayState.STARTED)
         self.assertEqual(self.violations(announcement, restarted, *served), [])
 
-    def test_what_no_client_sent_is_a_duplicate(self) -> None:
+    def test_an_attempt_that_no_client_sent_is_a_duplicate_execution(self) -> None:
         self.assertEqual(
             self.violations(received(5.0, 1)), ["doubled: forwarded although no client had sent it"]
         )
