--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -71,7 +71,7 @@
     FaultKind.DISCOVERY_SILENT,
     FaultKind.DISCOVERY_MOVED,
 )
-"""They show only if the endpoint list changes meanwhile, or on sockets."""
+"""Kinds that have a visible effect only if the endpoint list changes during the fault, or on sockets."""
 
 
 def fault_keys(kind: FaultKind) -> str:
@@ -92,8 +92,8 @@
         """Each kind of fault is injected into a short scenario, one kind per run.
 
         Guards against faults that have no effect and against gateways that break a rule under a fault. Each
-        fault starts and ends once, and the run differs from one without it. Counter faults show only if
-        customers reach their quotas, so the load is higher for them.
+        fault starts and ends once, and the run differs from one without it. Counter faults have an
+        effect only if customers reach their quotas, so the load is higher for them.
         """
         self.assertEqual(set(FAULT_KEYS), set(FAULTS) & set(REQUIRED_KEYS))
         without_fault = {
