--- a/tests/test_quota_bounds.py
+++ b/tests/test_quota_bounds.py
@@ -25,10 +25,10 @@
 
 
 class TrustingCounterSync(CounterSync):
-    """Applies every total without regard to the usage that this gateway knows of."""
+    """Applies every total without regard to the usage recorded by this gateway."""
 
     def apply_total(self, call: CounterCall, total: float) -> float:
-        """Clears the locally known usage, so that the total is applied unchecked."""
+        """Clears the recorded usage, so that the total is applied unchecked."""
         account = call.exchange.account
         account.known_level_units = 0.0
         account.local_usage_units = 0.0
@@ -74,14 +74,14 @@
     def test_no_interleaving_exceeds_the_declared_bound(self) -> None:
         largest = self.largest_share()
         self.assertLessEqual(largest, 1.0)
-        self.assertGreater(largest, 0.3)  # the bound is not so loose that usage never comes near it
+        self.assertGreater(largest, 0.3)  # the bound is not so loose that usage always stays far below it
 
     def test_engine_that_ignores_quotas_exceeds_the_bound(self) -> None:
         self.assertGreater(self.largest_share(NoQuotasEngine), 1.0)
 
 
 class ReplacedCounterTest(unittest.TestCase):
-    """The counter keeps answering, but is repeatedly split, emptied and replaced.
+    """The counter continues to answer, but is repeatedly split, emptied and replaced.
 
     Totals are then too low or too high. A gateway must not reduce its own usage because of a total.
     """
@@ -142,7 +142,10 @@
     def levels_after_loss(
         self, engine_class: type[PolicyEngine], gateway_count: int, seed: int
     ) -> tuple[float, float]:
-        """Levels in the counter and in truth, after it was emptied and each gateway sent two requests."""
+        """Returns the counter's and the true usage level.
+
+        The counter was emptied, and each gateway then sent two requests.
+        """
         large = plan(units_per_s=2.0, burst_units=600.0)
         gateways = CustomerGateways(large, gateway_count, seed, engine_class)
         for _ in range(200):
@@ -158,7 +161,7 @@
         return total - refilled, gateways.true_level_units()
 
     def test_lost_usage_is_restored_once(self) -> None:
-        """The counter restarts empty, and all gateways know the lost usage.
+        """The counter restarts empty, and all gateways have recorded the lost usage.
 
         If each of them restored it, the customer would be rejected; if none did, it would get a full quota.
         """
@@ -195,7 +198,7 @@
         assert bound
         self.assertEqual(bound.max_units, 2 * (60.0 + 60.0 * 20.0 / (IDLE_ACCOUNT_MS / 1000.0)))
 
-    def test_description_says_when_a_bound_is_not_useful(self) -> None:
+    def test_description_states_that_a_bound_is_not_useful(self) -> None:
         without_ceiling, with_ceiling = sending_bound(plan(), 10, 10.0), sending_bound(CEILING_PLAN, 10, 10.0)
         assert without_ceiling and with_ceiling
         self.assertIn("no useful bound", describe_bound(without_ceiling, 10, 10.0))
