--- a/drumgw/testbed/request_rules.py
+++ b/drumgw/testbed/request_rules.py
@@ -35,9 +35,9 @@
         if late_by_ms > 0:
             yield _response_violation(history, response.time_ms, f"answered {late_by_ms:.0f} ms too late")
         if response.status == STATUS_SUCCEEDED and not _is_genuine_response(history, response):
-            named_attempt = response.body_attempt_id or "none"
             description = (
-                f"successful response that no endpoint sent for this attempt (body names {named_attempt})"
+                "successful response that no endpoint sent for this attempt "
+                f"(body names {response.body_attempt_id or 'none'})"
             )
             yield _response_violation(history, response.time_ms, description)
 
