--- a/drumgw/gateway/commands.py
+++ b/drumgw/gateway/commands.py
@@ -60,7 +60,7 @@
     """The attempt that the deadline applies to; None for the deadline of the request itself."""
 
 
-class ReportFault(NamedTuple):
+class LogEngineError(NamedTuple):
     """Log that the policy engine raised an exception."""
 
     error: Exception
@@ -71,7 +71,7 @@
     | AbortAttempt
     | SendResponse
     | ScheduleDeadline
-    | ReportFault
+    | LogEngineError
     | AddToCounter
     | SetTimer
     | LogMessage
--- a/drumgw/gateway/dispatcher.py
+++ b/drumgw/gateway/dispatcher.py
@@ -19,7 +19,7 @@
 from drumgw.gateway.commands import (
     AbortAttempt,
     Command,
-    ReportFault,
+    LogEngineError,
     ScheduleDeadline,
     SendResponse,
     StartAttempt,
@@ -106,7 +106,7 @@
             AbortAttempt: self._abort_attempt,
             SendResponse: self._send_response,
             ScheduleDeadline: self._schedule_deadline,
-            ReportFault: self._log_engine_error,
+            LogEngineError: self._log_engine_error,
             AddToCounter: self._add_to_counter,
             SetTimer: self._set_timer,
             LogMessage: self._log_message,
@@ -240,7 +240,7 @@
             command.delay_ms / 1000.0, self.post, self.lifecycle.timer_fired, command.timer_id
         )
 
-    def _log_engine_error(self, command: ReportFault) -> None:
+    def _log_engine_error(self, command: LogEngineError) -> None:
         self.log_internal_error(command.error, "the policy engine")
 
     def _log_message(self, command: LogMessage) -> None:
--- a/drumgw/gateway/request_lifecycle.py
+++ b/drumgw/gateway/request_lifecycle.py
@@ -23,7 +23,7 @@
     STATUS_SUCCEEDED,
     AbortAttempt,
     Command,
-    ReportFault,
+    LogEngineError,
     ScheduleDeadline,
     SendResponse,
     StartAttempt,
@@ -348,7 +348,7 @@
 
         Other requests are unaffected; at worst they end at their deadline.
         """
-        self._commands.append(ReportFault(error))
+        self._commands.append(LogEngineError(error))
         if isinstance(event, TimerFired):
             # The engine re-arms its periodic timer while it handles this event. As it raised an exception
             # instead, the timer is re-armed here; otherwise the engine's periodic work would stop.
--- a/drumgw/testbed/virtual_gateway.py
+++ b/drumgw/testbed/virtual_gateway.py
@@ -13,7 +13,7 @@
 from drumgw.gateway.commands import (
     AbortAttempt,
     Command,
-    ReportFault,
+    LogEngineError,
     ScheduleDeadline,
     SendResponse,
     StartAttempt,
@@ -162,7 +162,7 @@
                     self.call_after(command.delay_ms, partial(self._timer_fired, command.timer_id))
                 case AddToCounter():
                     self._call_counter(command)
-                case ReportFault():
+                case LogEngineError():
                     self.environment.event_log.add(
                         EngineFailed(self.clock.now(), self.number, repr(command.error))
                     )
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -5,7 +5,7 @@
 import unittest
 from collections.abc import Callable
 
-from drumgw.gateway.commands import AbortAttempt, Command, ReportFault, SendResponse, StartAttempt
+from drumgw.gateway.commands import AbortAttempt, Command, LogEngineError, SendResponse, StartAttempt
 from drumgw.gateway.request_lifecycle import RequestLifecycle
 from drumgw.model.actions import Action, CancelAttempt, FailRequest, ForwardRequest, RejectRequest, SetTimer
 from drumgw.model.events import (
@@ -197,7 +197,7 @@
                 self.assertEqual(self.lifecycle.in_flight, {})
         self.start_lifecycle(raise_on(TimerFired))
         commands = self.lifecycle.timer_fired(100.0, 0)
-        self.assertIsInstance(commands[0], ReportFault)
+        self.assertIsInstance(commands[0], LogEngineError)
         self.assertEqual(commands[1:], [SetTimer(100.0, 0)])
 
     def test_a_stall_is_excluded_from_attempts_and_deducted_from_unread_requests(self) -> None:
