--- a/drumgw/gateway/discovery_log.py
+++ b/drumgw/gateway/discovery_log.py
@@ -33,12 +33,12 @@
         for status, names in change.changes_by_status.items():
             endpoints = ", ".join(f"{endpoint_id_of(name)} ({name})" for name in names)
             logger.info("{}{}: {} now {}: {}", self._prefix, origin, len(names), status.value, endpoints)
-        if change.unreadable_count != self._malformed_count:
-            self._malformed_count = change.unreadable_count
+        if change.malformed_count != self._malformed_count:
+            self._malformed_count = change.malformed_count
             logger.warning(
                 "{}{} rows of the endpoint list are malformed; their endpoints keep their last state",
                 self._prefix,
-                change.unreadable_count,
+                change.malformed_count,
             )
         if is_behind is not self._is_behind:
             self._is_behind = is_behind
--- a/drumgw/gateway/endpoint_list_reader.py
+++ b/drumgw/gateway/endpoint_list_reader.py
@@ -57,7 +57,7 @@
     nameless_rows: frozenset[int]
     """Positions of the rows without a valid endpoint name."""
 
-    def unreadable_count(self) -> int:
+    def malformed_count(self) -> int:
         """Returns the number of endpoints with malformed rows, plus the rows without a valid name."""
         return len(self.nameless_rows) + sum(row is None for row in self.rows.values())
 
--- a/drumgw/gateway/membership.py
+++ b/drumgw/gateway/membership.py
@@ -68,8 +68,8 @@
     """Changed rows of ready endpoints: they are new, or their start, address or other fields changed."""
     changes_by_status: dict[EndpointStatus, list[str]]
     """Names of the endpoints whose status or start has changed, by their new status."""
-    unreadable_count: int
-    """See `EndpointList.unreadable_count`."""
+    malformed_count: int
+    """See `EndpointList.malformed_count`."""
 
 
 class Membership:
@@ -212,7 +212,7 @@
             EndpointsUpdated(is_complete, tuple(row.info for row in reported)),
             tuple(row for row in changed.values() if row.info.status is EndpointStatus.READY),
             changes_by_status,
-            update.unreadable_count(),
+            update.malformed_count(),
         )
 
 
