--- a/drumgw/gateway/process.py
+++ b/drumgw/gateway/process.py
@@ -107,7 +107,7 @@
         try:
             config = read_config()
         except ConfigError as error:
-            logger.warning("SIGHUP: {}; the old configuration stands", error)
+            logger.warning("SIGHUP: {}; keeping the previous configuration", error)
             return
         self.service.reconfigure(config)
         discovery_host, discovery_port = config.discovery
