--- a/drumgw/gateway/invariants.py
+++ b/drumgw/gateway/invariants.py
@@ -25,7 +25,7 @@
     elif not condition:
         violations[description] += 1
         if _is_power_of_two(violations[description]):  # limits the log volume of a recurring violation
-            logger.error("invariant broken {} times: {}", violations[description], description)
+            logger.error("invariant violated {} times: {}", violations[description], description)
 
 
 def _is_power_of_two(count: int) -> bool:
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -204,5 +204,5 @@
             [sys.executable, "-O", "-c", program], capture_output=True, text=True, check=True
         )
         self.assertEqual(
-            (completed.stdout.strip(), completed.stderr.count("invariant broken")), ("{'odd': 3}", 2)
+            (completed.stdout.strip(), completed.stderr.count("invariant violated")), ("{'odd': 3}", 2)
         )
