--- a/drumgw/cli/lab_commands.py
+++ b/drumgw/cli/lab_commands.py
@@ -43,7 +43,7 @@
     except FileError as error:
         exit_with_error(error)
     except RunStoppedError:
-        exit_with_error("stopped; no gateway was left behind", ExitCode.STOPPED)
+        exit_with_error("stopped by a signal; no gateway process is left running", ExitCode.STOPPED)
     except (RuntimeError, OSError) as error:
         exit_with_error(error, ExitCode.CANNOT_RUN)
     click.echo("\n".join(violation_lines([figures])) if quiet else format_runs([figures]))
