--- a/drumgw/gateway/client_connections.py
+++ b/drumgw/gateway/client_connections.py
@@ -53,7 +53,7 @@
     def change_state(self, client: ClientConnection, state: ConnectionState) -> bool:
         """Moves a connection to another state; returns False if it is no longer registered."""
 
-    def forget(self, client: ClientConnection) -> None:
+    def unregister(self, client: ClientConnection) -> None:
         """Removes a connection that is about to be closed."""
 
     def closed(self, client: ClientConnection) -> None:
@@ -116,7 +116,7 @@
         Used if no response is pending. The transport is aborted because a client that does not read would
         otherwise keep the connection open.
         """
-        self._registry.forget(self)
+        self._registry.unregister(self)
         self.force_close()
         if self.socket_transport is not None:
             self.socket_transport.abort()
--- a/drumgw/gateway/connection_limits.py
+++ b/drumgw/gateway/connection_limits.py
@@ -71,13 +71,13 @@
         self.connections[state][client] = None
         return True
 
-    def forget(self, client: ClientConnection) -> None:
+    def unregister(self, client: ClientConnection) -> None:
         """Removes a connection that is about to be closed, so that it no longer counts."""
         self.connections[client.state].pop(client, None)
 
     def closed(self, client: ClientConnection) -> None:
-        """Removes a connection that was closed, if `forget` has not done so already."""
-        self.forget(client)
+        """Removes a connection that was closed, if `unregister` has not done so already."""
+        self.unregister(client)
 
     def schedule_close_check(self) -> None:
         """Schedules `close_finished`, which reschedules itself as long as any connection is CLOSING."""
