--- a/drumgw/gateway/clock.py
+++ b/drumgw/gateway/clock.py
@@ -73,11 +73,11 @@
     def _add_stall(self, late_ms: float) -> None:
         self.stalled_ms += late_ms
         self.recent_stall_ms += late_ms
-        self.loop.call_later(STALL_THRESHOLD_MS / MS_PER_S, self._forget_recent_stall, self.stalled_ms)
+        self.loop.call_later(STALL_THRESHOLD_MS / MS_PER_S, self._clear_recent_stall, self.stalled_ms)
         if late_ms > HEARTBEAT_MS:
             logger.warning("process stalled for {:.0f} ms", late_ms)
 
-    def _forget_recent_stall(self, stalled_ms: float) -> None:
+    def _clear_recent_stall(self, stalled_ms: float) -> None:
         has_stalled_again = stalled_ms != self.stalled_ms
         if not has_stalled_again:
             self.recent_stall_ms = 0.0
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -179,11 +179,11 @@
             self.assertEqual(
                 (round(clock.stalled_ms), round(clock.recent_stall_ms), fired_at_s), (500, 500, [])
             )
-            (_, forget_stall, stalled_ms), (_, fire_timer) = (
+            (_, clear_stall, stalled_ms), (_, fire_timer) = (
                 c.args for c in loop.call_later.call_args_list[-2:]
             )
             fire_timer()
-            forget_stall(stalled_ms)
+            clear_stall(stalled_ms)
             self.assertEqual(
                 (fired_at_s, round(clock.stalled_ms), clock.recent_stall_ms), ([monotonic_s[0]], 500, 0.0)
             )
