--- a/drumgw/gateway/connection_limits.py
+++ b/drumgw/gateway/connection_limits.py
@@ -96,7 +96,7 @@
         new = len(self.connections[ConnectionState.NEW])
         return self.count() - new - len(self.connections[ConnectionState.CLOSING])
 
-    def select_for_closing(self, newcomer: ClientConnection) -> ClientConnection:
+    def select_for_closing(self, new_client: ClientConnection) -> ClientConnection:
         """Selects the connection to close at the limit; the new connection itself if there is no other.
 
         In this order: a CLOSING one whose last response has been sent; the oldest NEW one; the longest idle;
@@ -113,13 +113,13 @@
             return finished
         oldest_new = next(iter(new), None)
         if oldest_new is not None:
-            had_time_to_be_read = newcomer.state_since_ms - oldest_new.state_since_ms > STALL_THRESHOLD_MS
+            had_time_to_be_read = new_client.state_since_ms - oldest_new.state_since_ms > STALL_THRESHOLD_MS
             if had_time_to_be_read or len(new) > len(idle):
                 return oldest_new
         longest_idle = self.longest_idle()
         if longest_idle is not None:
             return longest_idle
-        return next(iter(self.connections[ConnectionState.READING]), newcomer)
+        return next(iter(self.connections[ConnectionState.READING]), new_client)
 
     def longest_idle(self) -> ClientConnection | None:
         """The longest idle connection; None if there is none or it cannot be closed safely yet.
