--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -90,7 +90,7 @@
             endpoints.append(EndpointInfo(number, 0, 0, "", EndpointStatus.READY, started_at_ms, 1.0))
         return EndpointsUpdated(True, tuple(endpoints))
 
-    def play(self, start_ms: float, quiet_load: float, burst_load: float) -> float:
+    def simulate(self, start_ms: float, quiet_load: float, burst_load: float) -> float:
         """Runs a quiet phase, after which the cold endpoint starts and a burst begins.
 
         Args:
@@ -162,7 +162,7 @@
         The budget includes a margin for the random variation of the attempts in a window.
         """
         fleet = Fleet(gateway_count, endpoint_count, requests_per_s, is_uneven)
-        started_at_ms = fleet.play(1e6, quiet_load=0.1, burst_load=0.9)
+        started_at_ms = fleet.simulate(1e6, quiet_load=0.1, burst_load=0.9)
         max_fraction = 0.0
         for last, sent_at_ms in enumerate(fleet.cold_attempts_ms):
             age_ms = sent_at_ms - started_at_ms
