--- a/drumgw/gateway/connection_pool.py
+++ b/drumgw/gateway/connection_pool.py
@@ -142,7 +142,7 @@
     def _write(
         self, connection: PeerConnection, request: bytes, exchange: Exchange
     ) -> asyncio.Future[RawResponse]:
-        if not connection.is_usable():  # the transport would drop what is written
+        if not connection.is_usable():  # the transport would drop the request
             raise aiohttp.ServerDisconnectedError
         if self.clock.now() >= exchange.write_deadline_ms:
             raise WriteDeadlineError
@@ -188,7 +188,7 @@
         handle.release()
         kept = self.connector._conns.get(peer.connection_key)
         if kept and kept[-1][0] is connection:
-            kept.rotate(1)  # reuse the most recently used one first: it is the least likely to be dead
+            kept.rotate(1)  # reuse the most recently used one first: it is the least likely to be broken
 
     def _start_response_timer(self, on_timeout: Callable[[], None]) -> Timer | None:
         if not self._connect_timeout_ms:
