--- a/drumgw/gateway/counter_client.py
+++ b/drumgw/gateway/counter_client.py
@@ -30,10 +30,10 @@
 IDLE_TIMEOUT_MS = 5000.0
 """A connection that was idle for longer is not reused: the counter closes it after about 10 s (protocol)."""
 CALLS_PER_ENDPOINT_CONNECTION = 4
-"""How many calls may be in flight for each connection to an endpoint that may be open."""
+"""Limit on calls in flight, as a multiple of the maximum number of endpoint connections."""
 STATUS_OK = 200
 STATUSES_REJECTED = (400, 404, 503)
-"""Statuses with which the counter says that it has added nothing."""
+"""Statuses by which the counter reports that it has added nothing."""
 
 
 @dataclass(slots=True, eq=False)
@@ -95,7 +95,7 @@
     def retire(self) -> None:
         """Accepts no further calls, and closes the connection once every call on it has an outcome.
 
-        Replies that are still missing for calls that timed out are not waited for; they may never arrive.
+        It does not wait for the replies to calls that timed out, as they may never arrive.
         """
         self.is_open = False
         if all(call.outcome is not None for call in self.calls):
@@ -149,7 +149,7 @@
         else:
             self._client.end(call, Outcome.TIMED_OUT, 0.0)
             self.close()
-        if response.message.should_close:  # whether later calls on it are added is unknown
+        if response.message.should_close:  # the counter may or may not have added later calls on it
             self.close()
         elif not self.is_open:
             self.retire()
