--- a/drumgw/gateway/peer_connection.py
+++ b/drumgw/gateway/peer_connection.py
@@ -160,8 +160,8 @@
     def _response_stalled(self) -> None:
         """Aborts a response that has begun but was not completed within the connect timeout.
 
-        Once a response has begun, its rest needs no longer than a packet; without this limit a request would
-        wait until its deadline for a peer that stops halfway.
+        Without this limit a request would wait until its deadline for a peer that stops halfway. The connect
+        timeout is long enough, as the rest of a response takes no longer to arrive than a single packet.
         """
         self.abort_with(MalformedResponseError("response incomplete when the connect timeout expired"))
 
