--- a/drumgw/gateway/process.py
+++ b/drumgw/gateway/process.py
@@ -168,7 +168,7 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Exempts objects that live as long as the process from collection, and lowers its frequency."""
+    """Exempts all existing objects from collection, as most are never freed, and lowers its frequency."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
