--- a/drumgw/gateway/process_config.py
+++ b/drumgw/gateway/process_config.py
@@ -83,7 +83,7 @@
 
     @property
     def longest_deadline_ms(self) -> float:
-        """The longest deadline of any request class."""
+        """The longest deadline of any request class; bounds the drain at shutdown."""
         return max(request_class.deadline_ms for request_class in self.settings.request_classes)
 
 
