--- a/drumgw/gateway/request_lifecycle.py
+++ b/drumgw/gateway/request_lifecycle.py
@@ -196,7 +196,7 @@
         return self._process(now, endpoints)
 
     def gateway_stopping(self, now: float) -> list[Command]:
-        """Tells the engine that all requests are finished and the gateway is about to exit."""
+        """Notifies the engine that all requests are finished and the gateway is about to exit."""
         return self._process(now, GatewayStopping())
 
     def timer_fired(self, now: float, timer_id: int) -> list[Command]:
@@ -362,7 +362,7 @@
     def _respond_without_engine(self, now: float, request: InFlightRequest) -> None:
         """Answers without the engine's decision.
 
-        The status is 503 only if no attempt may have run, as 503 tells the client that a retry is safe.
+        The status is 503 only if no attempt may have run, as clients may safely retry after a 503.
         """
         status = STATUS_FAILED if request.may_have_run else STATUS_REJECTED
         self._respond(request, status, 0.0, None)
