--- a/drumgw/policy/counter_polling.py
+++ b/drumgw/policy/counter_polling.py
@@ -15,11 +15,11 @@
 from drumgw.policy.retry import MIN_RETRY_AFTER_MS
 
 MIN_TIME_LEFT_TO_WAIT_MS = 2100.0
-"""A request that waits while this process stalls may miss its deadline; expects stalls of up to 2 s."""
+"""Initial value; allows for a stall of up to 2 s, in which a waiting request could miss its deadline."""
 MIN_TIMEOUTS_LEFT = 2
 """A request waits for a total only with at least this many counter timeouts left until its deadline."""
 STALL_SAFETY_FACTOR = 1.25
-"""A request waits only if its time left exceeds the longest stall observed by this factor."""
+"""A request waits only with this multiple of the longest observed stall left, plus the timeouts above."""
 
 
 class CounterPoller:
@@ -42,8 +42,8 @@
         """Raises the time that a request must have left to wait for a total.
 
         A request that waits while this process stalls may miss its deadline without a decision. After a
-        stall, requests without enough time left for another one of this length no longer wait. This holds
-        for the rest of the process's life.
+        stall, requests without enough time left for another one of this length no longer wait. The limit
+        is never lowered again.
         """
         needed_ms = STALL_SAFETY_FACTOR * stall_ms + MIN_TIMEOUTS_LEFT * self.timeout_ms
         self.min_time_left_to_wait_ms = max(self.min_time_left_to_wait_ms, needed_ms)
