--- a/drumgw/policy/engine.py
+++ b/drumgw/policy/engine.py
@@ -124,7 +124,7 @@
         return context.actions
 
     def _record_stall(self, now_ms: float) -> None:
-        """Handles a time in which this process did not run.
+        """Handles a period in which this process did not run.
 
         It is excluded from the age of attempts, which would otherwise count as failures of their endpoints.
         Requests whose deadline would pass in another stall of this length no longer wait for the counter.
