--- a/drumgw/policy/endpoint_selection.py
+++ b/drumgw/policy/endpoint_selection.py
@@ -93,7 +93,7 @@
         They must still be in the deduplication scope, as the request may have run.
 
         Keeps the service available when every endpoint is ejected: an attempt may still succeed, whereas
-        rejecting the request cannot.
+        a rejected request is not served.
         """
         return [
             endpoint
