--- a/drumgw/policy/quota_account.py
+++ b/drumgw/policy/quota_account.py
@@ -64,7 +64,7 @@
     def usable_quota_units(self, gateways: int, max_request_units: float) -> float:
         """The quota, reduced where the concurrency cap cannot be divided among the gateways.
 
-        There the quota's burst size is what limits concurrency: it is reduced to as many of the largest
+        There the quota's burst size limits concurrency instead: it is reduced to as many of the largest
         requests as the cap allows.
         """
         if not self.is_cap_below(gateways):
@@ -118,7 +118,7 @@
     total_received_at_ms: float = LONG_AGO_MS
     """When the last total was received."""
     known_level_units: float = 0.0
-    """Lower bound of usage through all gateways: what the last totals showed, less the refill since."""
+    """Lower bound of usage through all gateways: the level in the last totals, less the refill since."""
     local_usage_units: float = 0.0
     """Usage through this gateway alone, less refill. Not reset by totals, so a wrong total cannot hide it."""
     repaired_at_ms: float = LONG_AGO_MS
