--- a/drumgw/policy/request_state.py
+++ b/drumgw/policy/request_state.py
@@ -31,7 +31,7 @@
     """No further attempt is possible or allowed."""
     ATTEMPT_FAILED = "attempt failed"
     SUCCEEDED = "succeeded"
-    NO_ANSWER_DUE = "client gone"
+    NO_ANSWER_DUE = "no answer due"
     """The client has been answered or has disconnected; no answer is due."""
 
 
