--- a/drumgw/simulator/wire.py
+++ b/drumgw/simulator/wire.py
@@ -184,7 +184,7 @@
 
 
 def _ignore_message(_names: NameIndex, _fields: JsonObject) -> None:
-    """For responses to calls that the policy engine never makes."""
+    """Ignores responses to calls that the policy engine never makes."""
 
 
 _EVENT_READERS: dict[str, Callable[[NameIndex, JsonObject], Event | None]] = {
