--- a/drumgw/config/quota_bounds.py
+++ b/drumgw/config/quota_bounds.py
@@ -23,8 +23,8 @@
 
     plan: str
     max_units: float
-    quota_units: float  # what the quota allows in that time, starting from a full account
-    limited_by: str  # what limits the sum: LIMITED_BY_ACCOUNTS or LIMITED_BY_CEILING
+    quota_units: float  # allowed by the quota in that time, starting from a full account
+    limited_by: str  # the effective limit: LIMITED_BY_ACCOUNTS or LIMITED_BY_CEILING
 
     @property
     def units_beyond_quota(self) -> float:
