--- a/drumgw/config/file_reader.py
+++ b/drumgw/config/file_reader.py
@@ -1,6 +1,6 @@
 """Reads a configuration file and reports all errors in it at once.
 
-Each error is one line: the path to the key, what was expected there, and for an unknown key the most similar
+Each error is one line: the path to the key, the expected value, and for an unknown key the most similar
 known one. List positions in paths count from 1, as in `product[2].expiry_ms`.
 """
 
