--- a/drumgw/config/host_file.py
+++ b/drumgw/config/host_file.py
@@ -108,7 +108,7 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> HostSection:
-        """Raises ValueError if the ordinal is too large, or tokens would cross a network in the clear."""
+        """Raises ValueError if the ordinal is too large, or tokens would cross a network unencrypted."""
         if self.ordinal >= self.gatekeepers:
             raise ValueError(f"ordinal {self.ordinal} must be below gatekeepers, which is {self.gatekeepers}")
         if not self.api_beyond_loopback and not self.api.startswith("127."):
