--- a/drumgw/gateway/clock.py
+++ b/drumgw/gateway/clock.py
@@ -15,7 +15,7 @@
 
 MS_PER_S = 1000.0
 HEARTBEAT_MS = 100.0
-"""Time between two heartbeats. Each wakes the event loop, which costs as much as a small request."""
+"""Time between two heartbeats. Each costs an iteration of the event loop, as much as a small request."""
 STALL_THRESHOLD_MS = 20.0
 """A heartbeat this late counts as a stall. A timer this late lets pending responses be read first."""
 
