--- a/drumgw/gateway/discovery.py
+++ b/drumgw/gateway/discovery.py
@@ -7,8 +7,8 @@
   is silent, the gateway therefore makes backup polls in parallel to the watch, one at a time. Regardless of
   the length of the outage, updates are received within two poll intervals after its end.
 * A shared service gets one call at a time. Each call occupies the service even if the gateway no longer waits
-  for the answer. So time limits are long enough for a call to reach the head of the service's queue, and the
-  gateway backs off after failures.
+  for the answer. Time limits are therefore long enough for a call to reach the head of the service's queue,
+  and the gateway backs off after failures.
 
 A response is applied in the same iteration of the event loop in which its bytes are read, and unread bytes
 are read before an attempt if nothing has been read for MAX_UNREAD_MS. So no request is forwarded by a list
@@ -320,7 +320,7 @@
         self._last_read_ms = now
         try:
             change = self._update_membership(now, poll, response)
-        except Exception as error:  # not a valid list for whatever reason: the last one stays in use
+        except Exception as error:  # any error means that the list is invalid: the last one stays in use
             poll.fail(error)
             return
         silent_ms = now - self.last_answer_ms
@@ -349,9 +349,9 @@
     def _apply(self, change: MembershipChange, origin: str) -> None:
         """Passes changes to the policy engine and to the endpoint clients.
 
-        The policy engine must learn of a drain before the endpoint's client does. The client returns attempts
-        that were not written yet, and the engine must not forward their requests to another endpoint that
-        drains by the same list.
+        The policy engine must be informed of a drain before the endpoint's client is. The client returns
+        attempts that were not written yet, and the engine must not forward their requests to another endpoint
+        that drains by the same list.
         """
         for row in change.ready:
             self._endpoint_clients.set_address(row.info.endpoint_id, row.address, row.info.started_at_ms)
