--- a/drumgw/gateway/endpoint_clients.py
+++ b/drumgw/gateway/endpoint_clients.py
@@ -62,7 +62,7 @@
 
     Attributes:
         address: host:port.
-        connection_owner: Endpoint number and start time. Connections to the address are reused only while
+        connection_owner: Endpoint id and start time. Connections to the address are reused only while
             this stays the same.
         accepts_attempts: Whether new attempts may be sent to the endpoint.
         peer: Identifies the endpoint in the pool. Created when an attempt needs it, as one gateway sends to
@@ -82,7 +82,7 @@
     """The clients of all listed endpoints.
 
     Attributes:
-        clients: By endpoint number; kept in step with the endpoint list by `set_address` and `drain`.
+        clients: By endpoint id; `set_address` and `drain` apply changes of the endpoint list to it.
         in_flight: The client of each attempt; removed when the attempt ends or is aborted.
         pool: The connections to all endpoints.
     """
@@ -179,7 +179,7 @@
     def withdraw_unsent(self, request_id: int, attempt: int) -> None:
         """Ends an attempt as `NOT_SENT` if its request is not fully written.
 
-        That outcome does not count against the endpoint. An attempt that is fully written goes on.
+        That outcome does not count against the endpoint. An attempt that is fully written continues.
         """
         key = AttemptKey(request_id, attempt)
         client = self.in_flight.get(key)
@@ -193,7 +193,7 @@
     def _check_client(self, request: ClientRequest) -> None:
         """Ends the request if its client has closed the connection and the event loop has not noticed yet.
 
-        Called before the first byte of an attempt, so that nothing is sent for a client that has gone.
+        Called before the first byte of an attempt, so that nothing is sent for a disconnected client.
         """
         if request.has_client_disconnected():
             self._dispatcher.client_disconnected(request.request_id)
