--- a/drumgw/policy/outlier_detection.py
+++ b/drumgw/policy/outlier_detection.py
@@ -1,7 +1,7 @@
 """Outlier detection: ejects endpoints that fail a request class, and reinstates them after a trial request.
 
 Health is tracked for each endpoint and request class. An ejected endpoint receives no requests of that class.
-When the ejection ends it becomes half-open, and the outcome of a single request decides what follows.
+When the ejection ends it becomes half-open, and the outcome of a single request reinstates or ejects it.
 """
 
 from __future__ import annotations
@@ -104,7 +104,7 @@
         advance(HEALTH_TRANSITIONS, self, health, HealthInput.SUCCEEDED)
 
     def _record_failure(self, endpoint: EndpointState, class_index: int, weight: float = 1.0) -> None:
-        """Updates the failure share, and ejects an endpoint that fails more often than the network explains.
+        """Updates the failure share, and ejects an endpoint whose failures exceed those of the network.
 
         When connections to all endpoints break, each endpoint looks like an outlier, and ejecting them one by
         one would remove the whole fleet. Therefore the threshold rises with the share of broken responses.
