--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,6 +1,6 @@
 """The decisions of one gateway about requests and endpoints: retries, selection, health and load.
 
-Most tests play a sequence of events and compare the decisions with a readable trace in `tests/traces/`.
+Most tests run a sequence of events and compare the decisions with a readable trace in `tests/traces/`.
 """
 
 from __future__ import annotations
@@ -59,10 +59,10 @@
                 harness.end_attempt(request)
         self.assert_trace(harness, "keyed-in-zone")
 
-    def test_client_gone_is_cancelled_and_never_sent_again(self) -> None:
+    def test_request_of_disconnected_client_is_cancelled_and_not_retried(self) -> None:
         """Guards against work for a client that has disconnected.
 
-        Nobody waits for the response, so the attempt is cancelled, and not retried when it ends.
+        No response is needed, so the attempt is cancelled, and the request is not retried when it ends.
         """
         harness = PolicyHarness(has_counter=False)
         request = harness.request(LOW_PRIORITY)
@@ -87,7 +87,7 @@
             harness.end_attempt(request)
         return sorted({endpoint for r in requests for endpoint in harness.attempted_endpoints[r]})
 
-    def test_draining_and_removed_get_nothing_new(self) -> None:
+    def test_draining_and_removed_endpoints_receive_no_requests(self) -> None:
         harness = PolicyHarness(has_counter=False)
         draining = harness.endpoint_info(0, EndpointStatus.DRAINING)
         removed = harness.endpoint_info(1, EndpointStatus.REMOVED)
@@ -97,10 +97,10 @@
         harness.note(f"endpoints used: {self.used_endpoints(harness)}")
         self.assert_trace(harness, "draining")
 
-    def test_an_endpoint_that_warms_up_gets_a_part(self) -> None:
+    def test_an_endpoint_that_warms_up_receives_fewer_requests(self) -> None:
         """Guards against sending a cold endpoint the load of a warm one, under which it would fail.
 
-        It receives a fraction of what the others complete, which grows as it warms up.
+        It receives fewer requests than the others, and more as it warms up.
         """
         harness = PolicyHarness(endpoints=3, has_counter=False)
         started = harness.endpoint_info(3, EndpointStatus.READY, harness.now_ms)
@@ -116,7 +116,7 @@
         harness.trace = [line for line in harness.trace if "--" in line]
         self.assert_trace(harness, "warm-up")
 
-    def test_gateways_share_the_fleet_out(self) -> None:
+    def test_gateways_spread_requests_over_the_fleet(self) -> None:
         """Guards against all gateways sending to the same endpoint.
 
         Fifty gateways receive three requests each from one customer, whose hash gives the same order of
@@ -241,11 +241,11 @@
         harness.trace = [line for line in harness.trace if "--" in line or "ejected" in line]
         self.assert_trace(harness, "not-idempotent-avoids-suspected")
 
-    def test_own_stall_is_not_charged_to_endpoints(self) -> None:
-        """Guards against blaming endpoints for a stall of this process.
+    def test_own_stall_does_not_count_against_endpoints(self) -> None:
+        """Guards against counting a stall of this process as latency of endpoints.
 
         The process does not run for 8 s, so responses that arrived in time are read late. They must not count
-        as late, nor their attempts as overdue. From then on, only requests with enough time left to survive
+        as late, nor their attempts as overdue. From then on, only requests with enough time left for
         such a stall wait for the counter.
         """
         harness = PolicyHarness(has_counter=False)
@@ -264,7 +264,7 @@
         )
         self.assert_trace(harness, "stall")
 
-    def test_attempts_in_flight_do_not_age_by_a_stall(self) -> None:
+    def test_stall_is_excluded_from_the_age_of_attempts_in_flight(self) -> None:
         """Guards against cancelling attempts whose responses have arrived but are not read yet.
 
         The process does not run for 8 s, and its timer fires before the responses are read. By the clock all
@@ -283,7 +283,7 @@
 class LoadTest(TraceCase):
     """The concurrency limit and load shedding."""
 
-    def test_limit_is_wide_while_no_answer_is_late(self) -> None:
+    def test_limit_is_high_while_no_answer_is_late(self) -> None:
         """Guards against rejecting a burst of the lower class while endpoints have capacity.
 
         A limit derived from the completion rate alone would reject it.
@@ -294,10 +294,10 @@
         self.assert_trace(harness, "limit-without-late-answers")
 
     def test_late_answers_shed_the_lower_class_first(self) -> None:
-        """Guards the top class while the back end is slow.
+        """Guards against rejecting the top class while the lower class is admitted.
 
-        The back end slows down, then recovers. While answers are late, more requests of the lower
-        class are rejected than of the top class.
+        The back end slows down, then recovers. While answers are late, more requests of the lower class are
+        rejected than of the top class.
         """
         harness = PolicyHarness(has_counter=False, gateways=10)
         for lower_ms in (100.0, 1900.0, 100.0):
