--- a/tests/test_policy_quotas.py
+++ b/tests/test_policy_quotas.py
@@ -58,10 +58,10 @@
 class CeilingTest(TraceCase):
     """The hard limit, which does not depend on the counter."""
 
-    def test_ceiling_holds_when_the_counter_loses_totals(self) -> None:
+    def test_ceiling_is_enforced_when_the_counter_loses_totals(self) -> None:
         """The counter loses its totals, so quotas can be exceeded for a time.
 
-        A ceiling must still hold: each gateway enforces an even part of it without calling the counter.
+        A ceiling must not be exceeded: each gateway enforces an even part of it without calling the counter.
         """
         harness = PolicyHarness(plans=(CEILING_PLAN,))
         harness.note(
