--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -150,8 +150,8 @@
 class WarmUpBudgetTest(unittest.TestCase):
     """Guards a cold endpoint against the combined load of all gateways, under which it would fail.
 
-    Each gateway sees only its own requests. The sum of what all of them send must stay within the endpoint's
-    budget, even if traffic is uneven and a burst begins as the endpoint starts.
+    Each gateway sees only its own requests. The requests of all gateways together must stay within the
+    endpoint's budget, even if traffic is uneven and a burst begins as the endpoint starts.
     """
 
     def max_budget_fraction(
@@ -175,7 +175,7 @@
             max_fraction = max(max_fraction, (last + 1 - first) / (budget + margin))
         return max_fraction
 
-    def test_all_gateways_together_keep_the_budget_under_a_burst(self) -> None:
+    def test_all_gateways_together_stay_within_the_budget_in_a_burst(self) -> None:
         for gateway_count, endpoint_count, requests_per_s, is_uneven in (
             (2, 12, 10.0, True),
             (30, 12, 10.0, False),
@@ -189,7 +189,7 @@
                 )
                 self.assertTrue(0.0 < max_fraction < 0.75, max_fraction)
 
-    def test_gateways_without_slow_start_pass_the_budget(self) -> None:
+    def test_gateways_without_slow_start_exceed_the_budget(self) -> None:
         """Verifies the check itself: it must detect gateways that treat a cold endpoint as warm."""
         with mock.patch.object(SlowStart, "warm_up_fraction", lambda *_: 1.0):
             self.assertGreater(self.max_budget_fraction(30, 4, 40.0, False), 1.0)
