--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -54,8 +54,8 @@
             f"{status.value}: {', '.join(names)}" for status, names in change.changes_by_status.items()
         )
         rows = ", ".join(f"{name} {row.info.status.value}" for name, row in self.membership.rows.items())
-        unreadable = f", {change.malformed_count} unreadable" if change.malformed_count else ""
-        self.trace.append(f"{self.now:6.0f}  {origin}{unreadable} -> {changes or 'nothing'}")
+        malformed = f", {change.malformed_count} unreadable" if change.malformed_count else ""
+        self.trace.append(f"{self.now:6.0f}  {origin}{malformed} -> {changes or 'nothing'}")
         self.trace.append(f"        {self.membership.state.value}: {rows}")
 
     def assert_trace(self, name: str) -> None:
@@ -81,7 +81,7 @@
     def test_restarted_numbering_is_accepted_in_time(self) -> None:
         """Discovery is installed anew, and its generations start from 1 again.
 
-        Its lists would count as older for ever. After 6 s they must be applied in full; departures are
+        Its lists would always count as older. After 6 s they must be applied in full; departures are
         applied at once.
         """
         self.receive(41, row("s-a"), row("s-b"), complete=True)
@@ -100,7 +100,7 @@
         self.receive(41, row("s-b", "draining"), row("s-c"))  # the answer to a request for the complete list
         self.assert_trace("membership-known")
 
-    def test_malformed_fields_hide_no_drain(self) -> None:
+    def test_malformed_fields_do_not_hide_a_drain(self) -> None:
         """A row of a draining or removed endpoint needs only its id and lifecycle.
 
         Other malformed rows must change nothing.
