--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -59,7 +59,7 @@
         self.gateway.close = mock.AsyncMock()  # type: ignore[method-assign]
 
     async def test_sighup_during_start_reloads_and_sighup_at_exit_is_ignored(self) -> None:
-        """A new configuration may be announced while the gateway starts or exits.
+        """A SIGHUP may arrive while the gateway starts or exits.
 
         The default action of SIGHUP would kill the process.
         """
@@ -254,7 +254,7 @@
             (gateway.endpoint_clients.in_flight, gateway.dispatcher.lifecycle.in_flight), ({}, {})
         )
 
-    async def test_connect_timeout_during_a_stall_is_not_blamed_on_the_endpoint(self) -> None:
+    async def test_connect_timeout_during_a_stall_does_not_count_against_the_endpoint(self) -> None:
         gateway = await self.open_gateway("127.0.0.1:1")
         outcomes, stalls = list[Outcome](), [0.0, 300.0]
 
