--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -51,7 +51,7 @@
         return self.results
 
     async def test_calls_for_a_key_are_pipelined(self) -> None:
-        """A spend must not wait for the replies to earlier calls: it would reach the counter too late."""
+        """A call must not wait for the replies to earlier calls: it would reach the counter too late."""
         first_reply: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         replies = [first_reply, http_response(b"2"), http_response(status=503), http_response(b"what"), b""]
         counter = await self.open_counter_gateway(lambda head, body: replies.pop(0))
