--- a/drumgw/gateway/client_connections.py
+++ b/drumgw/gateway/client_connections.py
@@ -158,7 +158,7 @@
         return self._poll_socket(select.POLLIN)
 
     def client_has_ended(self) -> bool:
-        """Whether the client has shut down or reset the connection; the event loop may not know yet."""
+        """Whether the client has shut down or reset the connection; read from the socket itself."""
         return self._poll_socket(CLIENT_ENDED_EVENTS)
 
     def defer_close_if_unread(self) -> bool:
@@ -174,8 +174,9 @@
     def has_client_disconnected(self) -> bool:
         """Whether the client has closed the connection according to the kernel; if so, closes it here too.
 
-        Prevents attempts whose client is gone. The event loop may lag by more than 0.1 s, and aiohttp stops
-        reading while many pipelined requests of the connection wait, so it would not notice the close.
+        Prevents attempts for clients that have disconnected. The event loop may lag by more than 0.1 s, and
+        aiohttp stops reading while many pipelined requests of the connection wait, so it would not notice the
+        close.
         """
         transport = self.socket_transport
         if transport is not None and not transport.is_closing() and not self.client_has_ended():
