--- a/tests/test_policy_counter.py
+++ b/tests/test_policy_counter.py
@@ -7,9 +7,9 @@
 
 
 class CounterTotalTest(TraceCase):
-    """Decisions by totals, and what is reported."""
+    """Decisions by totals, and the units that are reported."""
 
-    def test_total_decides_by_usage_of_each_class(self) -> None:
+    def test_requests_are_decided_by_the_usage_of_each_class_in_the_total(self) -> None:
         harness = PolicyHarness(hold_counter=True)
         harness.note("16 units used elsewhere, none by the top class: its floor excludes the lower class")
         harness.request(HIGH_PRIORITY, 2.0)
@@ -30,7 +30,7 @@
         harness.trace += other.trace
         self.assert_trace(harness, "counter-totals")
 
-    def test_request_waits_for_total_only_if_it_can_outlast_a_stall(self) -> None:
+    def test_request_waits_for_total_only_with_enough_time_left_for_a_stall(self) -> None:
         """A request that waits for the counter while this process stalls may miss its deadline.
 
         A request without enough time left for a stall is decided at once by the local account, and still
@@ -75,7 +75,7 @@
     def test_total_that_lags_behind_the_refill_is_corrected(self) -> None:
         """A customer is idle until its quota is full; further refill is lost.
 
-        The total does not change meanwhile, so its usage level would fall below 0 and the customer could use
+        The total does not change then, so its usage level would fall below 0 and the customer could use
         more than its quota at once. The next report therefore adds the lost refill.
         """
         harness = PolicyHarness()
@@ -126,8 +126,8 @@
     def test_totals_of_an_emptied_counter_are_restored(self) -> None:
         """The counter restarts empty, or with an older state, so its totals are too low.
 
-        A usage level cannot fall faster than the quota refills. A gateway that sees this keeps to the level
-        it knew and adds the difference, one call at a time; if two gateways do so, one undoes its repair.
+        A usage level cannot fall faster than the quota refills. A gateway that sees this keeps the higher
+        level and adds the difference, one call at a time; if two gateways do so, one undoes its repair.
         """
         harness = PolicyHarness(hold_counter=True)
         harness.advance(20000)
