--- a/drumgw/gateway/connection_limits.py
+++ b/drumgw/gateway/connection_limits.py
@@ -124,7 +124,8 @@
     def longest_idle(self) -> ClientConnection | None:
         """The longest idle connection; None if there is none or it cannot be closed safely yet.
 
-        `select_for_closing` and `close_surplus_idle` close what this returns; a subclass may choose another.
+        `select_for_closing` and `close_surplus_idle` close the returned connection. Subclasses may select
+        another one.
         """
         client = next(iter(self.connections[ConnectionState.IDLE]), None)
         return client if client is not None and self.can_close_idle(client) else None
@@ -141,7 +142,7 @@
     def close_surplus_idle(self) -> None:
         """Closes one idle connection if more connections than allowed have sent a request.
 
-        Clients that send one request and stay connected would otherwise use up the connections of all.
+        Clients that send one request and stay connected would otherwise use up all connections.
         """
         if self.requesting_count() <= self.bounds.max_requesting_clients:
             return
