--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -296,7 +296,7 @@
 
 
 class MisbehavingClientsTest(GatewayCase):
-    """Misbehaving clients are soon refused or closed, and do not exhaust resources that others need."""
+    """Misbehaving clients are refused or disconnected before they exhaust resources that others need."""
 
     async def open_gateway_with_idle_timeout(self, client_idle_timeout_ms: float = 40.0, **more: Any) -> None:
         """Opens a gateway with one endpoint, this idle timeout for clients, and a sweep every 5 ms."""
