--- a/drumgw/policy/request_flow.py
+++ b/drumgw/policy/request_flow.py
@@ -171,9 +171,9 @@
     def finish(self, request: PendingRequest) -> None:
         """Rejects or fails a request that was not served."""
         self.context.actions.append(self.retries.final_answer(request))
-        self.forget(request)
+        self.remove(request)
 
-    def forget(self, request: PendingRequest) -> None:
+    def remove(self, request: PendingRequest) -> None:
         """Removes a request that needs no further answer."""
         del self.pending[request.request_id]
 
@@ -181,9 +181,9 @@
 REQUEST_TRANSITIONS: Transitions[RequestState, RequestInput, RequestFlow, PendingRequest] = {
     (RequestState.NEW, RequestInput.ADMITTED): (RequestState.IN_FLIGHT, RequestFlow.forward),
     (RequestState.NEW, RequestInput.REJECTED): (RequestState.DONE, RequestFlow.finish),
-    (RequestState.NEW, RequestInput.NO_ANSWER_DUE): (RequestState.DONE, RequestFlow.forget),
+    (RequestState.NEW, RequestInput.NO_ANSWER_DUE): (RequestState.DONE, RequestFlow.remove),
     (RequestState.IN_FLIGHT, RequestInput.NO_ENDPOINT): (RequestState.DONE, RequestFlow.finish),
     (RequestState.IN_FLIGHT, RequestInput.ATTEMPT_FAILED): (RequestState.IN_FLIGHT, RequestFlow.retry),
-    (RequestState.IN_FLIGHT, RequestInput.SUCCEEDED): (RequestState.DONE, RequestFlow.forget),
-    (RequestState.IN_FLIGHT, RequestInput.NO_ANSWER_DUE): (RequestState.DONE, RequestFlow.forget),
+    (RequestState.IN_FLIGHT, RequestInput.SUCCEEDED): (RequestState.DONE, RequestFlow.remove),
+    (RequestState.IN_FLIGHT, RequestInput.NO_ANSWER_DUE): (RequestState.DONE, RequestFlow.remove),
 }
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -206,7 +206,7 @@
 def reject(flow: RequestFlow, request: PendingRequest) -> None:
     """Rejects a request; for the client this means that it was not processed."""
     flow.context.actions.append(RejectRequest(request.request_id, 10.0))
-    flow.forget(request)
+    flow.remove(request)
 
 
 class RejectingEngine(PolicyEngine):
