--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -54,7 +54,7 @@
             f"{status.value}: {', '.join(names)}" for status, names in change.changes_by_status.items()
         )
         rows = ", ".join(f"{name} {row.info.status.value}" for name, row in self.membership.rows.items())
-        malformed = f", {change.malformed_count} unreadable" if change.malformed_count else ""
+        malformed = f", {change.malformed_count} malformed" if change.malformed_count else ""
         self.trace.append(f"{self.now:6.0f}  {origin}{malformed} -> {changes or 'nothing'}")
         self.trace.append(f"        {self.membership.state.value}: {rows}")
 
